--- a/internal/emu/clients/clients.go
+++ b/internal/emu/clients/clients.go
@@ -129,12 +129,12 @@
 		return q, false
 	}
 	s := c.seed.Split("repeats", q.No).Split("", q.Again)
-	if s.Part() >= r.Share {
+	if s.Uniform() >= r.Share {
 		return q, false
 	}
 	next = q
-	next.At = now + r.After.At(s.Split("after", 0).Part())
-	if s.Split("held off", 0).Part() >= c.surge(next.At) {
+	next.At = now + r.After.At(s.Split("after", 0).Uniform())
+	if s.Split("held off", 0).Uniform() >= c.surge(next.At) {
 		return q, false // what holds first requests off holds those off as well that are asked again
 	}
 	next.No = repeatsFrom + c.again
--- a/internal/emu/collapse/collapse.go
+++ b/internal/emu/collapse/collapse.go
@@ -47,7 +47,7 @@
 	}
 	calm := d
 	calm.Troubles = nil
-	days := vtime.Each(2, runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play([]fleet.Day{d, calm}[i]) })
+	days := vtime.ParallelMap(2, runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play([]fleet.Day{d, calm}[i]) })
 	f.Result = days[0]
 	from := f.Until + graceFor
 	f.With, f.Without = share(&days[0], from), share(&days[1], from)
@@ -59,7 +59,7 @@
 	for _, m := range measures(d, at) {
 		f.Ends = append(f.Ends, End{What: m.what, Day: m.day})
 	}
-	results := vtime.Each(len(f.Ends), runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play(f.Ends[i].Day) })
+	results := vtime.ParallelMap(len(f.Ends), runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play(f.Ends[i].Day) })
 	for i := range f.Ends {
 		e := &f.Ends[i]
 		e.Share = share(&results[i], at+actsFor+graceFor)
--- a/internal/emu/experiment/experiment.go
+++ b/internal/emu/experiment/experiment.go
@@ -239,7 +239,7 @@
 		}
 	}
 	if place == nil {
-		place = func(path string) float64 { return seed.Split("figure "+path, 0).Part() }
+		place = func(path string) float64 { return seed.Split("figure "+path, 0).Uniform() }
 	}
 	r := &reader{draw: place}
 	d := r.day(v, seed)
--- a/internal/emu/fleet/fleet_test.go
+++ b/internal/emu/fleet/fleet_test.go
@@ -37,11 +37,11 @@
 // A day gives the same, to the last byte, whenever it is played, on any number of workers and processors.
 func TestTheSameSeedGivesTheSameDay(t *testing.T) {
 	tell := func(i int) string { return fmt.Sprintf("%+v", Play(small(i), Module)) }
-	want := vtime.Each(6, 1, tell)
+	want := vtime.ParallelMap(6, 1, tell)
 	for _, workers := range []int{1, 4} {
 		for _, procs := range []int{1, 4} {
 			before := runtime.GOMAXPROCS(procs)
-			if diff := cmp.Diff(want, vtime.Each(6, workers, tell)); diff != "" {
+			if diff := cmp.Diff(want, vtime.ParallelMap(6, workers, tell)); diff != "" {
 				t.Errorf("%d workers on %d processors: %s", workers, procs, diff)
 			}
 			runtime.GOMAXPROCS(before)
@@ -55,7 +55,7 @@
 // The module and the rivals keep the rules on days with all troubles, and the figures of a day agree with each other.
 func TestRulesAndFigures(t *testing.T) {
 	for name, make := range map[string]Make{"module": Module, "fixed": fixed} {
-		for _, r := range vtime.Each(12, runtime.GOMAXPROCS(0), func(i int) Result { return Play(small(i), make) }) {
+		for _, r := range vtime.ParallelMap(12, runtime.GOMAXPROCS(0), func(i int) Result { return Play(small(i), make) }) {
 			if len(r.Broken) > 0 {
 				t.Errorf("%s: %s", name, strings.Join(r.Broken, "\n"))
 			}
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -46,7 +46,7 @@
 // draw is a number from 0 to 1 for a request. It goes by the request, so that no other is shifted.
 func (l *library) draw(q *ask) float64 {
 	l.draws++
-	return l.seed.Split("draw", q.No).Split("", l.draws).Part()
+	return l.seed.Split("draw", q.No).Split("", l.draws).Uniform()
 }
 
 func (l *library) begin(q *ask) {
--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -267,7 +267,7 @@
 	if q.over {
 		return
 	}
-	coin := func(what string) float64 { return p.messages.Split(what, q.No).Split("", q.tries).Part() }
+	coin := func(what string) float64 { return p.messages.Split(what, q.No).Split("", q.tries).Uniform() }
 	if !c.Sends(p.k.Now(), q.tries, coin("throttle")) {
 		p.none(q)
 		return
--- a/internal/emu/habits/habits.go
+++ b/internal/emu/habits/habits.go
@@ -232,7 +232,7 @@
 
 // part is another draw for each try of a request.
 func (c *Caller) part(w Want) float64 {
-	return vtime.Seed(math.Float64bits(w.Coin)).Split("pick", len(w.Tried)).Part()
+	return vtime.Seed(math.Float64bits(w.Coin)).Split("pick", len(w.Tried)).Uniform()
 }
 
 // Sent takes a try that goes out to a node.
--- a/internal/emu/hunt/hunt.go
+++ b/internal/emu/hunt/hunt.go
@@ -49,7 +49,7 @@
 	}
 	done, most := 0, p.Random+p.Rounds*p.Tries*min(p.Keep, p.Random)
 	measure := func(f []Found) {
-		scores := vtime.Each(len(f), runtime.GOMAXPROCS(0), func(i int) float64 { return score(f[i].Place, f[i].Seed) })
+		scores := vtime.ParallelMap(len(f), runtime.GOMAXPROCS(0), func(i int) float64 { return score(f[i].Place, f[i].Seed) })
 		for i := range f {
 			f[i].Score = scores[i]
 		}
@@ -160,7 +160,7 @@
 	with("clients that ask again", d.Repeats.Share > 0, func(w *fleet.Day) { w.Repeats.Share = 0 })
 	with("a late list", d.ListLag+d.Session > 0, func(w *fleet.Day) { w.ListLag, w.Session = 0, 0 })
 	with("a load over 0.7", d.Load > 0.7, func(w *fleet.Day) { w.Load = 0.7 })
-	results := vtime.Each(len(parts)+1, runtime.GOMAXPROCS(0), func(i int) fleet.Result {
+	results := vtime.ParallelMap(len(parts)+1, runtime.GOMAXPROCS(0), func(i int) fleet.Result {
 		if i == 0 {
 			return play(d)
 		}
--- a/internal/emu/network/network.go
+++ b/internal/emu/network/network.go
@@ -68,13 +68,13 @@
 // Arrives returns when a message that is sent at a time is there; infinity if the connection is given up before. The seed is
 // that of the message.
 func (n *Network) Arrives(at float64, message vtime.Seed, caller, node int) float64 {
-	delay := n.Delay.At(message.Part())
+	delay := n.Delay.At(message.Uniform())
 	if n.Share == 0 && len(n.lossy) == 0 && len(n.cuts) == 0 {
 		return at + delay
 	}
 	again := resendFirst
 	for i := range resends {
-		if !n.Cut(at, caller, node) && message.Split("loss", i).Part() >= n.loss(at) {
+		if !n.Cut(at, caller, node) && message.Split("loss", i).Uniform() >= n.loss(at) {
 			return at + delay
 		}
 		at += again
--- a/internal/emu/study/study.go
+++ b/internal/emu/study/study.go
@@ -106,7 +106,7 @@
 				}
 			}
 		}()
-		results := vtime.Each(len(jobs), runtime.GOMAXPROCS(0), func(i int) result {
+		results := vtime.ParallelMap(len(jobs), runtime.GOMAXPROCS(0), func(i int) result {
 			j := jobs[i]
 			d, err := play(j.p.e, j.variant, j.p.x, j.seed)
 			ticks <- struct{}{}
--- a/internal/emu/workers/workers.go
+++ b/internal/emu/workers/workers.go
@@ -212,7 +212,7 @@
 	} else {
 		l.k.Cancel(&l.next)
 	}
-	if l.Warm() < 1 && !l.ramp.On() {
+	if l.Warm() < 1 && !l.ramp.IsSet() {
 		l.k.Set(&l.ramp, l.k.Now()+rampStep)
 	}
 	limit := 1 + (l.p.FallAt-1)*l.Warm()
--- a/internal/vtime/vtime.go
+++ b/internal/vtime/vtime.go
@@ -18,8 +18,8 @@
 	pos int // in the heap, from 1; 0: not set
 }
 
-// On tells whether it is set.
-func (t *Timer) On() bool { return t.pos > 0 }
+// IsSet tells whether it is set.
+func (t *Timer) IsSet() bool { return t.pos > 0 }
 
 // Kernel holds what is to happen. It is used from one goroutine.
 type Kernel struct {
@@ -163,8 +163,8 @@
 // Rand returns the random numbers of a seed.
 func (s Seed) Rand() *rand.Rand { return rand.New(rand.NewPCG(uint64(s), 0x9e3779b97f4a7c15)) }
 
-// Part returns the one number from 0 to 1, without 1, that a seed stands for: where one draw is all that is wanted.
-func (s Seed) Part() float64 { return float64(s>>11) / (1 << 53) }
+// Uniform returns the one number from 0 to 1, without 1, that a seed stands for: where one draw is all that is wanted.
+func (s Seed) Uniform() float64 { return float64(s>>11) / (1 << 53) }
 
 // Range is where a figure is drawn from, evenly.
 type Range struct{ Low, High float64 }
@@ -172,8 +172,8 @@
 // At returns the figure at a part of the range, 0 to 1.
 func (r Range) At(part float64) float64 { return r.Low + (r.High-r.Low)*part }
 
-// Each plays n days on so many workers and returns what they give, in order. A day must share nothing with another.
-func Each[T any](n, workers int, day func(i int) T) []T {
+// ParallelMap plays n days on so many workers and returns what they give, in order. A day must share nothing with another.
+func ParallelMap[T any](n, workers int, day func(i int) T) []T {
 	out := make([]T, n)
 	var next atomic.Int64
 	var wait sync.WaitGroup
--- a/internal/vtime/vtime_test.go
+++ b/internal/vtime/vtime_test.go
@@ -71,11 +71,11 @@
 		k.Run(100)
 		return text
 	}
-	want := Each(20, 1, day)
+	want := ParallelMap(20, 1, day)
 	for _, workers := range []int{2, 4, 64} {
 		for _, procs := range []int{1, 3} {
 			before := runtime.GOMAXPROCS(procs)
-			if diff := cmp.Diff(want, Each(20, workers, day)); diff != "" {
+			if diff := cmp.Diff(want, ParallelMap(20, workers, day)); diff != "" {
 				t.Error(diff)
 			}
 			runtime.GOMAXPROCS(before)
