--- a/internal/emu/fleet/day.go
+++ b/internal/emu/fleet/day.go
@@ -149,8 +149,8 @@
 // machine draws the worker pool of a place in the fleet; it stays the same over its lives.
 func (d Day) machine(i int) workers.Params {
 	r := d.Seed.Split("machine", i).Rand()
-	p := workers.Params{Cores: d.Cores, Speed: d.Fast.At(r.Float64()), ColdFrom: d.Cold.At(r.Float64()),
-		Ramp: d.Ramp.At(r.Float64()), CrowdAt: d.CrowdAt.At(r.Float64()), CrowdLoss: d.CrowdLoss.At(r.Float64()), FallAt: d.FallAt, FallWindow: fallWindow}
+	p := workers.Params{Cores: d.Cores, Speed: d.Fast.At(r.Float64()), ColdSpeedRatio: d.Cold.At(r.Float64()),
+		RampTime: d.Ramp.At(r.Float64()), ContentionThreshold: d.CrowdAt.At(r.Float64()), ContentionLoss: d.CrowdLoss.At(r.Float64()), OverloadThreshold: d.FallAt, OverloadWindow: fallWindow}
 	if slow := d.Slow.At(r.Float64()); i%2 == 0 {
 		p.Speed = slow
 	}
--- a/internal/emu/fleet/server.go
+++ b/internal/emu/fleet/server.go
@@ -116,7 +116,7 @@
 	}
 	params := s.params
 	if !cold {
-		params.ColdFrom = 1
+		params.ColdSpeedRatio = 1
 	}
 	s.node, s.in, s.tries, s.runs, s.memory, s.most = node, nil, map[int]*try{}, map[int]*try{}, 0, set.Memory
 	s.others = map[int]string{}
@@ -126,7 +126,7 @@
 			s.happened(e)
 		}
 	})
-	s.pool.Crawl(s.crawl)
+	s.pool.SetSlowdown(s.crawl)
 	s.tick.Do = func(float64) { s.step() }
 	s.tell(core.Bound{Cold: cold}, core.Synced{})
 	s.p.list.Join(s.p.k.Now(), s.no)
@@ -280,7 +280,7 @@
 		s.ended(e, core.EndOK)
 	case workers.Stopped:
 		s.ended(e, core.EndStopped)
-	case workers.Fell:
+	case workers.Crashed:
 		s.fall("fell")
 	}
 }
@@ -395,7 +395,7 @@
 		life := s.life
 		s.p.k.After(gaugeAfter, func(float64) {
 			if s.life == life {
-				s.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: s.pool.Busy(), Runnable: float64(s.pool.On()), Memory: s.memory / s.most,
+				s.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: s.pool.Utilization(), Runnable: float64(s.pool.Runnable()), Memory: s.memory / s.most,
 					Conns: float64(len(s.p.callers))}})
 			}
 		})
@@ -423,7 +423,7 @@
 		return
 	}
 	s.tries[t.n] = t
-	s.pool.Arrive(t.n, t.q.Work)
+	s.pool.Enqueue(t.n, t.q.Work)
 }
 
 // late tells the node that a caller gave up, after the time that the rules leave for an answer.
--- a/internal/emu/fleet/troubles.go
+++ b/internal/emu/fleet/troubles.go
@@ -26,7 +26,7 @@
 		slow := func(by float64) func(*server) {
 			return func(s *server) {
 				if s.crawl = by; s.pool != nil {
-					s.pool.Crawl(by)
+					s.pool.SetSlowdown(by)
 				}
 			}
 		}
@@ -36,7 +36,7 @@
 		hold := func(on bool) func(*server) {
 			return func(s *server) {
 				if s.pool != nil {
-					s.pool.Pause(on)
+					s.pool.SetPaused(on)
 				}
 			}
 		}
--- a/internal/emu/workers/workers.go
+++ b/internal/emu/workers/workers.go
@@ -14,15 +14,15 @@
 
 // Params describe one pool.
 type Params struct {
-	Cores      int
-	Speed      float64 // of a warm core; a standard one has 1
-	ColdFrom   float64 // share of the speed at which a cold pool starts; 1: it is warm
-	Ramp       float64 // time after which it is warm; its speed rises evenly
-	RampWork   float64 // work after which it is warm, if that comes first; 0: time alone counts
-	CrowdAt    float64 // requests on the cores, for each core, past which they get less done in total
-	CrowdLoss  float64 // share of the speed lost for each request a core beyond that
-	FallAt     float64 // mean requests on the cores, for each core, that a warm pool survives; 0: any
-	FallWindow float64 // the time of that mean
+	Cores               int
+	Speed               float64 // of a warm core; a standard one has 1
+	ColdSpeedRatio      float64 // share of the speed at which a cold pool starts; 1: it is warm
+	RampTime            float64 // time after which it is warm; its speed rises evenly
+	RampWork            float64 // work after which it is warm, if that comes first; 0: time alone counts
+	ContentionThreshold float64 // requests on the cores, for each core, past which they get less done in total
+	ContentionLoss      float64 // share of the speed lost for each request a core beyond that
+	OverloadThreshold   float64 // mean requests on the cores, for each core, that a warm pool survives; 0: any
+	OverloadWindow      float64 // the time of that mean
 }
 
 // Work is what one request needs.
@@ -40,7 +40,7 @@
 	Read    Kind = iota // a request was read
 	Done                // a run ended with its result
 	Stopped             // a run was stopped
-	Fell                // too much ran for too long; the pool is gone, and tells nothing more
+	Crashed             // too much ran for too long; the pool is gone, and tells nothing more
 )
 
 // Event is something that happened.
@@ -100,20 +100,20 @@
 	return l
 }
 
-// Warm returns the share of full speed that the pool has.
-func (l *Pool) Warm() float64 {
-	if l.p.ColdFrom >= 1 || l.p.Ramp <= 0 {
+// SpeedRatio returns the share of full speed that the pool has.
+func (l *Pool) SpeedRatio() float64 {
+	if l.p.ColdSpeedRatio >= 1 || l.p.RampTime <= 0 {
 		return 1
 	}
-	up := (l.k.Now() - l.started) / l.p.Ramp
+	up := (l.k.Now() - l.started) / l.p.RampTime
 	if l.p.RampWork > 0 {
 		up = max(up, l.done/l.p.RampWork)
 	}
-	return l.p.ColdFrom + (1-l.p.ColdFrom)*min(1, up)
+	return l.p.ColdSpeedRatio + (1-l.p.ColdSpeedRatio)*min(1, up)
 }
 
-// On returns how many requests want a core, those that are read included.
-func (l *Pool) On() int { return l.on.Len() }
+// Runnable returns how many requests want a core, those that are read included.
+func (l *Pool) Runnable() int { return l.on.Len() }
 
 // Running returns how many runs are not over.
 func (l *Pool) Running() int { return len(l.runs) }
@@ -121,23 +121,23 @@
 // Unread returns how many requests wait to be read.
 func (l *Pool) Unread() int { return len(l.unread) }
 
-// Busy returns the share of the cores busy over the last half second.
-func (l *Pool) Busy() float64 {
+// Utilization returns the share of the cores busy over the last half second.
+func (l *Pool) Utilization() float64 {
 	l.advance()
 	return l.busy
 }
 
-// Fallen tells whether the pool is gone.
-func (l *Pool) Fallen() bool { return l.fallen }
+// Crashed tells whether the pool is gone.
+func (l *Pool) Crashed() bool { return l.fallen }
 
-// Crawl makes the pool so many times slower; 1 ends that.
-func (l *Pool) Crawl(times float64) { l.change(func() { l.slow = times }) }
+// SetSlowdown makes the pool so many times slower; 1 ends that.
+func (l *Pool) SetSlowdown(times float64) { l.change(func() { l.slow = times }) }
 
-// Pause holds all work up, or lets it go on.
-func (l *Pool) Pause(on bool) { l.change(func() { l.paused = on }) }
+// SetPaused holds all work up, or lets it go on.
+func (l *Pool) SetPaused(on bool) { l.change(func() { l.paused = on }) }
 
-// Arrive puts a request before the pool, unread.
-func (l *Pool) Arrive(id int, w Work) {
+// Enqueue puts a request before the pool, unread.
+func (l *Pool) Enqueue(id int, w Work) {
 	j := &job{id: id, w: w, reading: true}
 	j.target.What = j
 	l.change(func() { l.unread = append(l.unread, j) })
@@ -183,8 +183,8 @@
 	l.done += l.rate * dt * float64(l.on.Len())
 	a := float64(l.on.Len()) / float64(l.p.Cores)
 	l.busy += (min(1, a) - l.busy) * -math.Expm1(-dt/gaugeFor)
-	if l.p.FallWindow > 0 {
-		l.mean += (a - l.mean) * -math.Expm1(-dt/l.p.FallWindow)
+	if l.p.OverloadWindow > 0 {
+		l.mean += (a - l.mean) * -math.Expm1(-dt/l.p.OverloadWindow)
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 	n := float64(l.on.Len())
 	a := n / float64(l.p.Cores)
-	l.rate = l.p.Speed * l.Warm() / l.slow / max(1, a) / (1 + l.p.CrowdLoss*max(0, a-l.p.CrowdAt))
+	l.rate = l.p.Speed * l.SpeedRatio() / l.slow / max(1, a) / (1 + l.p.ContentionLoss*max(0, a-l.p.ContentionThreshold))
 	if l.paused || n == 0 {
 		l.rate = 0
 	}
@@ -212,17 +212,17 @@
 	} else {
 		l.k.Cancel(&l.next)
 	}
-	if l.Warm() < 1 && !l.ramp.IsSet() {
+	if l.SpeedRatio() < 1 && !l.ramp.IsSet() {
 		l.k.Set(&l.ramp, l.k.Now()+rampStep)
 	}
-	limit := 1 + (l.p.FallAt-1)*l.Warm()
+	limit := 1 + (l.p.OverloadThreshold-1)*l.SpeedRatio()
 	switch {
-	case l.p.FallAt <= 0 || a <= limit && l.mean <= limit:
+	case l.p.OverloadThreshold <= 0 || a <= limit && l.mean <= limit:
 		l.k.Cancel(&l.fall)
 	case l.mean > limit:
 		l.k.Set(&l.fall, l.k.Now())
 	default: // the mean goes to a, and passes the limit on its way
-		l.k.Set(&l.fall, l.k.Now()+l.p.FallWindow*math.Log((a-l.mean)/(a-limit)))
+		l.k.Set(&l.fall, l.k.Now()+l.p.OverloadWindow*math.Log((a-l.mean)/(a-limit)))
 	}
 }
 
@@ -268,5 +268,5 @@
 	for _, j := range l.runs {
 		l.k.Cancel(&j.wake)
 	}
-	l.tell(Event{Kind: Fell})
+	l.tell(Event{Kind: Crashed})
 }
--- a/internal/emu/workers/workers_test.go
+++ b/internal/emu/workers/workers_test.go
@@ -84,7 +84,7 @@
 			seed := vtime.Seed(1)
 			work := distuv.Exponential{Rate: 0.01, Src: seed.Split("work", 0).Rand()} // 100 ms in the mean
 			rate := c.rho * float64(c.cores) / 100
-			number, took, ends := queue(Params{Cores: c.cores, Speed: 1, ColdFrom: 1}, seed, rate, 400000, work.Rand)
+			number, took, ends := queue(Params{Cores: c.cores, Speed: 1, ColdSpeedRatio: 1}, seed, rate, 400000, work.Rand)
 			a := c.rho * float64(c.cores)
 			want := a + erlangC(c.cores, a)*c.rho/(1-c.rho)
 			near(t, "number", number, want, 0.03)
@@ -119,7 +119,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			seed := vtime.Seed(3)
-			number, took, _ := queue(Params{Cores: 1, Speed: 1, ColdFrom: 1}, seed, 0.007, 500000, of(seed.Split("work", 0)))
+			number, took, _ := queue(Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1}, seed, 0.007, 500000, of(seed.Split("work", 0)))
 			near(t, "time", took, 100/(1-0.7), 0.04)
 			near(t, "number", number, 0.7/(1-0.7), 0.04)
 		})
@@ -138,28 +138,28 @@
 		steps []step
 		want  []string
 	}{
-		{"a run with a wait", Params{Cores: 2, Speed: 2, ColdFrom: 1},
+		{"a run with a wait", Params{Cores: 2, Speed: 2, ColdSpeedRatio: 1},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100, Sleep: 30}) }}}, []string{"80 done 1 took 80"}},
-		{"reading one a core", Params{Cores: 1, Speed: 1, ColdFrom: 1},
-			[]step{{0, func(l *Pool) { l.Arrive(1, Work{Read: 10}); l.Arrive(2, Work{Read: 10}) }}}, []string{"10 read 1", "20 read 2"}},
-		{"a crawl", Params{Cores: 1, Speed: 1, ColdFrom: 1},
-			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}) }}, {50, func(l *Pool) { l.Crawl(5) }}}, []string{"300 done 1 took 300"}},
-		{"a pause", Params{Cores: 1, Speed: 1, ColdFrom: 1},
-			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}) }}, {50, func(l *Pool) { l.Pause(true) }}, {400, func(l *Pool) { l.Pause(false) }}},
+		{"reading one a core", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
+			[]step{{0, func(l *Pool) { l.Enqueue(1, Work{Read: 10}); l.Enqueue(2, Work{Read: 10}) }}}, []string{"10 read 1", "20 read 2"}},
+		{"a crawl", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
+			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}) }}, {50, func(l *Pool) { l.SetSlowdown(5) }}}, []string{"300 done 1 took 300"}},
+		{"a pause", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
+			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}) }}, {50, func(l *Pool) { l.SetPaused(true) }}, {400, func(l *Pool) { l.SetPaused(false) }}},
 			[]string{"450 done 1 took 450"}},
-		{"a stop", Params{Cores: 1, Speed: 1, ColdFrom: 1},
+		{"a stop", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}); l.Start(2, Work{Run: 100}) }}, {50, func(l *Pool) { l.Stop(1); l.Stop(1) }}},
 			[]string{"50 stopped 1 took 50", "125 done 2 took 125"}},
-		{"crowding", Params{Cores: 1, Speed: 1, ColdFrom: 1, CrowdAt: 1, CrowdLoss: 0.5},
+		{"crowding", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, ContentionThreshold: 1, ContentionLoss: 0.5},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}); l.Start(2, Work{Run: 100}) }}},
 			[]string{"300 done 1 took 300", "300 done 2 took 300"}},
-		{"a fall: the mean of 4 passes 2 after 1500*ln(4/2)", Params{Cores: 1, Speed: 1, ColdFrom: 1, FallAt: 2, FallWindow: 1500},
+		{"a fall: the mean of 4 passes 2 after 1500*ln(4/2)", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, OverloadThreshold: 2, OverloadWindow: 1500},
 			[]step{{0, func(l *Pool) {
 				for id := range 4 {
 					l.Start(id, Work{Run: 1e6})
 				}
 			}}, {2000, func(l *Pool) { l.Start(9, Work{Run: 1}) }}}, []string{"1040 fell"}},
-		{"no fall: it ends before", Params{Cores: 1, Speed: 1, ColdFrom: 1, FallAt: 2, FallWindow: 1500},
+		{"no fall: it ends before", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, OverloadThreshold: 2, OverloadWindow: 1500},
 			[]step{{0, func(l *Pool) {
 				for id := range 4 {
 					l.Start(id, Work{Run: 250})
@@ -169,10 +169,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			var k vtime.Kernel
 			var got []string
-			words := map[Kind]string{Read: "read", Done: "done", Stopped: "stopped", Fell: "fell"}
+			words := map[Kind]string{Read: "read", Done: "done", Stopped: "stopped", Crashed: "fell"}
 			l := New(&k, c.p, func(e Event) {
 				s := fmt.Sprintf("%.0f %s", k.Now(), words[e.Kind])
-				if e.Kind != Fell {
+				if e.Kind != Crashed {
 					s += fmt.Sprint(" ", e.ID)
 				}
 				if e.Took > 0 {
@@ -193,16 +193,16 @@
 		})
 	}
 	var k vtime.Kernel
-	l := New(&k, Params{Cores: 1, Speed: 1, ColdFrom: 0.2, Ramp: 10000}, func(e Event) {
+	l := New(&k, Params{Cores: 1, Speed: 1, ColdSpeedRatio: 0.2, RampTime: 10000}, func(e Event) {
 		near(t, "a cold start", e.Took, 6972, 0.01) // the integral of its speed is the work
 	})
 	l.Start(1, Work{Run: 0.2*6972 + 0.8*6972*6972/2/10000})
 	k.Run(20000)
-	if !(l.Warm() == 1) {
+	if !(l.SpeedRatio() == 1) {
 		t.Error("it is not warm")
 	}
 	var k2 vtime.Kernel // warm by what it does: the work done grows as exp(0.8 t / 1000)
-	l = New(&k2, Params{Cores: 1, Speed: 1, ColdFrom: 0.2, Ramp: 1e9, RampWork: 1000}, func(e Event) {
+	l = New(&k2, Params{Cores: 1, Speed: 1, ColdSpeedRatio: 0.2, RampTime: 1e9, RampWork: 1000}, func(e Event) {
 		near(t, "a start that warms by work", e.Took, 2000, 0.02)
 	})
 	l.Start(1, Work{Run: 250 * math.Expm1(1.6)})
@@ -220,7 +220,7 @@
 				id++
 				l.Start(id, Work{Run: 50 + float64(id*7919%100), Sleep: 10})
 			}
-			l = New(&k, Params{Cores: 8, Speed: 1, ColdFrom: 1}, func(Event) { start() })
+			l = New(&k, Params{Cores: 8, Speed: 1, ColdSpeedRatio: 1}, func(Event) { start() })
 			for range n {
 				start()
 			}
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -85,9 +85,9 @@
 
 // machine draws one of the two models: half of a fleet has each.
 func machine(rng *rand.Rand, old bool) workers.Params {
-	p := workers.Params{Cores: cores, Speed: between(rng, 1.1, 1.5), ColdFrom: between(rng, 0.2, 0.6),
-		Ramp: between(rng, 3000, 17000), CrowdAt: between(rng, 2, 4), CrowdLoss: between(rng, 0.03, 0.1), FallAt: 8,
-		FallWindow: 1500}
+	p := workers.Params{Cores: cores, Speed: between(rng, 1.1, 1.5), ColdSpeedRatio: between(rng, 0.2, 0.6),
+		RampTime: between(rng, 3000, 17000), ContentionThreshold: between(rng, 2, 4), ContentionLoss: between(rng, 0.03, 0.1), OverloadThreshold: 8,
+		OverloadWindow: 1500}
 	slow := between(rng, 0.5, 0.7)
 	if old {
 		p.Speed = slow
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -49,7 +49,7 @@
 
 // newHost returns a node that starts now.
 func newHost(p workers.Params, t traffic, arrivals []arrival, now float64) (*host, error) {
-	cold := p.ColdFrom < 1
+	cold := p.ColdSpeedRatio < 1
 	c, err := core.New(nodeSettings(cold), 1)
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 		return // it goes elsewhere
 	}
 	c.Out++
-	h.pool.Arrive(n, a.work)
+	h.pool.Enqueue(n, a.work)
 }
 
 // tell hands something to the core.
@@ -128,7 +128,7 @@
 		h.tell(core.Finished{ID: name(e.ID), End: core.EndOK, Took: e.Took})
 	case workers.Stopped:
 		h.tell(core.Finished{ID: name(e.ID), End: core.EndStopped, Took: e.Took})
-	case workers.Fell:
+	case workers.Crashed:
 		h.fell = true
 		h.k.Cancel(&h.tick)
 	}
@@ -154,7 +154,7 @@
 		h.pool.Stop(number(o.ID))
 	case core.Poll:
 		h.k.After(gaugeAfter, func(float64) {
-			h.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: h.pool.Busy(), Runnable: float64(h.pool.On()), Memory: 0.1, Conns: callers}})
+			h.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: h.pool.Utilization(), Runnable: float64(h.pool.Runnable()), Memory: 0.1, Conns: callers}})
 		})
 	case core.Line:
 		h.lines = append(h.lines, string(eventlog.AppendText(nil, time.UnixMilli(int64(h.k.Now())), o.Word, o.Pairs)))
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -120,7 +120,7 @@
 	defer reports.Close()
 	cfg := settings.Config{Name: "successor", Listen: "127.0.0.1:0", Pool: poolL.Addr().String(),
 		Announce: reports.LocalAddr().String(), Seed: 1, StopMs: 1000, Cores: 1, MemoryMB: 192, Sockets: 512,
-		Settings: settings.Settings{Policy: nodeSettings(s.machine.ColdFrom < 1), Classes: Classes(),
+		Settings: settings.Settings{Policy: nodeSettings(s.machine.ColdSpeedRatio < 1), Classes: Classes(),
 			Gauges: []string{"cpu_busy", "runnable", "mem_used", "sockets"}}}
 	var op settings.Operator
 	if s.report != nil {
@@ -179,7 +179,7 @@
 			}
 			c.Out++
 			s.k.Run(a.at)
-			s.pool.Arrive(next, a.work)
+			s.pool.Enqueue(next, a.work)
 		}
 		s.k.Run(now)
 		s.mu.Unlock()
@@ -260,7 +260,7 @@
 	switch string(v.GetStringBytes("msg")) {
 	case "bind":
 		how := "WARM"
-		if s.machine.ColdFrom < 1 {
+		if s.machine.ColdSpeedRatio < 1 {
 			how = "COLD"
 		}
 		fmt.Fprintf(c, `{"msg":"bound","how":%q,"duration":%.0f}`+"\n", how, s.now())
@@ -271,8 +271,8 @@
 	case "suspend":
 		s.pool.Stop(number(call))
 	case "poll":
-		fmt.Fprintf(c, `{"msg":"polled","cookie":%q,"stats":[%.4f,%d,0.1,%d]}`+"\n", v.GetStringBytes("cookie"), s.pool.Busy(),
-			s.pool.On(), callers)
+		fmt.Fprintf(c, `{"msg":"polled","cookie":%q,"stats":[%.4f,%d,0.1,%d]}`+"\n", v.GetStringBytes("cookie"), s.pool.Utilization(),
+			s.pool.Runnable(), callers)
 	}
 }
 
--- a/internal/lab/warmup.go
+++ b/internal/lab/warmup.go
@@ -55,7 +55,7 @@
 // draw draws the arrivals and plays the twins on them.
 func (d *warmDay) draw(purpose string) error {
 	warm := d.machine
-	warm.ColdFrom = 1
+	warm.ColdSpeedRatio = 1
 	d.streams, d.twin = nil, nil
 	for i := range successors {
 		rng := stream(d.seed, fmt.Sprint(purpose, i))
@@ -75,7 +75,7 @@
 func (d *warmDay) donor(name string, old bool, t traffic) (knowledge.Report, error) {
 	rng := stream(d.seed, name)
 	m := machine(rng, old)
-	m.ColdFrom = 1
+	m.ColdSpeedRatio = 1
 	h, err := newHost(m, t, t.arrivals(rng, m, d.load, 0, donorFor), 0)
 	if err != nil {
 		return knowledge.Report{}, err
