--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -83,7 +83,7 @@
 // PlayBy plays a day by whatever time Drive goes by.
 func PlayBy(d Day, make_ Make, drive Drive, outside Outside) Result {
 	p := &play{day: d, make: make_, outside: outside, all: map[int]*try{}, messages: d.Seed.Split("network", 0),
-		net: network.Network{Delay: d.Delay, Share: d.Loss}, listed: slices.Repeat([]bool{true}, d.Nodes),
+		net: network.Network{Delay: d.Delay, LossRate: d.Loss}, listed: slices.Repeat([]bool{true}, d.Nodes),
 		list: ensemble.New(ensemble.Params{Session: d.Session, Lag: d.ListLag}, d.Nodes, true)}
 	longest := 0.0
 	for _, c := range d.Classes {
@@ -190,7 +190,7 @@
 
 // reach lets a message of a try cross the network; what is done then may never be.
 func (p *play) reach(t *try, do func(now float64)) bool {
-	at := p.net.Arrives(p.k.Now(), t.message(), t.q.Caller, t.s.no)
+	at := p.net.ArrivalTime(p.k.Now(), t.message(), t.q.Caller, t.s.no)
 	if math.IsInf(at, 1) {
 		return false
 	}
--- a/internal/emu/fleet/troubles.go
+++ b/internal/emu/fleet/troubles.go
@@ -62,7 +62,7 @@
 			p.k.After(t.At+t.For, func(float64) { c.Habit = p.day.Callers[n] })
 		}
 	case Partition:
-		cut := network.Cut{From: t.At, To: t.At + t.For, Nodes: make([]bool, p.day.Nodes)}
+		cut := network.Partition{From: t.At, To: t.At + t.For, Nodes: make([]bool, p.day.Nodes)}
 		for _, n := range hit {
 			cut.Nodes[n] = true
 		}
@@ -71,10 +71,10 @@
 			for _, n := range p.day.some(i, t.Factor, len(p.callers), "cut") {
 				cut.Callers[n] = true
 			}
-			p.net.Part(cut)
+			p.net.AddPartition(cut)
 			return
 		}
-		p.net.Part(cut)
+		p.net.AddPartition(cut)
 		each(t.At, func(s *server) { p.silent(s, true) })
 		each(t.At+t.For, func(s *server) { p.silent(s, false) })
 	case Stall:
@@ -94,7 +94,7 @@
 		}
 		each(t.At+t.For, func(s *server) { p.flap(s, true) })
 	case Loss:
-		p.net.Lose(network.Lossy{From: t.At, To: t.At + t.For, Share: t.Share})
+		p.net.AddLoss(network.LossPeriod{From: t.At, To: t.At + t.For, Rate: t.Share})
 	case Outage:
 		p.k.After(t.At, func(now float64) { p.list.Down(now); p.watch() })
 		p.k.After(t.At+t.For, func(now float64) { p.list.Up(now); p.watch() })
--- a/internal/emu/network/network.go
+++ b/internal/emu/network/network.go
@@ -16,47 +16,47 @@
 	resends     = 8
 )
 
-// Cut keeps messages between some callers and some nodes from arriving for a time.
-type Cut struct {
+// Partition keeps messages between some callers and some nodes from arriving for a time.
+type Partition struct {
 	From, To float64
 	Callers  []bool // by number; nil: all
 	Nodes    []bool // by number
 }
 
-func (c *Cut) holds(at float64, caller, node int) bool {
+func (c *Partition) holds(at float64, caller, node int) bool {
 	return at >= c.From && at < c.To && c.Nodes[node] && (c.Callers == nil || c.Callers[caller])
 }
 
-// Lossy loses a share of all messages for a time.
-type Lossy struct{ From, To, Share float64 }
+// LossPeriod loses a share of all messages for a time.
+type LossPeriod struct{ From, To, Rate float64 }
 
 // Network is the state of the network. It is only read while a day is played, but for what Add takes.
 type Network struct {
-	Delay vtime.Range
-	Share float64 // of messages that are lost, at all times
-	lossy []Lossy
-	cuts  []Cut
+	Delay    vtime.Range
+	LossRate float64 // of messages that are lost, at all times
+	lossy    []LossPeriod
+	cuts     []Partition
 }
 
-// Lose adds a time of losses.
-func (n *Network) Lose(l Lossy) { n.lossy = append(n.lossy, l) }
+// AddLoss adds a time of losses.
+func (n *Network) AddLoss(l LossPeriod) { n.lossy = append(n.lossy, l) }
 
-// Part adds a cut.
-func (n *Network) Part(c Cut) { n.cuts = append(n.cuts, c) }
+// AddPartition adds a cut.
+func (n *Network) AddPartition(c Partition) { n.cuts = append(n.cuts, c) }
 
 // loss returns the share of messages that are lost at a time: losses are independent.
 func (n *Network) loss(at float64) float64 {
-	keeps := 1 - n.Share
+	keeps := 1 - n.LossRate
 	for _, l := range n.lossy {
 		if at >= l.From && at < l.To {
-			keeps *= 1 - l.Share
+			keeps *= 1 - l.Rate
 		}
 	}
 	return 1 - keeps
 }
 
-// Cut tells whether a message that is sent at a time meets a cut.
-func (n *Network) Cut(at float64, caller, node int) bool {
+// Partitioned tells whether a message that is sent at a time meets a cut.
+func (n *Network) Partitioned(at float64, caller, node int) bool {
 	for i := range n.cuts {
 		if n.cuts[i].holds(at, caller, node) {
 			return true
@@ -65,16 +65,16 @@
 	return false
 }
 
-// Arrives returns when a message that is sent at a time is there; infinity if the connection is given up before. The seed is
+// ArrivalTime returns when a message that is sent at a time is there; infinity if the connection is given up before. The seed is
 // that of the message.
-func (n *Network) Arrives(at float64, message vtime.Seed, caller, node int) float64 {
+func (n *Network) ArrivalTime(at float64, message vtime.Seed, caller, node int) float64 {
 	delay := n.Delay.At(message.Uniform())
-	if n.Share == 0 && len(n.lossy) == 0 && len(n.cuts) == 0 {
+	if n.LossRate == 0 && len(n.lossy) == 0 && len(n.cuts) == 0 {
 		return at + delay
 	}
 	again := resendFirst
 	for i := range resends {
-		if !n.Cut(at, caller, node) && message.Split("loss", i).Uniform() >= n.loss(at) {
+		if !n.Partitioned(at, caller, node) && message.Split("loss", i).Uniform() >= n.loss(at) {
 			return at + delay
 		}
 		at += again
--- a/internal/emu/network/network_test.go
+++ b/internal/emu/network/network_test.go
@@ -11,20 +11,20 @@
 func TestArrives(t *testing.T) {
 	plain := Network{Delay: vtime.Range{Low: 1, High: 3}}
 	lossy, dead, cut := plain, plain, plain
-	lossy.Lose(Lossy{100, 200, 0.3})
-	dead.Share = 1
-	cut.Part(Cut{From: 100, To: 700, Callers: []bool{true, false}, Nodes: []bool{false, true}})
+	lossy.AddLoss(LossPeriod{100, 200, 0.3})
+	dead.LossRate = 1
+	cut.AddPartition(Partition{From: 100, To: 700, Callers: []bool{true, false}, Nodes: []bool{false, true}})
 	sum, late := 0.0, 0
 	for i := range 4000 {
 		s := vtime.Seed(7).Split("message", i)
-		if at := plain.Arrives(50, s, 0, 0); at < 51 || at > 53 || at != plain.Arrives(50, s, 1, 1) {
+		if at := plain.ArrivalTime(50, s, 0, 0); at < 51 || at > 53 || at != plain.ArrivalTime(50, s, 1, 1) {
 			t.Fatalf("plain: %v", at)
 		}
-		if at := lossy.Arrives(150, s, 0, 0); at > 153 {
+		if at := lossy.ArrivalTime(150, s, 0, 0); at > 153 {
 			late++
 			sum += at
 		}
-		if at := lossy.Arrives(250, s, 0, 0); at > 253 {
+		if at := lossy.ArrivalTime(250, s, 0, 0); at > 253 {
 			t.Fatalf("after the losses: %v", at)
 		}
 	}
@@ -36,11 +36,11 @@
 		caller, node int
 		want         float64 // sent for the last time
 	}{{150, 0, 1, 750}, {150, 1, 1, 150}, {150, 0, 0, 150}, {99, 0, 1, 99}, {650, 0, 1, 850}} {
-		if at := cut.Arrives(c.at, 1, c.caller, c.node) - c.want; at < 1 || at > 3 {
+		if at := cut.ArrivalTime(c.at, 1, c.caller, c.node) - c.want; at < 1 || at > 3 {
 			t.Errorf("%+v: %v later", c, at)
 		}
 	}
-	if at := dead.Arrives(0, 1, 0, 0); !math.IsInf(at, 1) {
+	if at := dead.ArrivalTime(0, 1, 0, 0); !math.IsInf(at, 1) {
 		t.Errorf("all is lost, and it arrives at %v", at)
 	}
 }
