--- a/internal/emu/ensemble/ensemble.go
+++ b/internal/emu/ensemble/ensemble.go
@@ -9,14 +9,14 @@
 
 // Params describe an ensemble.
 type Params struct {
-	Session float64 // a silent session is kept so long; 0: its end is seen at once
-	Lag     float64 // watchers hear of a change so late
+	SessionTimeout float64 // a silent session is kept so long; 0: its end is seen at once
+	WatchDelay     float64 // watchers hear of a change so late
 }
 
 // Change is what watchers hear: a node has come to the list or has left it.
 type Change struct {
-	Node int
-	On   bool
+	Node   int
+	Listed bool
 }
 
 // session is that of one node.
@@ -33,8 +33,8 @@
 	on bool
 }
 
-// Machine is an ensemble.
-type Machine struct {
+// Model is an ensemble.
+type Model struct {
 	p    Params
 	down bool
 	up   float64 // since when the ensemble answers: silence counts from then at the earliest
@@ -43,8 +43,8 @@
 }
 
 // New returns an ensemble that lists all nodes, or none.
-func New(p Params, nodes int, listed bool) *Machine {
-	m := &Machine{p: p, all: make([]session, nodes), due: math.Inf(1)}
+func New(p Params, nodes int, listed bool) *Model {
+	m := &Model{p: p, all: make([]session, nodes), due: math.Inf(1)}
 	for i := range m.all {
 		m.all[i] = session{there: listed, alive: listed, silent: math.Inf(1), heard: listed}
 	}
@@ -52,49 +52,49 @@
 }
 
 // Join takes a node that registers. In an outage that waits for its end.
-func (m *Machine) Join(now float64, node int) {
+func (m *Model) Join(now float64, node int) {
 	s := &m.all[node]
 	s.alive, s.silent = true, math.Inf(1)
 	m.settle(now)
 }
 
 // Leave takes a node that takes its znode away, as one does that drains.
-func (m *Machine) Leave(now float64, node int) {
+func (m *Model) Leave(now float64, node int) {
 	s := &m.all[node]
 	s.alive, s.silent = false, math.Inf(1)
 	m.settle(now)
 }
 
-// Silent takes a node of which nothing more is heard: it died, stands still, or is cut off.
-func (m *Machine) Silent(now float64, node int) {
+// Disconnect takes a node of which nothing more is heard: it died, stands still, or is cut off.
+func (m *Model) Disconnect(now float64, node int) {
 	if s := &m.all[node]; math.IsInf(s.silent, 1) {
 		s.silent = now
 	}
 	m.settle(now)
 }
 
-// Down begins an outage.
-func (m *Machine) Down(now float64) {
+// BeginOutage begins an outage.
+func (m *Model) BeginOutage(now float64) {
 	m.settle(now)
 	m.down = true
 	m.due = m.next()
 }
 
-// Up ends an outage. Sessions get their whole time anew, as from a new leader.
-func (m *Machine) Up(now float64) {
+// EndOutage ends an outage. Sessions get their whole time anew, as from a new leader.
+func (m *Model) EndOutage(now float64) {
 	m.down, m.up = false, now
 	m.settle(now)
 }
 
 // settle lets the znodes be what the sessions say.
-func (m *Machine) settle(now float64) {
+func (m *Model) settle(now float64) {
 	if !m.down {
 		for i := range m.all {
 			s := &m.all[i]
 			want := s.alive && now < m.expires(s)
 			if want != s.there {
 				s.there = want
-				s.pending = append(s.pending, told{now + m.p.Lag, want})
+				s.pending = append(s.pending, told{now + m.p.WatchDelay, want})
 			}
 		}
 	}
@@ -102,9 +102,9 @@
 }
 
 // expires returns when a silent session ends.
-func (m *Machine) expires(s *session) float64 { return max(s.silent, m.up) + m.p.Session }
+func (m *Model) expires(s *session) float64 { return max(s.silent, m.up) + m.p.SessionTimeout }
 
-func (m *Machine) next() float64 {
+func (m *Model) next() float64 {
 	at := math.Inf(1)
 	for i := range m.all {
 		s := &m.all[i]
@@ -119,10 +119,10 @@
 }
 
 // Next returns when Step has something to do; infinity: never, as it stands.
-func (m *Machine) Next() float64 { return m.due }
+func (m *Model) Next() float64 { return m.due }
 
 // Step returns what watchers hear by a time, node by node.
-func (m *Machine) Step(now float64) (out []Change) {
+func (m *Model) Step(now float64) (out []Change) {
 	if now < m.due {
 		return nil
 	}
--- a/internal/emu/ensemble/ensemble_test.go
+++ b/internal/emu/ensemble/ensemble_test.go
@@ -18,7 +18,7 @@
 	}
 	defer f.Close()
 	var name, want, got string
-	var m *Machine
+	var m *Model
 	check := func() {
 		if diff := cmp.Diff(want, got); m != nil && diff != "" {
 			t.Errorf("%s: %s", name, diff)
@@ -29,7 +29,7 @@
 		for m.Next() <= to {
 			at := m.Next()
 			for _, c := range m.Step(at) {
-				got += fmt.Sprintf("%v %d %v\n", at, c.Node, c.On)
+				got += fmt.Sprintf("%v %d %v\n", at, c.Node, c.Listed)
 			}
 		}
 		now = to
@@ -42,7 +42,7 @@
 			check()
 			var p Params
 			name, want, got = line, "", ""
-			if _, err := fmt.Sscanf(line[strings.Index(line, ":")+1:], "%f %f", &p.Session, &p.Lag); err != nil {
+			if _, err := fmt.Sscanf(line[strings.Index(line, ":")+1:], "%f %f", &p.SessionTimeout, &p.WatchDelay); err != nil {
 				t.Fatal(line, err)
 			}
 			m, now = New(p, 3, true), 0
@@ -54,8 +54,8 @@
 			var node int
 			fmt.Sscanf(line, "%f %s %d", &at, &what, &node)
 			run(at)
-			map[string]func(){"join": func() { m.Join(now, node) }, "leave": func() { m.Leave(now, node) }, "silent": func() { m.Silent(now, node) },
-				"down": func() { m.Down(now) }, "up": func() { m.Up(now) }, "end": func() {}}[what]()
+			map[string]func(){"join": func() { m.Join(now, node) }, "leave": func() { m.Leave(now, node) }, "silent": func() { m.Disconnect(now, node) },
+				"down": func() { m.BeginOutage(now) }, "up": func() { m.EndOutage(now) }, "end": func() {}}[what]()
 		}
 	}
 	check()
--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -50,7 +50,7 @@
 	until    float64
 	messages vtime.Seed
 	net      network.Network
-	list     *ensemble.Machine
+	list     *ensemble.Model
 	lists    vtime.Timer
 	listed   []bool // what callers know of the list
 	servers  []*server
@@ -84,7 +84,7 @@
 func PlayBy(d Day, make_ Make, drive Drive, outside Outside) Result {
 	p := &play{day: d, make: make_, outside: outside, all: map[int]*try{}, messages: d.Seed.Split("network", 0),
 		net: network.Network{Delay: d.Delay, LossRate: d.Loss}, listed: slices.Repeat([]bool{true}, d.Nodes),
-		list: ensemble.New(ensemble.Params{Session: d.Session, Lag: d.ListLag}, d.Nodes, true)}
+		list: ensemble.New(ensemble.Params{SessionTimeout: d.Session, WatchDelay: d.ListLag}, d.Nodes, true)}
 	longest := 0.0
 	for _, c := range d.Classes {
 		longest = max(longest, c.Deadline)
--- a/internal/emu/fleet/troubles.go
+++ b/internal/emu/fleet/troubles.go
@@ -96,15 +96,15 @@
 	case Loss:
 		p.net.AddLoss(network.LossPeriod{From: t.At, To: t.At + t.For, Rate: t.Share})
 	case Outage:
-		p.k.After(t.At, func(now float64) { p.list.Down(now); p.watch() })
-		p.k.After(t.At+t.For, func(now float64) { p.list.Up(now); p.watch() })
+		p.k.After(t.At, func(now float64) { p.list.BeginOutage(now); p.watch() })
+		p.k.After(t.At+t.For, func(now float64) { p.list.EndOutage(now); p.watch() })
 	}
 }
 
 // silent keeps the ensemble from hearing of a node, or lets it hear of it again.
 func (p *play) silent(s *server, on bool) {
 	if on {
-		p.list.Silent(p.k.Now(), s.no)
+		p.list.Disconnect(p.k.Now(), s.no)
 	} else if s.up && !s.draining {
 		p.list.Join(p.k.Now(), s.no)
 	}
@@ -125,7 +125,7 @@
 func (p *play) watch() {
 	changes := p.list.Step(p.k.Now())
 	for _, c := range changes {
-		p.listed[c.Node] = c.On
+		p.listed[c.Node] = c.Listed
 	}
 	for _, l := range p.libs {
 		if l != nil && len(changes) > 0 {
