--- a/internal/emu/experiment/day.go
+++ b/internal/emu/experiment/day.go
@@ -6,9 +6,9 @@
 
 	"github.com/valyala/fastjson"
 
-	"whinrudder/internal/emu/clients"
 	"whinrudder/internal/emu/fleet"
 	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/vtime"
 )
 
@@ -58,8 +58,8 @@
 		d.Callers = r.callers(c)
 	}
 	if c := r.object("repeats", o.Get("repeats"), "share", "after", "most"); c != nil {
-		d.Repeats = clients.Repeats{Share: r.figure(c, "repeats", "share", d.Repeats.Share, 0, 1),
-			After: r.seconds(c, "repeats", "after", d.Repeats.After, 3600), Most: r.count(c, "repeats", "most", d.Repeats.Most, 0, 100)}
+		d.Repeats = workload.ClientRetries{Share: r.figure(c, "repeats", "share", d.Repeats.Share, 0, 1),
+			Delay: r.seconds(c, "repeats", "after", d.Repeats.Delay, 3600), Max: r.count(c, "repeats", "most", d.Repeats.Max, 0, 100)}
 	}
 	for i, t := range r.list("troubles", o.Get("troubles"), maxTroubles) {
 		d.Troubles = append(d.Troubles, r.trouble(at("troubles", i), t))
@@ -102,7 +102,7 @@
 		}
 		usual := vtime.Range{Low: 100, High: 100}
 		k := fleet.Class{Name: r.text(o, path, "name", ""), Share: r.figure(o, path, "share", 1, 0, 1), Aim: r.figure(o, path, "aim_ms", 1000, 1, 3600e3),
-			Deadline: r.figure(o, path, "deadline_ms", 3000, 1, 3600e3), Worth: r.figure(o, path, "worth", 1, 0, 1e6), Late: r.figure(o, path, "late", 0, 0, 1),
+			Deadline: r.figure(o, path, "deadline_ms", 3000, 1, 3600e3), Worth: r.figure(o, path, "worth", 1, 0, 1e6), LateWorth: r.figure(o, path, "late", 0, 0, 1),
 			Work: r.span(o, path, "work", usual, 0.01, 1e6), Sleep: r.span(o, path, "sleep", vtime.Range{}, 0, 3600e3), Write: r.flag(o, path, "write", false)}
 		if k.Deadline < k.Aim {
 			r.fault(path+".deadline_ms", "is %v, which is before the aim", k.Deadline)
@@ -214,10 +214,10 @@
 		"ramp", secs(d.Ramp), "crowd_at", d.CrowdAt, "crowd_loss", d.CrowdLoss, "fall_at", d.FallAt, "runs", d.Runs, "reading", d.Reading, "spread", d.Spread,
 		"delay_ms", d.Delay, "loss", d.Loss, "list_lag", d.ListLag/1000, "session", d.Session/1000, "drain", d.Drain/1000, "stop", d.Stop/1000,
 		"subjects", d.Subjects, "cold_fleet", d.ColdFleet, "slack_ms", d.Slack,
-		"repeats", object("share", d.Repeats.Share, "after", secs(d.Repeats.After), "most", d.Repeats.Most),
+		"repeats", object("share", d.Repeats.Share, "after", secs(d.Repeats.Delay), "most", d.Repeats.Max),
 		"classes", list(len(d.Classes), func(i int) *fastjson.Value {
 			c := d.Classes[i]
-			return object("name", c.Name, "share", c.Share, "aim_ms", c.Aim, "deadline_ms", c.Deadline, "worth", c.Worth, "late", c.Late, "work", c.Work,
+			return object("name", c.Name, "share", c.Share, "aim_ms", c.Aim, "deadline_ms", c.Deadline, "worth", c.Worth, "late", c.LateWorth, "work", c.Work,
 				"sleep", c.Sleep, "write", c.Write)
 		}),
 		"callers", list(len(d.Callers), func(i int) *fastjson.Value {
--- a/internal/emu/experiment/experiment_test.go
+++ b/internal/emu/experiment/experiment_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"whinrudder/internal/emu/clients"
 	"whinrudder/internal/emu/fleet"
 	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/template"
 	"whinrudder/internal/vtime"
 )
@@ -120,7 +120,7 @@
 		d := fleet.Usual(vtime.Seed(rapid.Uint64().Draw(t, "seed")))
 		d.Nodes, d.Ms, d.Load, d.Cores = n("nodes", 2000), 1000*float64(n("seconds", 3600)), float64(n("load", 200))/64, n("cores", 64)
 		d.Ramp, d.Delay, d.Fast = vtime.Range{Low: 1000, High: 1000 * float64(n("ramp", 60))}, span("delay", 50), span("fast", 4)
-		d.Repeats = clients.Repeats{Share: float64(n("share", 64)) / 64, After: vtime.Range{Low: 1000, High: 8000}, Most: n("most", 9)}
+		d.Repeats = workload.ClientRetries{Share: float64(n("share", 64)) / 64, Delay: vtime.Range{Low: 1000, High: 8000}, Max: n("most", 9)}
 		d.ColdFleet, d.Session = rapid.Bool().Draw(t, "cold"), 500*float64(n("session", 20))
 		d.Callers = nil
 		for range n("callers", 5) {
--- a/internal/emu/fleet/day.go
+++ b/internal/emu/fleet/day.go
@@ -10,16 +10,16 @@
 	"slices"
 
 	"whinrudder"
-	"whinrudder/internal/emu/clients"
 	"whinrudder/internal/emu/habits"
 	"whinrudder/internal/emu/workers"
+	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/vtime"
 )
 
 // Shorthands for what a day is made of.
 type (
 	Range = vtime.Range
-	Class = clients.Class
+	Class = workload.Class
 	Habit = habits.Habit
 )
 
@@ -86,7 +86,7 @@
 	Reading     float64 // share of the mean work that reading a request takes
 	Spread      float64 // coefficient of variation of the work of one class
 	Callers     []Habit
-	Repeats     clients.Repeats
+	Repeats     workload.ClientRetries
 	Delay       Range   // of a message
 	Loss        float64 // share of messages that are lost
 	ListLag     float64 // callers hear of a change of the list so late
@@ -104,13 +104,13 @@
 	return Day{Seed: seed, Nodes: 14, Ms: 60000, Load: 0.6, Cores: 6, Slow: from(0.5, 0.7), Fast: from(1.1, 1.5), Cold: from(0.2, 0.6),
 		Ramp: from(3000, 17000), CrowdAt: from(2, 4), CrowdLoss: from(0.03, 0.1), FallAt: 8, Runs: 16, Reading: 0.25, Spread: 0.45,
 		Classes: []Class{
-			{Name: "status-lookup", Share: 0.54, Aim: 3100, Deadline: 9300, Worth: 1, Late: 0.1, Work: from(240, 400), Sleep: from(180, 440), Write: false},
-			{Name: "rate-quote", Share: 0.26, Aim: 1900, Deadline: 6200, Worth: 1, Late: 0.1, Work: from(170, 300), Sleep: from(71, 160), Write: false},
-			{Name: "payout-book", Share: 0.20, Aim: 2500, Deadline: 7800, Worth: 3, Late: 0.2, Work: from(240, 400), Sleep: from(93, 210), Write: true},
+			{Name: "status-lookup", Share: 0.54, Aim: 3100, Deadline: 9300, Worth: 1, LateWorth: 0.1, Work: from(240, 400), Sleep: from(180, 440), Write: false},
+			{Name: "rate-quote", Share: 0.26, Aim: 1900, Deadline: 6200, Worth: 1, LateWorth: 0.1, Work: from(170, 300), Sleep: from(71, 160), Write: false},
+			{Name: "payout-book", Share: 0.20, Aim: 2500, Deadline: 7800, Worth: 3, LateWorth: 0.2, Work: from(240, 400), Sleep: from(93, 210), Write: true},
 		},
 		Callers: []Habit{{Choice: Round, Heeds: true, Wait: 0.6}, {Choice: Least, Tries: 3, Heeds: true, Wait: 0.6},
 			{Choice: Fastest, Tries: 2, Heeds: true, Wait: 0.6}, {Choice: ByKey, Wait: 0.6}},
-		Repeats: clients.Repeats{After: from(2000, 6000), Most: 3},
+		Repeats: workload.ClientRetries{Delay: from(2000, 6000), Max: 3},
 		Delay:   from(0.5, 3), ListLag: 1500, Drain: 2000, Stop: 12000, Subjects: 10000, Slack: 50}
 }
 
@@ -125,7 +125,7 @@
 			FallMultiple: d.FallAt, FallWindow: fallWindow},
 		Goal: whinrudder.Goal{Whole: 0.6, WorstClass: 0.2, WorstWindow: 0.2}}
 	for _, c := range d.Classes {
-		w := whinrudder.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.Late, Repeat: whinrudder.Safe}
+		w := whinrudder.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth, Repeat: whinrudder.Safe}
 		if c.Write {
 			w.Repeat = whinrudder.Unsafe
 		}
@@ -167,23 +167,23 @@
 }
 
 // Clients returns those of the day.
-func (d Day) Clients() clients.Params {
+func (d Day) Clients() workload.Params {
 	figures := d.Seed.Split("classes", 0).Rand()
-	p := clients.Params{Ms: d.Ms, Classes: d.Classes, Spread: d.Spread, Callers: len(d.Callers), Subjects: d.Subjects, Repeats: d.Repeats}
+	p := workload.Params{DurationMs: d.Ms, Classes: d.Classes, WorkCV: d.Spread, Callers: len(d.Callers), Subjects: d.Subjects, ClientRetries: d.Repeats}
 	mean := 0.0
 	for _, c := range d.Classes {
-		p.Run, p.Sleep = append(p.Run, c.Work.At(figures.Float64())), append(p.Sleep, c.Sleep.At(figures.Float64()))
-		mean += c.Share * p.Run[len(p.Run)-1]
+		p.RunWork, p.SleepTime = append(p.RunWork, c.Work.At(figures.Float64())), append(p.SleepTime, c.Sleep.At(figures.Float64()))
+		mean += c.Share * p.RunWork[len(p.RunWork)-1]
 	}
 	speed := 0.0
 	for i := range d.Nodes {
 		speed += d.machine(i).Speed * float64(d.Cores)
 	}
-	p.Read = mean * d.Reading
-	p.Rate = d.Load * speed / (mean + p.Read)
+	p.ReadWork = mean * d.Reading
+	p.Rate = d.Load * speed / (mean + p.ReadWork)
 	for _, t := range d.Troubles {
 		if t.Kind == Burst {
-			p.Surges = append(p.Surges, clients.Surge{From: t.At, To: t.At + t.For, Factor: t.Factor})
+			p.Surges = append(p.Surges, workload.Surge{From: t.At, To: t.At + t.For, Factor: t.Factor})
 		}
 	}
 	return p
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -46,7 +46,7 @@
 // draw is a number from 0 to 1 for a request. It goes by the request, so that no other is shifted.
 func (l *library) draw(q *ask) float64 {
 	l.draws++
-	return l.seed.Split("draw", q.No).Split("", l.draws).Uniform()
+	return l.seed.Split("draw", q.Number).Split("", l.draws).Uniform()
 }
 
 func (l *library) begin(q *ask) {
@@ -72,7 +72,7 @@
 			return
 		}
 		use := l.members.Use(now)
-		w := route.Want{Draws: [3]float64{l.draw(q), l.draw(q), q.Coin}, Last: !do.Hedge}
+		w := route.Want{Draws: [3]float64{l.draw(q), l.draw(q), q.Draw}, Last: !do.Hedge}
 		for _, n := range q.tried {
 			w.Exclude = append(w.Exclude, strconv.Itoa(n))
 		}
--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -7,17 +7,17 @@
 
 	"whinrudder/internal/client/attempt"
 	"whinrudder/internal/core"
-	"whinrudder/internal/emu/clients"
 	"whinrudder/internal/emu/ensemble"
 	"whinrudder/internal/emu/habits"
 	"whinrudder/internal/emu/network"
 	"whinrudder/internal/emu/workers"
+	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/vtime"
 )
 
 // ask is a request with what became of it.
 type ask struct {
-	clients.Request
+	workload.Request
 	write    bool
 	tries    int
 	pending  int // tries that are held back
@@ -56,7 +56,7 @@
 	servers  []*server
 	callers  []*habits.Caller
 	libs     []*library // by caller; nil: a plain one
-	crowd    *clients.Crowd
+	crowd    *workload.Generator
 	all      map[int]*try // that are not over for all sides
 	tries    int
 	outside  Outside
@@ -136,9 +136,9 @@
 
 // arrivals lets the requests of the clients come, one after the other.
 func (p *play) arrivals() {
-	p.crowd = clients.New(p.day.Clients(), p.day.Seed)
+	p.crowd = workload.New(p.day.Clients(), p.day.Seed)
 	var next vtime.Timer
-	var q clients.Request
+	var q workload.Request
 	draw := func() {
 		for {
 			var ok bool
@@ -148,7 +148,7 @@
 			if p.day.Only == nil {
 				break
 			}
-			if _, is := slices.BinarySearch(p.day.Only, q.No); is {
+			if _, is := slices.BinarySearch(p.day.Only, q.Number); is {
 				break
 			}
 		}
@@ -185,7 +185,7 @@
 // message, so that what one policy does shifts nothing for the other requests of a day.
 func (t *try) message() vtime.Seed {
 	t.messages++
-	return t.s.p.messages.Split("", t.q.No).Split("", t.nth*64+t.messages)
+	return t.s.p.messages.Split("", t.q.Number).Split("", t.nth*64+t.messages)
 }
 
 // reach lets a message of a try cross the network; what is done then may never be.
@@ -205,7 +205,7 @@
 }
 
 // begin takes a request of a client.
-func (p *play) begin(r clients.Request) {
+func (p *play) begin(r workload.Request) {
 	q := &ask{Request: r, write: p.day.Classes[r.Class].Write}
 	p.score.ask(q)
 	q.deadline.Do = func(float64) { p.lose(q) }
@@ -256,7 +256,7 @@
 		return
 	}
 	p.finish(q)
-	if next, ok := p.crowd.Again(q.Request, p.k.Now()); ok {
+	if next, ok := p.crowd.Retry(q.Request, p.k.Now()); ok {
 		p.k.After(next.At-p.k.Now(), func(float64) { p.begin(next) })
 	}
 }
@@ -267,7 +267,7 @@
 	if q.over {
 		return
 	}
-	coin := func(what string) float64 { return p.messages.Split(what, q.No).Split("", q.tries).Uniform() }
+	coin := func(what string) float64 { return p.messages.Split(what, q.Number).Split("", q.tries).Uniform() }
 	if !c.Sends(p.k.Now(), q.tries, coin("throttle")) {
 		p.none(q)
 		return
@@ -298,7 +298,7 @@
 // try sends a request to a node.
 func (p *play) try(q *ask) {
 	c, now := p.callers[q.Caller], p.k.Now()
-	n := c.Pick(now, p.listed, habits.Want{Subject: q.Subject, Coin: q.Coin, Tried: q.tried})
+	n := c.Pick(now, p.listed, habits.Want{Subject: q.Subject, Coin: q.Draw, Tried: q.tried})
 	if n < 0 {
 		p.none(q)
 		return
--- a/internal/emu/fleet/score.go
+++ b/internal/emu/fleet/score.go
@@ -107,7 +107,7 @@
 
 // ask counts a request; what clients ask for again was counted the first time.
 func (s *score) ask(q *ask) {
-	if q.Again > 0 {
+	if q.RetryCount > 0 {
 		s.res.Repeats++
 		return
 	}
@@ -118,7 +118,7 @@
 
 // serve counts a request that was served.
 func (s *score) serve(q *ask, now float64) {
-	if q.Again > 0 {
+	if q.RetryCount > 0 {
 		return
 	}
 	c, took, worth := s.day.Classes[q.Class], now-q.At, 0.0
@@ -127,7 +127,7 @@
 		worth = c.Worth
 		s.inTime++
 	case took <= c.Deadline:
-		worth = c.Worth * c.Late
+		worth = c.Worth * c.LateWorth
 	}
 	s.got[q.Class] += worth
 	s.bin(q.At).Got += worth
--- a/internal/emu/live/clients.go
+++ b/internal/emu/live/clients.go
@@ -13,9 +13,9 @@
 
 	"whinrudder/client"
 	"whinrudder/internal/core"
-	"whinrudder/internal/emu/clients"
 	"whinrudder/internal/emu/fleet"
 	"whinrudder/internal/emu/workers"
+	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/vtime"
 )
 
@@ -158,7 +158,7 @@
 	}
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	crowd := clients.New(d.Clients(), d.Seed)
+	crowd := workload.New(d.Clients(), d.Seed)
 	for q, ok := crowd.Next(); ok; q, ok = crowd.Next() {
 		at := h.start.Add(time.Duration(q.At * float64(time.Millisecond)))
 		select {
@@ -176,10 +176,10 @@
 	Do(ctx context.Context, r client.Request) (*client.Response, error)
 }
 
-func (b *book) call(ctx context.Context, l caller, k fleet.Class, q clients.Request, at time.Time, c *Calls) {
-	body := "r" + strconv.Itoa(q.No)
+func (b *book) call(ctx context.Context, l caller, k fleet.Class, q workload.Request, at time.Time, c *Calls) {
+	body := "r" + strconv.Itoa(q.Number)
 	if k.Write {
-		body = "w" + strconv.Itoa(q.No)
+		body = "w" + strconv.Itoa(q.Number)
 	}
 	b.mu.Lock()
 	b.works[body] = q.Work
@@ -200,7 +200,7 @@
 			c.InTime++
 			c.Got += k.Worth
 		} else {
-			c.Got += k.Worth * k.Late
+			c.Got += k.Worth * k.LateWorth
 		}
 	case errors.As(err, &fault):
 		c.Reasons[fault.Reason.String()]++
--- a/internal/emu/clients/clients_test.go
+++ b/internal/emu/workload/workload_test.go
@@ -1,4 +1,4 @@
-package clients
+package workload
 
 import (
 	"math"
@@ -8,8 +8,8 @@
 )
 
 func params() Params {
-	return Params{Ms: 100e3, Rate: 0.2, Classes: []Class{{Share: 0.7}, {Share: 0.3}}, Run: []float64{100, 200}, Sleep: []float64{0, 0}, Read: 10, Spread: 0.5,
-		Callers: 4, Subjects: 100, Repeats: Repeats{Share: 0.5, After: vtime.Range{Low: 100, High: 200}, Most: 2},
+	return Params{DurationMs: 100e3, Rate: 0.2, Classes: []Class{{Share: 0.7}, {Share: 0.3}}, RunWork: []float64{100, 200}, SleepTime: []float64{0, 0}, ReadWork: 10, WorkCV: 0.5,
+		Callers: 4, Subjects: 100, ClientRetries: ClientRetries{Share: 0.5, Delay: vtime.Range{Low: 100, High: 200}, Max: 2},
 		Surges: []Surge{{From: 20e3, To: 40e3, Factor: 3}, {From: 60e3, To: 80e3, Factor: 0.25}}}
 }
 
@@ -24,8 +24,8 @@
 		if again, ok := b.Next(); !ok || again != q {
 			t.Fatalf("%+v, with repeats in between %+v", q, again)
 		}
-		b.Again(q, q.At+50)
-		if q.At < last || q.No != n[0]+n[1] {
+		b.Retry(q, q.At+50)
+		if q.At < last || q.Number != n[0]+n[1] {
 			t.Fatalf("out of order: %+v", q)
 		}
 		last = q.At
@@ -50,10 +50,10 @@
 	c := New(params(), 1)
 	count := func(at float64) (n int) {
 		for i := range 4000 {
-			q, ok := Request{No: i}, true
+			q, ok := Request{Number: i}, true
 			for times := 0; ok; times++ {
-				if q, ok = c.Again(q, at); ok {
-					if n++; q.Again > 2 || q.At < at+100 || q.At > at+200 || q.No < repeatsFrom || q.Again != times+1 {
+				if q, ok = c.Retry(q, at); ok {
+					if n++; q.RetryCount > 2 || q.At < at+100 || q.At > at+200 || q.Number < repeatsFrom || q.RetryCount != times+1 {
 						t.Fatalf("%+v", q)
 					}
 				}
