--- a/internal/emu/habits/habits_test.go
+++ b/internal/emu/callermodel/caller_test.go
@@ -1,4 +1,4 @@
-package habits
+package callermodel
 
 import (
 	"slices"
@@ -14,8 +14,8 @@
 func TestPickIsAllowedAndTheBest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "nodes")
-		h := Habit{Choice: Choice(rapid.IntRange(0, len(Choices)-1).Draw(t, "choice")), Heeds: rapid.Bool().Draw(t, "heeds"),
-			Subset: rapid.IntRange(0, n).Draw(t, "subset")}
+		h := Behavior{Strategy: Strategy(rapid.IntRange(0, len(StrategyNames)-1).Draw(t, "choice")), HonorsCredit: rapid.Bool().Draw(t, "heeds"),
+			SubsetSize: rapid.IntRange(0, n).Draw(t, "subset")}
 		weights := make([]float64, n)
 		for i := range weights {
 			weights[i] = float64(1 + i%3)
@@ -33,21 +33,21 @@
 				listed[i] = !listed[i]
 			case 1:
 				took := rapid.Float64Range(1, 1000).Draw(t, "took")
-				c.Heard(now, i, End(rapid.IntRange(0, 2).Draw(t, "end")), took, rapid.Float64Range(-1, 3).Draw(t, "load"), 200)
+				c.RecordAnswer(now, i, Outcome(rapid.IntRange(0, 2).Draw(t, "end")), took, rapid.Float64Range(-1, 3).Draw(t, "load"), 200)
 				if mean[i] == 0 {
 					mean[i] = took
 				}
 				mean[i] += (took - mean[i]) / meanOf
 			case 2:
-				c.Broken(now, i)
+				c.RecordConnectionFailure(now, i)
 			}
 			tried := rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 0, n-1, rapid.ID[int]).Draw(t, "tried")
-			w := Want{Subject: rapid.IntRange(0, 99).Draw(t, "subject"), Coin: rapid.Float64Range(0, 0.999).Draw(t, "coin"), Tried: tried}
+			w := PickParams{Subject: rapid.IntRange(0, 99).Draw(t, "subject"), Draw: rapid.Float64Range(0, 0.999).Draw(t, "coin"), Tried: tried}
 			var may []int
 			for j := range n {
 				v := &c.seen[j]
 				if listed[j] && (c.known == nil || c.known[j]) && !slices.Contains(tried, j) &&
-					(!h.Heeds || v.away <= now && v.Allows(now, 1000, w.Coin)) {
+					(!h.HonorsCredit || v.away <= now && v.Allows(now, 1000, w.Draw)) {
 					may = append(may, j)
 				}
 			}
@@ -59,19 +59,19 @@
 				continue
 			}
 			for _, j := range may {
-				if h.Choice == Least && out[j] < out[got] || h.Choice == Fastest && mean[j] < mean[got] {
+				if h.Strategy == LeastOutstanding && out[j] < out[got] || h.Strategy == LowestLatency && mean[j] < mean[got] {
 					t.Fatalf("picks %d of %v: out %v, mean %v", got, may, out, mean)
 				}
 			}
-			c.Sent(got)
+			c.RecordSend(got)
 			if out[got]++; rapid.Bool().Draw(t, "over") {
-				c.Closed(got)
+				c.RecordClose(got)
 				out[got]--
 			}
 		}
-		if h.Subset > 0 && h.Subset < n {
-			if got := len(slices.DeleteFunc(slices.Clone(c.known), func(k bool) bool { return !k })); got != h.Subset {
-				t.Fatalf("knows %d nodes, want %d", got, h.Subset)
+		if h.SubsetSize > 0 && h.SubsetSize < n {
+			if got := len(slices.DeleteFunc(slices.Clone(c.known), func(k bool) bool { return !k })); got != h.SubsetSize {
+				t.Fatalf("knows %d nodes, want %d", got, h.SubsetSize)
 			}
 		}
 	})
@@ -81,11 +81,11 @@
 // of what is always turned away.
 func TestBudgetWeightsAndThrottle(t *testing.T) {
 	r := vtime.Seed(1).Rand()
-	c := New(Habit{Budget: 0.1}, []float64{1}, 1000, 1)
+	c := New(Behavior{RetryBudget: 0.1}, []float64{1}, 1000, 1)
 	again := 0
 	for range 1000 {
-		c.Sends(0, 0, 0)
-		for n := 1; n < 5 && c.Sends(0, n, 0); n++ {
+		c.AllowTry(0, 0, 0)
+		for n := 1; n < 5 && c.AllowTry(0, n, 0); n++ {
 			again++
 		}
 	}
@@ -94,30 +94,30 @@
 	}
 	listed := []bool{true, true, true}
 	hits := make([]int, 3)
-	c = New(Habit{Choice: Weighted}, []float64{1, 2, 1}, 1000, 1)
+	c = New(Behavior{Strategy: WeightedRandom}, []float64{1, 2, 1}, 1000, 1)
 	for range 4000 {
-		hits[c.Pick(0, listed, Want{Coin: r.Float64()})]++
+		hits[c.Pick(0, listed, PickParams{Draw: r.Float64()})]++
 	}
 	if hits[1] < 1900 || hits[1] > 2100 {
 		t.Errorf("weights 1, 2, 1 give %v", hits)
 	}
-	c = New(Habit{Choice: Two}, make([]float64, 3), 1000, 1)
+	c = New(Behavior{Strategy: PowerOfTwo}, make([]float64, 3), 1000, 1)
 	for range 300 {
-		c.Sent(c.Pick(0, listed, Want{Coin: r.Float64()}))
+		c.RecordSend(c.Pick(0, listed, PickParams{Draw: r.Float64()}))
 	}
 	for i := range 3 {
-		if out := c.seen[i].Out; out < 90 || out > 110 {
+		if out := c.seen[i].Outstanding; out < 90 || out > 110 {
 			t.Errorf("node %d has %d of 300", i, out)
 		}
 	}
-	c = New(Habit{Throttle: true}, []float64{1}, 1000, 1)
+	c = New(Behavior{Throttle: true}, []float64{1}, 1000, 1)
 	sent := 0
 	for i := range 2000 {
-		if c.Sends(float64(i), 0, r.Float64()) {
+		if c.AllowTry(float64(i), 0, r.Float64()) {
 			sent++
-			c.Sent(0)
-			c.Closed(0)
-			c.Heard(float64(i), 0, Refused, 1, -1, 0)
+			c.RecordSend(0)
+			c.RecordClose(0)
+			c.RecordAnswer(float64(i), 0, Refused, 1, -1, 0)
 		}
 	}
 	if sent > 100 {
@@ -127,13 +127,13 @@
 
 // What may be tried again: a write only if it provably did not run.
 func TestRepeats(t *testing.T) {
-	for e := Served; e <= Unconnected; e++ {
-		write, read := e == Refused || e == Unconnected, e != Served
-		if (Habit{}).Repeats(e, true) != write || (Habit{}).Repeats(e, false) != read || (Habit{Blind: true}).Repeats(e, true) != read {
+	for e := Served; e <= ConnectFailed; e++ {
+		write, read := e == Refused || e == ConnectFailed, e != Served
+		if (Behavior{}).MayRetry(e, true) != write || (Behavior{}).MayRetry(e, false) != read || (Behavior{RetriesInDoubtWrites: true}).MayRetry(e, true) != read {
 			t.Errorf("end %d", e)
 		}
 	}
-	if got := (&Caller{Habit: Habit{Pause: 10}}).Before(3, 0.5); got != 20 {
+	if got := (&Caller{Behavior: Behavior{BackoffBase: 10}}).RetryDelay(3, 0.5); got != 20 {
 		t.Errorf("pause before the third repeat at half: %v", got)
 	}
 }
--- a/internal/emu/experiment/day.go
+++ b/internal/emu/experiment/day.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fastjson"
 
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/habits"
 	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/vtime"
 )
@@ -118,18 +118,18 @@
 	return out
 }
 
-func (r *reader) callers(v *fastjson.Value) (out []habits.Habit) {
+func (r *reader) callers(v *fastjson.Value) (out []callermodel.Behavior) {
 	for i, c := range r.list("callers", v, maxCallers) {
 		path := at("callers", i)
 		o := r.object(path, c, "count", "choice", "tries", "heeds", "wait", "hedge_ms", "copies", "budget", "throttle", "subset", "blind", "pause_ms", "library")
 		if o == nil {
 			continue
 		}
-		h := habits.Habit{Choice: habits.Choice(r.named(o, path, "choice", 0, habits.Choices)), Tries: r.count(o, path, "tries", 3, 0, 1000),
-			Heeds: r.flag(o, path, "heeds", true), Wait: r.figure(o, path, "wait", 0.6, 0.01, 1), Hedge: r.figure(o, path, "hedge_ms", 0, 0, 3600e3),
-			Copies: r.count(o, path, "copies", 1, 1, 10), Budget: r.figure(o, path, "budget", 0, 0, 10), Throttle: r.flag(o, path, "throttle", false),
-			Subset: r.count(o, path, "subset", 0, 0, maxNodes), Blind: r.flag(o, path, "blind", false), Pause: r.figure(o, path, "pause_ms", 0, 0, 60e3),
-			Library: r.flag(o, path, "library", false)}
+		h := callermodel.Behavior{Strategy: callermodel.Strategy(r.named(o, path, "choice", 0, callermodel.StrategyNames)), MaxTries: r.count(o, path, "tries", 3, 0, 1000),
+			HonorsCredit: r.flag(o, path, "heeds", true), TryTimeoutRatio: r.figure(o, path, "wait", 0.6, 0.01, 1), HedgeDelay: r.figure(o, path, "hedge_ms", 0, 0, 3600e3),
+			ParallelTries: r.count(o, path, "copies", 1, 1, 10), RetryBudget: r.figure(o, path, "budget", 0, 0, 10), Throttle: r.flag(o, path, "throttle", false),
+			SubsetSize: r.count(o, path, "subset", 0, 0, maxNodes), RetriesInDoubtWrites: r.flag(o, path, "blind", false), BackoffBase: r.figure(o, path, "pause_ms", 0, 0, 60e3),
+			UsesLibrary: r.flag(o, path, "library", false)}
 		for range r.count(o, path, "count", 1, 1, maxCallers) {
 			if len(out) < maxCallers {
 				out = append(out, h)
@@ -222,8 +222,8 @@
 		}),
 		"callers", list(len(d.Callers), func(i int) *fastjson.Value {
 			h := d.Callers[i]
-			return object("choice", h.Choice.String(), "tries", h.Tries, "heeds", h.Heeds, "wait", h.Wait, "hedge_ms", h.Hedge, "copies", max(1, h.Copies),
-				"budget", h.Budget, "throttle", h.Throttle, "subset", h.Subset, "blind", h.Blind, "pause_ms", h.Pause, "library", h.Library)
+			return object("choice", h.Strategy.String(), "tries", h.MaxTries, "heeds", h.HonorsCredit, "wait", h.TryTimeoutRatio, "hedge_ms", h.HedgeDelay, "copies", max(1, h.ParallelTries),
+				"budget", h.RetryBudget, "throttle", h.Throttle, "subset", h.SubsetSize, "blind", h.RetriesInDoubtWrites, "pause_ms", h.BackoffBase, "library", h.UsesLibrary)
 		}),
 		"troubles", list(len(d.Troubles), func(i int) *fastjson.Value {
 			t := d.Troubles[i]
--- a/internal/emu/experiment/experiment_test.go
+++ b/internal/emu/experiment/experiment_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/habits"
 	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/template"
 	"whinrudder/internal/vtime"
@@ -124,9 +124,9 @@
 		d.ColdFleet, d.Session = rapid.Bool().Draw(t, "cold"), 500*float64(n("session", 20))
 		d.Callers = nil
 		for range n("callers", 5) {
-			d.Callers = append(d.Callers, habits.Habit{Choice: habits.Choice(n("choice", len(habits.Choices)) - 1), Tries: n("tries", 9), Heeds: rapid.Bool().Draw(t, "heeds"),
-				Wait: float64(n("wait", 64)) / 64, Hedge: float64(n("hedge", 900)), Copies: n("copies", 4), Budget: float64(n("budget", 64)) / 64,
-				Throttle: rapid.Bool().Draw(t, "throttle"), Subset: n("subset", 9), Blind: rapid.Bool().Draw(t, "blind"), Pause: float64(n("pause", 99))})
+			d.Callers = append(d.Callers, callermodel.Behavior{Strategy: callermodel.Strategy(n("choice", len(callermodel.StrategyNames)) - 1), MaxTries: n("tries", 9), HonorsCredit: rapid.Bool().Draw(t, "heeds"),
+				TryTimeoutRatio: float64(n("wait", 64)) / 64, HedgeDelay: float64(n("hedge", 900)), ParallelTries: n("copies", 4), RetryBudget: float64(n("budget", 64)) / 64,
+				Throttle: rapid.Bool().Draw(t, "throttle"), SubsetSize: n("subset", 9), RetriesInDoubtWrites: rapid.Bool().Draw(t, "blind"), BackoffBase: float64(n("pause", 99))})
 		}
 		for range n("troubles", 4) {
 			d.Troubles = append(d.Troubles, fleet.Trouble{Kind: fleet.Kind(n("kind", len(fleet.Kinds)) - 1), At: 250 * float64(n("at", 99)), For: 250 * float64(n("for", 99)),
--- a/internal/emu/fleet/day.go
+++ b/internal/emu/fleet/day.go
@@ -10,7 +10,7 @@
 	"slices"
 
 	"whinrudder"
-	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/workers"
 	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/vtime"
@@ -20,17 +20,17 @@
 type (
 	Range = vtime.Range
 	Class = workload.Class
-	Habit = habits.Habit
+	Habit = callermodel.Behavior
 )
 
 // The choices of callers.
 const (
-	Round    = habits.Round
-	Least    = habits.Least
-	Fastest  = habits.Fastest
-	ByKey    = habits.ByKey
-	Weighted = habits.Weighted
-	Two      = habits.Two
+	Round    = callermodel.RoundRobin
+	Least    = callermodel.LeastOutstanding
+	Fastest  = callermodel.LowestLatency
+	ByKey    = callermodel.HashBySubject
+	Weighted = callermodel.WeightedRandom
+	Two      = callermodel.PowerOfTwo
 )
 
 // Kind is a kind of trouble.
@@ -108,8 +108,8 @@
 			{Name: "rate-quote", Share: 0.26, Aim: 1900, Deadline: 6200, Worth: 1, LateWorth: 0.1, Work: from(170, 300), Sleep: from(71, 160), Write: false},
 			{Name: "payout-book", Share: 0.20, Aim: 2500, Deadline: 7800, Worth: 3, LateWorth: 0.2, Work: from(240, 400), Sleep: from(93, 210), Write: true},
 		},
-		Callers: []Habit{{Choice: Round, Heeds: true, Wait: 0.6}, {Choice: Least, Tries: 3, Heeds: true, Wait: 0.6},
-			{Choice: Fastest, Tries: 2, Heeds: true, Wait: 0.6}, {Choice: ByKey, Wait: 0.6}},
+		Callers: []Habit{{Strategy: Round, HonorsCredit: true, TryTimeoutRatio: 0.6}, {Strategy: Least, MaxTries: 3, HonorsCredit: true, TryTimeoutRatio: 0.6},
+			{Strategy: Fastest, MaxTries: 2, HonorsCredit: true, TryTimeoutRatio: 0.6}, {Strategy: ByKey, TryTimeoutRatio: 0.6}},
 		Repeats: workload.ClientRetries{Delay: from(2000, 6000), Max: 3},
 		Delay:   from(0.5, 3), ListLag: 1500, Drain: 2000, Stop: 12000, Subjects: 10000, Slack: 50}
 }
--- a/internal/emu/fleet/fleet_test.go
+++ b/internal/emu/fleet/fleet_test.go
@@ -25,8 +25,8 @@
 		{Kind: Stall, At: 17000, For: 3000, Share: 0.2}, {Kind: Clock, At: 21000, For: 5000, Share: 0.4, Factor: -300},
 		{Kind: Outage, At: 12000, For: 6000}, {Kind: Tame, At: 25000, For: 3000, Share: 1, Factor: 0.1}, {Kind: Heed, At: 26000, For: 1000, Share: 1}}
 	d.Session, d.Repeats.Share = 2000, 0.3
-	d.Callers = append(d.Callers, Habit{Choice: Two, Hedge: 700, Wait: 0.6, Heeds: true}, Habit{Choice: Weighted, Copies: 2, Wait: 0.2, Tries: 2},
-		Habit{Choice: Round, Subset: 3, Throttle: true, Budget: 0.2, Pause: 20, Wait: 0.6, Blind: true})
+	d.Callers = append(d.Callers, Habit{Strategy: Two, HedgeDelay: 700, TryTimeoutRatio: 0.6, HonorsCredit: true}, Habit{Strategy: Weighted, ParallelTries: 2, TryTimeoutRatio: 0.2, MaxTries: 2},
+		Habit{Strategy: Round, SubsetSize: 3, Throttle: true, RetryBudget: 0.2, BackoffBase: 20, TryTimeoutRatio: 0.6, RetriesInDoubtWrites: true})
 	return d
 }
 
@@ -157,7 +157,7 @@
 	d.Repeats.Share = 0
 	a := Play(d, Module)
 	d.Callers = append([]Habit{}, d.Callers...)
-	d.Callers[0] = Habit{Choice: Fastest, Tries: 1, Wait: 0.3}
+	d.Callers[0] = Habit{Strategy: Fastest, MaxTries: 1, TryTimeoutRatio: 0.3}
 	b := Play(d, Module)
 	for i := range a.Bins {
 		if a.Bins[i].Asked != b.Bins[i].Asked {
@@ -224,7 +224,7 @@
 	play := func(kind Kind, share, factor float64) Result {
 		d := Usual(7)
 		d.Ms, d.Nodes, d.Load = 15000, 6, 0.9
-		d.Callers = []Habit{{Choice: Least, Tries: 2, Heeds: true, Wait: 0.6}}
+		d.Callers = []Habit{{Strategy: Least, MaxTries: 2, HonorsCredit: true, TryTimeoutRatio: 0.6}}
 		if share > 0 {
 			d.Troubles = []Trouble{{Kind: kind, At: 3000, For: 9000, Share: share, Factor: factor}}
 		}
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -22,7 +22,7 @@
 }
 
 func newLibrary(p *play, h Habit, seed vtime.Seed) *library {
-	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.Subset), router: route.New(),
+	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.SubsetSize), router: route.New(),
 		shared: &attempt.Shared{Budget: attempt.NewBudget(), Waits: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Usual: attempt.NewUsual(len(p.day.Classes))}}
 	for _, c := range p.day.Classes {
 		l.classes = append(l.classes, attempt.Class{Write: c.Write, Hedge: false})
--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -7,8 +7,8 @@
 
 	"whinrudder/internal/client/attempt"
 	"whinrudder/internal/core"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/ensemble"
-	"whinrudder/internal/emu/habits"
 	"whinrudder/internal/emu/network"
 	"whinrudder/internal/emu/workers"
 	"whinrudder/internal/emu/workload"
@@ -54,7 +54,7 @@
 	lists    vtime.Timer
 	listed   []bool // what callers know of the list
 	servers  []*server
-	callers  []*habits.Caller
+	callers  []*callermodel.Caller
 	libs     []*library // by caller; nil: a plain one
 	crowd    *workload.Generator
 	all      map[int]*try // that are not over for all sides
@@ -100,9 +100,9 @@
 		s.start(d.ColdFleet)
 	}
 	for i, h := range d.Callers {
-		p.callers = append(p.callers, habits.New(h, weights, heardFor, d.Seed.Split("caller", i)))
+		p.callers = append(p.callers, callermodel.New(h, weights, heardFor, d.Seed.Split("caller", i)))
 		p.libs = append(p.libs, nil)
-		if h.Library {
+		if h.UsesLibrary {
 			p.libs[i] = newLibrary(p, h, d.Seed.Split("library", i))
 		}
 	}
@@ -217,18 +217,18 @@
 	c := p.callers[q.Caller]
 	copies := 1
 	if !q.write {
-		copies = max(1, c.Copies)
+		copies = max(1, c.ParallelTries)
 	}
 	for range copies {
 		p.send(q)
 	}
-	if c.Hedge > 0 && !q.write && !q.over {
+	if c.HedgeDelay > 0 && !q.write && !q.over {
 		q.hedge.Do = func(float64) {
 			if len(q.open) == 1 && q.pending == 0 {
 				p.send(q)
 			}
 		}
-		p.k.Set(&q.hedge, q.At+c.Hedge)
+		p.k.Set(&q.hedge, q.At+c.HedgeDelay)
 	}
 }
 
@@ -268,11 +268,11 @@
 		return
 	}
 	coin := func(what string) float64 { return p.messages.Split(what, q.Number).Split("", q.tries).Uniform() }
-	if !c.Sends(p.k.Now(), q.tries, coin("throttle")) {
+	if !c.AllowTry(p.k.Now(), q.tries, coin("throttle")) {
 		p.none(q)
 		return
 	}
-	if wait := c.Before(q.tries, coin("pause")); wait > 0 {
+	if wait := c.RetryDelay(q.tries, coin("pause")); wait > 0 {
 		q.pending++
 		p.k.After(wait, func(float64) {
 			if q.pending--; !q.over {
@@ -298,14 +298,14 @@
 // try sends a request to a node.
 func (p *play) try(q *ask) {
 	c, now := p.callers[q.Caller], p.k.Now()
-	n := c.Pick(now, p.listed, habits.Want{Subject: q.Subject, Coin: q.Draw, Tried: q.tried})
+	n := c.Pick(now, p.listed, callermodel.PickParams{Subject: q.Subject, Draw: q.Draw, Tried: q.tried})
 	if n < 0 {
 		p.none(q)
 		return
 	}
 	deadline := p.day.Classes[q.Class].Deadline
-	c.Sent(n)
-	p.launch(q, n, min(now+deadline*c.Wait, q.At+deadline))
+	c.RecordSend(n)
+	p.launch(q, n, min(now+deadline*c.TryTimeoutRatio, q.At+deadline))
 }
 
 // launch sends a try to a node; its caller waits until it is due.
@@ -337,12 +337,12 @@
 		l.ended(t, attempt.Late, reply{load: -1})
 		return
 	}
-	p.after(t, habits.Late)
+	p.after(t, callermodel.TimedOut)
 }
 
 // after does what a caller does after a try that brought nothing.
-func (p *play) after(t *try, e habits.End) {
-	if p.callers[t.q.Caller].Repeats(e, t.q.write) {
+func (p *play) after(t *try, e callermodel.Outcome) {
+	if p.callers[t.q.Caller].MayRetry(e, t.q.write) {
 		p.send(t.q)
 	} else {
 		p.none(t.q)
@@ -353,7 +353,7 @@
 	t.closed = true
 	p.k.Cancel(&t.wait)
 	if p.libs[t.q.Caller] == nil {
-		p.callers[t.q.Caller].Closed(t.s.no)
+		p.callers[t.q.Caller].RecordClose(t.s.no)
 	}
 	t.q.open = slices.DeleteFunc(t.q.open, func(o *try) bool { return o == t })
 	p.settle(t)
@@ -388,27 +388,27 @@
 	now, c := p.k.Now(), p.callers[t.q.Caller]
 	if r.refused || r.lost {
 		p.res.Lost++
-		c.Broken(now, t.s.no)
+		c.RecordConnectionFailure(now, t.s.no)
 		if r.refused {
-			p.after(t, habits.Unconnected)
+			p.after(t, callermodel.ConnectFailed)
 		} else {
-			p.after(t, habits.Reset)
+			p.after(t, callermodel.ConnectionReset)
 		}
 		return
 	}
-	end := habits.Failed
+	end := callermodel.Failed
 	switch r.outcome {
 	case core.Served:
-		end = habits.Served
+		end = callermodel.Served
 	case core.Refused:
-		end = habits.Refused
+		end = callermodel.Refused
 	}
-	c.Heard(now, t.s.no, end, now-t.sent, r.load, r.wait)
+	c.RecordAnswer(now, t.s.no, end, now-t.sent, r.load, r.wait)
 	switch end {
-	case habits.Served:
+	case callermodel.Served:
 		p.serve(t.q)
 		return
-	case habits.Refused:
+	case callermodel.Refused:
 		p.res.Refused++
 		p.score.bin(now).Refused++
 	default:
--- a/internal/emu/fleet/troubles.go
+++ b/internal/emu/fleet/troubles.go
@@ -52,14 +52,14 @@
 			p.k.After(t.At, func(float64) {
 				switch t.Kind {
 				case Storm:
-					c.Tries, c.Heeds, c.Budget, c.Pause = 0, false, 0, 0
+					c.MaxTries, c.HonorsCredit, c.RetryBudget, c.BackoffBase = 0, false, 0, 0
 				case Tame:
-					c.Tries, c.Budget = 3, t.Factor
+					c.MaxTries, c.RetryBudget = 3, t.Factor
 				case Heed:
-					c.Heeds = true
+					c.HonorsCredit = true
 				}
 			})
-			p.k.After(t.At+t.For, func(float64) { c.Habit = p.day.Callers[n] })
+			p.k.After(t.At+t.For, func(float64) { c.Behavior = p.day.Callers[n] })
 		}
 	case Partition:
 		cut := network.Partition{From: t.At, To: t.At + t.For, Nodes: make([]bool, p.day.Nodes)}
--- a/internal/emu/hunt/hunt.go
+++ b/internal/emu/hunt/hunt.go
@@ -142,16 +142,16 @@
 	}
 	heedless, endless, cold := false, false, d.ColdFleet
 	for _, c := range d.Callers {
-		heedless, endless = heedless || !c.Heeds, endless || c.Tries == 0 || c.Tries > 3
+		heedless, endless = heedless || !c.HonorsCredit, endless || c.MaxTries == 0 || c.MaxTries > 3
 	}
 	with("callers that heed nothing", heedless, func(w *fleet.Day) {
 		for i := range w.Callers {
-			w.Callers[i].Heeds = true
+			w.Callers[i].HonorsCredit = true
 		}
 	})
 	with("more than three tries", endless, func(w *fleet.Day) {
 		for i := range w.Callers {
-			if t := &w.Callers[i].Tries; *t == 0 || *t > 3 {
+			if t := &w.Callers[i].MaxTries; *t == 0 || *t > 3 {
 				*t = 3
 			}
 		}
--- a/internal/emu/shrink/shrink.go
+++ b/internal/emu/shrink/shrink.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/habits"
 )
 
 // Rule returns the name of a rule that was broken, as the history of it begins.
@@ -111,7 +111,7 @@
 
 // plain takes away what may be of no use: each of these makes the day easier to tell.
 func (s *shrinker) plain() {
-	usual := habits.Habit{Choice: habits.Round, Tries: 1, Heeds: true, Wait: 0.6}
+	usual := callermodel.Behavior{Strategy: callermodel.RoundRobin, MaxTries: 1, HonorsCredit: true, TryTimeoutRatio: 0.6}
 	for i := range s.day.Callers {
 		if h := s.day.Callers[i]; h != usual {
 			d := s.day
--- a/internal/emu/shrink/shrink_test.go
+++ b/internal/emu/shrink/shrink_test.go
@@ -9,9 +9,9 @@
 
 	"whinrudder"
 	"whinrudder/internal/core"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/experiment"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/habits"
 	"whinrudder/internal/emu/rivals"
 )
 
@@ -110,7 +110,7 @@
 			want = 1
 		}
 		if !breaks(small) || small.Nodes != nodes || len(small.Troubles) != want || !slices.Equal(small.Only, requests) || asked > 3001 ||
-			len(small.Callers) != 1 || small.Callers[0] != (habits.Habit{Tries: 1, Heeds: true, Wait: 0.6}) || small.Ms > 2000 {
+			len(small.Callers) != 1 || small.Callers[0] != (callermodel.Behavior{MaxTries: 1, HonorsCredit: true, TryTimeoutRatio: 0.6}) || small.Ms > 2000 {
 			t.Fatalf("%d nodes of %d, troubles %v, requests %v of %v, %d plays", small.Nodes, nodes, small.Troubles, small.Only, requests, asked)
 		}
 		asked = 0
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -10,7 +10,7 @@
 
 	"whinrudder"
 	"whinrudder/internal/core"
-	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/workers"
 	"whinrudder/internal/eventlog"
 	"whinrudder/internal/vtime"
@@ -36,8 +36,8 @@
 	stepping bool
 	heeds    []bool
 	in       []core.Input
-	credit   []habits.Credit // by caller
-	lines    []string        // of the core's log that tell of a prior or a fault
+	credit   []callermodel.Credit // by caller
+	lines    []string             // of the core's log that tell of a prior or a fault
 	// By arrival: when it was answered in time with a result, 0 if never.
 	served []float64
 	fell   bool
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &host{core: c, arrivals: arrivals, heeds: t.heeds, credit: make([]habits.Credit, callers), served: make([]float64, len(arrivals))}
+	h := &host{core: c, arrivals: arrivals, heeds: t.heeds, credit: make([]callermodel.Credit, callers), served: make([]float64, len(arrivals))}
 	h.k.Run(now)
 	h.pool = workers.New(&h.k, p, h.happened)
 	for i := range h.credit {
@@ -88,7 +88,7 @@
 	if h.fell || h.heeds[a.caller] && !c.Allows(h.k.Now(), heardFor, a.coin) {
 		return // it goes elsewhere
 	}
-	c.Out++
+	c.Outstanding++
 	h.pool.Enqueue(n, a.work)
 }
 
@@ -140,9 +140,9 @@
 	case core.Reply:
 		s := o.To.(sink)
 		c, a := &h.credit[s.caller], h.arrivals[s.n]
-		c.Out--
+		c.Outstanding--
 		if o.Load >= 0 {
-			c.Value, c.Heard = o.Load, h.k.Now()
+			c.Value, c.UpdatedAt = o.Load, h.k.Now()
 		}
 		if o.Outcome == core.Served && h.k.Now() <= a.at+classes[a.class].aim {
 			h.served[s.n] = h.k.Now()
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -17,7 +17,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/workers"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/node"
@@ -100,7 +100,7 @@
 	link   net.Conn
 	serial int
 	read   chan int // requests that the pool has read
-	credit []habits.Credit
+	credit []callermodel.Credit
 	served []bool
 }
 
@@ -140,7 +140,7 @@
 	if err := n.Listen(); err != nil {
 		return nil, err
 	}
-	s.read, s.served, s.credit = make(chan int, len(s.day)), make([]bool, len(s.day)), make([]habits.Credit, callers)
+	s.read, s.served, s.credit = make(chan int, len(s.day)), make([]bool, len(s.day)), make([]callermodel.Credit, callers)
 	for i := range s.credit {
 		s.credit[i].Value = -1
 	}
@@ -177,7 +177,7 @@
 			if s.traffic.heeds[a.caller] && !c.Allows(now, heardFor, a.coin) {
 				continue
 			}
-			c.Out++
+			c.Outstanding++
 			s.k.Run(a.at)
 			s.pool.Enqueue(next, a.work)
 		}
@@ -220,14 +220,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &s.credit[a.caller]
-	c.Out--
+	c.Outstanding--
 	if err != nil {
 		return
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if v, err := strconv.ParseFloat(resp.Header.Get("Srv-Load"), 64); err == nil {
-		c.Value, c.Heard = v, s.now()
+		c.Value, c.UpdatedAt = v, s.now()
 	}
 	s.served[i] = resp.StatusCode == 200 && s.now() <= a.at+classes[a.class].aim
 }
