--- a/internal/emu/rivals/rivals_test.go
+++ b/internal/emu/baseline/baseline_test.go
@@ -1,4 +1,4 @@
-package rivals
+package baseline
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 
 func all() map[string]func() *Server {
 	return map[string]func() *Server{
-		"no limit":  func() *Server { return NewServer(None{}, FIFO{}, 1000, 2000) },
+		"no limit":  func() *Server { return NewServer(Unlimited{}, FIFO{}, 1000, 2000) },
 		"fixed":     func() *Server { return NewServer(Fixed(4), FIFO{}, 8, 2000) },
 		"codel":     func() *Server { return NewServer(Fixed(4), NewCoDel(10), 1000, 2000) },
 		"aimd":      func() *Server { return NewServer(NewAIMD(4, 500), FIFO{}, 20, 2000) },
@@ -30,7 +30,7 @@
 
 // Every rival keeps the rules on any events: one answer to each request by its due time, no run after an answer or of what
 // came too late in a drain, none beyond the limit, and nothing left behind.
-func TestRulesOfAllRivals(t *testing.T) {
+func TestRulesOfAllBaselines(t *testing.T) {
 	for name, make := range all() {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
@@ -162,14 +162,14 @@
 		t.Errorf("vegas: %v, want %v", v.Limit(), want)
 	}
 	c := NewCoDel(1)
-	c.Empty(0)
-	if run, drop := c.Take(50, []Waiting{{Came: 10}, {Came: 40}}); run != 0 || drop != nil {
+	c.RecordEmpty(0)
+	if run, drop := c.Select(50, []QueuedRequest{{ArrivedAt: 10}, {ArrivedAt: 40}}); run != 0 || drop != nil {
 		t.Errorf("codel at ease: %d %v", run, drop)
 	}
-	if run, drop := c.Take(150, []Waiting{{Came: 100}, {Came: 146}, {Came: 148}}); run != 2 || len(drop) != 1 {
+	if run, drop := c.Select(150, []QueuedRequest{{ArrivedAt: 100}, {ArrivedAt: 146}, {ArrivedAt: 148}}); run != 2 || len(drop) != 1 {
 		t.Errorf("codel in overload: %d %v, want the newest, and the oldest given up", run, drop)
 	}
-	if run, drop := c.Take(200, []Waiting{{Came: 100}}); run != -1 || len(drop) != 1 {
+	if run, drop := c.Select(200, []QueuedRequest{{ArrivedAt: 100}}); run != -1 || len(drop) != 1 {
 		t.Errorf("codel: %d %v", run, drop)
 	}
 }
--- a/internal/emu/rivals/server.go
+++ b/internal/emu/baseline/server.go
@@ -1,4 +1,4 @@
-package rivals
+package baseline
 
 import (
 	"math"
@@ -17,23 +17,23 @@
 
 // Discipline says in what order those that wait are run, and which are given up.
 type Discipline interface {
-	// Take tells which of a line to run next, and which before it to refuse: numbers of the line, the oldest first.
-	Take(now float64, line []Waiting) (run int, drop []int)
-	// Empty tells that nothing waits.
-	Empty(now float64)
+	// Select tells which of a line to run next, and which before it to refuse: numbers of the line, the oldest first.
+	Select(now float64, line []QueuedRequest) (run int, drop []int)
+	// RecordEmpty tells that nothing waits.
+	RecordEmpty(now float64)
 }
 
-// Waiting is a request that waits.
-type Waiting struct{ Came, Due float64 }
+// QueuedRequest is a request that waits.
+type QueuedRequest struct{ ArrivedAt, Due float64 }
 
 // FIFO runs the oldest.
 type FIFO struct{}
 
-// Take implements Discipline.
-func (FIFO) Take(float64, []Waiting) (int, []int) { return 0, nil }
+// Select implements Discipline.
+func (FIFO) Select(float64, []QueuedRequest) (int, []int) { return 0, nil }
 
-// Empty implements Discipline.
-func (FIFO) Empty(float64) {}
+// RecordEmpty implements Discipline.
+func (FIFO) RecordEmpty(float64) {}
 
 // CoDel controls the delay of a line as servers do it (Nichols and Jacobson, 2012; Maurer, Fail at Scale, 2015): if it was
 // not empty for Interval, requests may wait Target only and the newest is run first; else they may wait Interval.
@@ -46,18 +46,18 @@
 // NewCoDel returns the rule with the figures of the paper: 5 and 100 ms, times a factor for slower services.
 func NewCoDel(times float64) *CoDel { return &CoDel{Target: 5 * times, Interval: 100 * times} }
 
-// Empty implements Discipline.
-func (c *CoDel) Empty(now float64) { c.empty = now }
+// RecordEmpty implements Discipline.
+func (c *CoDel) RecordEmpty(now float64) { c.empty = now }
 
-// Take implements Discipline.
-func (c *CoDel) Take(now float64, line []Waiting) (run int, drop []int) {
+// Select implements Discipline.
+func (c *CoDel) Select(now float64, line []QueuedRequest) (run int, drop []int) {
 	most := c.Interval
 	overload := now-c.empty > c.Interval
 	if overload {
 		most = c.Target
 	}
 	for i, w := range line {
-		if now-w.Came > most {
+		if now-w.ArrivedAt > most {
 			drop = append(drop, i)
 		}
 	}
@@ -228,11 +228,11 @@
 // admit runs those that wait, as far as the limit goes.
 func (s *Server) admit() {
 	for len(s.line) > 0 && float64(s.running) < math.Floor(max(1, s.limiter.Limit())) {
-		line := make([]Waiting, len(s.line))
+		line := make([]QueuedRequest, len(s.line))
 		for i, r := range s.line {
-			line[i] = Waiting{r.Came, r.Due}
+			line[i] = QueuedRequest{r.Came, r.Due}
 		}
-		run, drop := s.how.Take(s.now, line)
+		run, drop := s.how.Select(s.now, line)
 		var r *request
 		if run >= 0 {
 			r = s.line[run]
@@ -250,7 +250,7 @@
 		s.out = append(s.out, core.Spawn{ID: r.ID, Class: r.Class, Body: r.Body})
 	}
 	if len(s.line) == 0 {
-		s.how.Empty(s.now)
+		s.how.RecordEmpty(s.now)
 	}
 }
 
--- a/internal/emu/experiment/experiment.go
+++ b/internal/emu/experiment/experiment.go
@@ -13,8 +13,8 @@
 	"github.com/valyala/fastjson"
 
 	"whinrudder"
+	"whinrudder/internal/emu/baseline"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/rivals"
 	"whinrudder/internal/vtime"
 )
 
@@ -49,26 +49,26 @@
 	if p.Name == "module" {
 		return fleet.Module
 	}
-	return func(s whinrudder.Settings, _ uint64) (rivals.Node, error) {
-		var l rivals.Limiter
-		var how rivals.Discipline = rivals.FIFO{}
+	return func(s whinrudder.Settings, _ uint64) (baseline.Node, error) {
+		var l baseline.Limiter
+		var how baseline.Discipline = baseline.FIFO{}
 		switch p.Name {
 		case "none":
-			l = rivals.None{}
+			l = baseline.Unlimited{}
 		case "fixed":
-			l = rivals.Fixed(p.Limit)
+			l = baseline.Fixed(p.Limit)
 		case "codel":
-			l, how = rivals.Fixed(p.Limit), rivals.NewCoDel(p.Times)
+			l, how = baseline.Fixed(p.Limit), baseline.NewCoDel(p.Times)
 		case "aimd":
-			l = rivals.NewAIMD(p.Limit, p.Aim)
+			l = baseline.NewAIMD(p.Limit, p.Aim)
 		case "gradient2":
-			l = rivals.NewGradient2(p.Limit)
+			l = baseline.NewGradient2(p.Limit)
 		case "vegas":
-			l = rivals.NewVegas(p.Limit)
+			l = baseline.NewVegas(p.Limit)
 		default:
 			return nil, fmt.Errorf("no policy %q", p.Name)
 		}
-		return rivals.NewServer(l, how, p.Queue, s.Rules.DrainGrace), nil
+		return baseline.NewServer(l, how, p.Queue, s.Rules.DrainGrace), nil
 	}
 }
 
--- a/internal/emu/fleet/fleet_test.go
+++ b/internal/emu/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 
 	"whinrudder"
 	"whinrudder/internal/core"
-	"whinrudder/internal/emu/rivals"
+	"whinrudder/internal/emu/baseline"
 	"whinrudder/internal/vtime"
 )
 
@@ -30,8 +30,8 @@
 	return d
 }
 
-func fixed(whinrudder.Settings, uint64) (rivals.Node, error) {
-	return rivals.NewServer(rivals.Fixed(12), rivals.FIFO{}, 24, 2000), nil
+func fixed(whinrudder.Settings, uint64) (baseline.Node, error) {
+	return baseline.NewServer(baseline.Fixed(12), baseline.FIFO{}, 24, 2000), nil
 }
 
 // A day gives the same, to the last byte, whenever it is played, on any number of workers and processors.
@@ -83,8 +83,8 @@
 		t.Errorf("overloaded: %.3f, %d fell", r.Whole, r.Fell)
 	}
 	calm.FallAt = 3
-	if r := Play(calm, func(whinrudder.Settings, uint64) (rivals.Node, error) {
-		return rivals.NewServer(rivals.None{}, rivals.FIFO{}, 1e6, 2000), nil
+	if r := Play(calm, func(whinrudder.Settings, uint64) (baseline.Node, error) {
+		return baseline.NewServer(baseline.Unlimited{}, baseline.FIFO{}, 1e6, 2000), nil
 	}); r.Fell == 0 {
 		t.Errorf("nothing falls without a limit: %.3f", r.Whole)
 	}
@@ -92,7 +92,7 @@
 
 // faulty breaks a rule on purpose, once in a while.
 type faulty struct {
-	rivals.Node
+	baseline.Node
 	what string
 	n    int
 }
@@ -121,7 +121,7 @@
 // A rule that is broken on purpose is found, by its name and with the history of the request.
 func TestBrokenRulesAreNamed(t *testing.T) {
 	for _, what := range []string{"twice", "lost", "duplicate"} {
-		r := Play(small(1), func(s whinrudder.Settings, seed uint64) (rivals.Node, error) {
+		r := Play(small(1), func(s whinrudder.Settings, seed uint64) (baseline.Node, error) {
 			n, err := Module(s, seed)
 			return &faulty{Node: n, what: what}, err
 		})
@@ -203,8 +203,8 @@
 func TestMemory(t *testing.T) {
 	d := Usual(1)
 	d.Nodes, d.Ms, d.Load, d.FallAt = 2, 20000, 3, 0
-	none := func(whinrudder.Settings, uint64) (rivals.Node, error) {
-		return rivals.NewServer(rivals.None{}, rivals.FIFO{}, 1e6, 2000), nil
+	none := func(whinrudder.Settings, uint64) (baseline.Node, error) {
+		return baseline.NewServer(baseline.Unlimited{}, baseline.FIFO{}, 1e6, 2000), nil
 	}
 	if r := Play(d, none); r.Fell > 0 || r.PeakRuns() < 13 {
 		t.Errorf("%d fell with room for 16 runs a core, peak %.0f", r.Fell, r.PeakRuns())
--- a/internal/emu/fleet/server.go
+++ b/internal/emu/fleet/server.go
@@ -8,7 +8,7 @@
 	"whinrudder"
 	"whinrudder/internal/client/members"
 	"whinrudder/internal/core"
-	"whinrudder/internal/emu/rivals"
+	"whinrudder/internal/emu/baseline"
 	"whinrudder/internal/emu/workers"
 	"whinrudder/internal/vtime"
 )
@@ -23,10 +23,10 @@
 )
 
 // Make makes a node of a fleet.
-type Make func(s whinrudder.Settings, seed uint64) (rivals.Node, error)
+type Make func(s whinrudder.Settings, seed uint64) (baseline.Node, error)
 
 // Module makes nodes with the inherited module.
-func Module(s whinrudder.Settings, seed uint64) (rivals.Node, error) { return core.New(s, seed) }
+func Module(s whinrudder.Settings, seed uint64) (baseline.Node, error) { return core.New(s, seed) }
 
 // server is a place in the fleet and the node that has it now.
 type server struct {
@@ -48,7 +48,7 @@
 	stalled            bool
 	stallFrom, stallTo float64
 
-	node     rivals.Node
+	node     baseline.Node
 	pool     *workers.Pool
 	in       []core.Input
 	stepping bool
--- a/internal/emu/live/live.go
+++ b/internal/emu/live/live.go
@@ -22,8 +22,8 @@
 
 	"whinrudder"
 	"whinrudder/internal/core"
+	"whinrudder/internal/emu/baseline"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/rivals"
 	"whinrudder/internal/lab"
 	"whinrudder/internal/vtime"
 )
@@ -124,7 +124,7 @@
 }
 
 // make starts a process and returns at once.
-func (h *Host) make(s whinrudder.Settings, seed uint64) (rivals.Node, error) {
+func (h *Host) make(s whinrudder.Settings, seed uint64) (baseline.Node, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n, err := h.launch(s, seed)
@@ -237,7 +237,7 @@
 	}
 }
 
-// Next implements rivals.Node: what the process told is to be taken at once.
+// Next implements baseline.Node: what the process told is to be taken at once.
 func (n *node) Next() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -247,14 +247,14 @@
 	return 0
 }
 
-// Open implements rivals.Node.
+// Open implements baseline.Node.
 func (n *node) Open() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.calls)
 }
 
-// Step implements rivals.Node: it hands to the process what the models tell, and returns what the process told.
+// Step implements baseline.Node: it hands to the process what the models tell, and returns what the process told.
 func (n *node) Step(_ float64, in []core.Input) []core.Output {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/emu/shrink/shrink_test.go
+++ b/internal/emu/shrink/shrink_test.go
@@ -9,15 +9,15 @@
 
 	"whinrudder"
 	"whinrudder/internal/core"
+	"whinrudder/internal/emu/baseline"
 	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/experiment"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/rivals"
 )
 
 // forgetful is the core with a fault: it answers nothing that was in hand for over half a second when a leave is told.
 type forgetful struct {
-	rivals.Node
+	baseline.Node
 	came    map[string]float64
 	leaving float64
 }
@@ -44,7 +44,7 @@
 // or two; the file of the small day breaks the same rule again.
 func TestASeededFaultIsShrunk(t *testing.T) {
 	play := func(d fleet.Day) fleet.Result {
-		return fleet.Play(d, func(s whinrudder.Settings, seed uint64) (rivals.Node, error) {
+		return fleet.Play(d, func(s whinrudder.Settings, seed uint64) (baseline.Node, error) {
 			n, err := fleet.Module(s, seed)
 			return &forgetful{Node: n, came: map[string]float64{}}, err
 		})
