--- a/cmd/whinrudder-kit/days.go
+++ b/cmd/whinrudder-kit/days.go
@@ -149,7 +149,7 @@
 		if i == 0 {
 			d = w
 		}
-		out = append(out, report.Play{Name: v.Name, Result: fleet.Play(w, v.Policy.Make())})
+		out = append(out, report.Play{Name: v.Name, Result: fleet.Simulate(w, v.Policy.Make())})
 	}
 	return d, out, nil
 }
@@ -157,7 +157,7 @@
 // variant returns what plays a day as the first variant of an experiment does.
 func variant(e *experiment.Experiment) func(fleet.Day) fleet.Result {
 	make := e.Variants[0].Policy.Make()
-	return func(d fleet.Day) fleet.Result { return fleet.Play(d, make) }
+	return func(d fleet.Day) fleet.Result { return fleet.Simulate(d, make) }
 }
 
 // dayCommands play the days of the emulator.
--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -76,7 +76,7 @@
 				if err != nil {
 					return 2
 				}
-				return play(d).Goal
+				return play(d).GoalScore
 			}, tell)
 			fmt.Fprintln(os.Stderr)
 			for i, f := range found {
@@ -85,8 +85,8 @@
 					return err
 				}
 				r, causes := hunt.Causes(d, play)
-				fmt.Fprintf(out, "%d. goal %.3f (drawn %.3f), worst 10 s %.3f from %.0f s on, %d broken, seed %d\n", i+1, f.Score, f.From, r.WorstWindow, r.WorstAt/1000,
-					len(r.Broken), uint64(f.Seed))
+				fmt.Fprintf(out, "%d. goal %.3f (drawn %.3f), worst 10 s %.3f from %.0f s on, %d broken, seed %d\n", i+1, f.Score, f.From, r.WorstWindow, r.WorstWindowStart/1000,
+					len(r.Violations), uint64(f.Seed))
 				for j, dim := range dims {
 					fmt.Fprintf(out, "     %s %.3g\n", dim.Path, vtime.Range{Low: dim.Low, High: dim.High}.At(f.Place[j]))
 				}
@@ -122,12 +122,12 @@
 					return err
 				}
 				r := play(d)
-				if len(r.Broken) == 0 {
+				if len(r.Violations) == 0 {
 					continue
 				}
-				rule := shrink.Rule(r.Broken[0])
+				rule := shrink.Rule(r.Violations[0])
 				small, steps := shrink.Day(d, func(d fleet.Day) bool {
-					for _, b := range play(d).Broken {
+					for _, b := range play(d).Violations {
 						if shrink.Rule(b) == rule {
 							return true
 						}
@@ -136,8 +136,8 @@
 				}, func(d fleet.Day) int { return play(d).Requests }, c.Int("plays"))
 				left := play(small)
 				fmt.Fprintf(out, "seed %d breaks %q: %s\n%d cuts: %d nodes, %d callers, %d troubles, %.1f s, %d requests; before %d, %d, %d, %.1f s, %d\n%s\n",
-					uint64(e.First)+uint64(s), rule, r.Broken[0], len(steps), small.Nodes, len(small.Callers), len(small.Troubles), small.Ms/1000,
-					left.Requests, d.Nodes, len(d.Callers), len(d.Troubles), d.Ms/1000, r.Requests, strings.Join(left.Broken, "\n"))
+					uint64(e.First)+uint64(s), rule, r.Violations[0], len(steps), small.Nodes, len(small.Callers), len(small.Faults), small.DurationMs/1000,
+					left.Requests, d.Nodes, len(d.Callers), len(d.Faults), d.DurationMs/1000, r.Requests, strings.Join(left.Violations, "\n"))
 				return output(c, "out", func(w io.Writer) error {
 					_, err := w.Write(experiment.Write(small, e.Variants[0].Policy.Name))
 					return err
@@ -162,7 +162,7 @@
 			drawn := false
 			for i, v := range e.Variants {
 				make := v.Policy.Make()
-				play := func(d fleet.Day) fleet.Result { return fleet.Play(d, make) }
+				play := func(d fleet.Day) fleet.Result { return fleet.Simulate(d, make) }
 				n, with := 0, 0.0
 				ends := map[string]int{}
 				var names []string
@@ -230,7 +230,7 @@
 				if err != nil {
 					return err
 				}
-				all := []report.Play{{Name: "emulated", Result: fleet.Play(d, fleet.Module)}, {Name: "real", Result: r}}
+				all := []report.Play{{Name: "emulated", Result: fleet.Simulate(d, fleet.NewModuleNode)}, {Name: "real", Result: r}}
 				fmt.Fprint(out, report.Text(d, all))
 				fmt.Fprint(out, report.Errors(all[0].Result, r))
 				return drawDay(c, fmt.Sprintf("%s, seed %d", e.Name, uint64(d.Seed)), d, all)
--- a/internal/emu/collapse/collapse.go
+++ b/internal/emu/collapse/collapse.go
@@ -42,11 +42,11 @@
 // Look plays a day whose troubles are the triggers. A day that ends too soon after them for a look and measures shows nothing.
 func Look(d fleet.Day, play func(fleet.Day) fleet.Result) Finding {
 	f := Finding{}
-	for _, t := range d.Troubles {
-		f.Until = max(f.Until, t.At+t.For)
+	for _, t := range d.Faults {
+		f.Until = max(f.Until, t.At+t.Duration)
 	}
 	calm := d
-	calm.Troubles = nil
+	calm.Faults = nil
 	days := vtime.ParallelMap(2, runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play([]fleet.Day{d, calm}[i]) })
 	f.Result = days[0]
 	from := f.Until + graceFor
@@ -74,8 +74,8 @@
 // share returns the share of the worth that was got in time over a look.
 func share(r *fleet.Result, from float64) float64 {
 	a, g := 0.0, 0.0
-	for i := int(from / fleet.BinMs()); i < int((from+lookFor)/fleet.BinMs()) && i < len(r.Bins); i++ {
-		a, g = a+r.Bins[i].Asked, g+r.Bins[i].Got
+	for i := int(from / fleet.BucketMs()); i < int((from+lookFor)/fleet.BucketMs()) && i < len(r.Buckets); i++ {
+		a, g = a+r.Buckets[i].OfferedWorth, g+r.Buckets[i].EarnedWorth
 	}
 	if a == 0 {
 		return math.NaN()
@@ -93,18 +93,18 @@
 
 // measures are what operators can do from a time on.
 func measures(d fleet.Day, at float64) (out []measure) {
-	with := func(what string, t ...fleet.Trouble) {
+	with := func(what string, t ...fleet.Fault) {
 		w := d
-		w.Troubles = append(slices.Clone(d.Troubles), t...)
+		w.Faults = append(slices.Clone(d.Faults), t...)
 		out = append(out, measure{what, w})
 	}
-	rest := d.Ms - at
+	rest := d.DurationMs - at
 	with("nothing")
-	with("clients held off to a fifth for 30 s", fleet.Trouble{Kind: fleet.Burst, At: at, For: actsFor, Share: 1, Factor: 0.2})
-	with("the fleet restarted at once, cold", fleet.Trouble{Kind: fleet.Crash, At: at, For: 1000, Share: 1})
-	with("callers keep to a budget of retries of a tenth", fleet.Trouble{Kind: fleet.Tame, At: at, For: rest, Share: 1, Factor: 0.1})
-	with("callers heed credit and advice", fleet.Trouble{Kind: fleet.Heed, At: at, For: rest, Share: 1})
-	with("clients held off, and the budget", fleet.Trouble{Kind: fleet.Burst, At: at, For: actsFor, Share: 1, Factor: 0.2},
-		fleet.Trouble{Kind: fleet.Tame, At: at, For: rest, Share: 1, Factor: 0.1})
+	with("clients held off to a fifth for 30 s", fleet.Fault{Kind: fleet.Burst, At: at, Duration: actsFor, Share: 1, Factor: 0.2})
+	with("the fleet restarted at once, cold", fleet.Fault{Kind: fleet.Crash, At: at, Duration: 1000, Share: 1})
+	with("callers keep to a budget of retries of a tenth", fleet.Fault{Kind: fleet.LimitRetries, At: at, Duration: rest, Share: 1, Factor: 0.1})
+	with("callers heed credit and advice", fleet.Fault{Kind: fleet.HonorCredit, At: at, Duration: rest, Share: 1})
+	with("clients held off, and the budget", fleet.Fault{Kind: fleet.Burst, At: at, Duration: actsFor, Share: 1, Factor: 0.2},
+		fleet.Fault{Kind: fleet.LimitRetries, At: at, Duration: rest, Share: 1, Factor: 0.1})
 	return out
 }
--- a/internal/emu/collapse/collapse_test.go
+++ b/internal/emu/collapse/collapse_test.go
@@ -8,12 +8,12 @@
 )
 
 // model is a fleet that serves a share of what is asked; a burst breaks it if it can, and some troubles mend it.
-func model(breaks bool, base float64, mends ...fleet.Kind) func(fleet.Day) fleet.Result {
+func model(breaks bool, base float64, mends ...fleet.FaultKind) func(fleet.Day) fleet.Result {
 	return func(d fleet.Day) fleet.Result {
 		var r fleet.Result
-		for at := 0.0; at < d.Ms; at += fleet.BinMs() {
+		for at := 0.0; at < d.DurationMs; at += fleet.BucketMs() {
 			share := base
-			for _, t := range d.Troubles {
+			for _, t := range d.Faults {
 				switch {
 				case t.Kind == fleet.Burst && t.Factor > 1 && breaks && at >= t.At:
 					share = 0.1
@@ -21,7 +21,7 @@
 					share = base
 				}
 			}
-			r.Bins = append(r.Bins, fleet.Bin{Asked: 1, Got: share})
+			r.Buckets = append(r.Buckets, fleet.TimeBucket{OfferedWorth: 1, EarnedWorth: share})
 		}
 		return r
 	}
@@ -29,9 +29,9 @@
 
 // What outlasts its trigger is a collapse, and what ends it is named; a day that is bad by itself, or comes back, is none.
 func TestLook(t *testing.T) {
-	d := fleet.Usual(1)
-	d.Troubles = []fleet.Trouble{{Kind: fleet.Burst, At: 10000, For: 5000, Factor: 2}}
-	d.Ms = 15000 + Needs()
+	d := fleet.DefaultDay(1)
+	d.Faults = []fleet.Fault{{Kind: fleet.Burst, At: 10000, Duration: 5000, Factor: 2}}
+	d.DurationMs = 15000 + Needs()
 	for _, c := range []struct {
 		name     string
 		play     func(fleet.Day) fleet.Result
@@ -42,8 +42,8 @@
 		{"bad by itself", model(true, 0.5), false, nil},
 		{"nothing helps", model(true, 0.95), true, nil},
 		{"a restart helps", model(true, 0.95, fleet.Crash), true, []string{"the fleet restarted at once, cold"}},
-		{"heeding helps", model(true, 0.95, fleet.Heed), true, []string{"callers heed credit and advice"}},
-		{"a budget helps", model(true, 0.95, fleet.Tame), true, []string{"callers keep to a budget of retries of a tenth", "clients held off, and the budget"}},
+		{"heeding helps", model(true, 0.95, fleet.HonorCredit), true, []string{"callers heed credit and advice"}},
+		{"a budget helps", model(true, 0.95, fleet.LimitRetries), true, []string{"callers keep to a budget of retries of a tenth", "clients held off, and the budget"}},
 	} {
 		f := Look(d, c.play)
 		var ends []string
--- a/internal/emu/experiment/day.go
+++ b/internal/emu/experiment/day.go
@@ -30,24 +30,24 @@
 // day reads a day. Times are seconds in a file, but for those whose name says otherwise. What is absent is as on the usual
 // day of the operators.
 func (r *reader) day(v *fastjson.Value, seed vtime.Seed) fleet.Day {
-	d := fleet.Usual(seed)
+	d := fleet.DefaultDay(seed)
 	o := r.object("", v, dayKeys...)
 	if o == nil {
 		return d
 	}
 	d.Seed = vtime.Seed(r.seed(o, "day", "seed", uint64(seed)))
 	d.Nodes = r.count(o, "", "nodes", d.Nodes, 1, maxNodes)
-	d.Ms = 1000 * r.figure(o, "", "seconds", d.Ms/1000, 1, maxSeconds)
+	d.DurationMs = 1000 * r.figure(o, "", "seconds", d.DurationMs/1000, 1, maxSeconds)
 	d.Load = r.figure(o, "", "load", d.Load, 0.01, 20)
 	d.Cores = r.count(o, "", "cores", d.Cores, 1, 256)
-	d.Slow, d.Fast = r.span(o, "", "slow", d.Slow, 0.01, 100), r.span(o, "", "fast", d.Fast, 0.01, 100)
-	d.Cold, d.Ramp = r.span(o, "", "cold", d.Cold, 0.01, 1), r.seconds(o, "", "ramp", d.Ramp, 3600)
-	d.CrowdAt, d.CrowdLoss = r.span(o, "", "crowd_at", d.CrowdAt, 0.1, 1000), r.span(o, "", "crowd_loss", d.CrowdLoss, 0, 10)
-	d.FallAt, d.Runs = r.figure(o, "", "fall_at", d.FallAt, 1, 1e6), r.figure(o, "", "runs", d.Runs, 1, 1e6)
-	d.Reading, d.Spread = r.figure(o, "", "reading", d.Reading, 0, 10), r.figure(o, "", "spread", d.Spread, 0, 10)
-	d.Delay, d.Loss = r.span(o, "", "delay_ms", d.Delay, 0, 60e3), r.figure(o, "", "loss", d.Loss, 0, 0.9)
-	d.ListLag, d.Session = 1000*r.figure(o, "", "list_lag", d.ListLag/1000, 0, 600), 1000*r.figure(o, "", "session", d.Session/1000, 0, 600)
-	d.Drain, d.Stop = 1000*r.figure(o, "", "drain", d.Drain/1000, 0, 600), 1000*r.figure(o, "", "stop", d.Stop/1000, 0.2, 600)
+	d.SlowSpeed, d.FastSpeed = r.span(o, "", "slow", d.SlowSpeed, 0.01, 100), r.span(o, "", "fast", d.FastSpeed, 0.01, 100)
+	d.ColdSpeedRatio, d.RampTime = r.span(o, "", "cold", d.ColdSpeedRatio, 0.01, 1), r.seconds(o, "", "ramp", d.RampTime, 3600)
+	d.ContentionThreshold, d.ContentionLoss = r.span(o, "", "crowd_at", d.ContentionThreshold, 0.1, 1000), r.span(o, "", "crowd_loss", d.ContentionLoss, 0, 10)
+	d.OverloadThreshold, d.MemoryRunsPerCore = r.figure(o, "", "fall_at", d.OverloadThreshold, 1, 1e6), r.figure(o, "", "runs", d.MemoryRunsPerCore, 1, 1e6)
+	d.ReadWorkRatio, d.WorkCV = r.figure(o, "", "reading", d.ReadWorkRatio, 0, 10), r.figure(o, "", "spread", d.WorkCV, 0, 10)
+	d.NetworkDelay, d.LossRate = r.span(o, "", "delay_ms", d.NetworkDelay, 0, 60e3), r.figure(o, "", "loss", d.LossRate, 0, 0.9)
+	d.ListLag, d.SessionTimeout = 1000*r.figure(o, "", "list_lag", d.ListLag/1000, 0, 600), 1000*r.figure(o, "", "session", d.SessionTimeout/1000, 0, 600)
+	d.DrainGrace, d.StopDelay = 1000*r.figure(o, "", "drain", d.DrainGrace/1000, 0, 600), 1000*r.figure(o, "", "stop", d.StopDelay/1000, 0.2, 600)
 	d.Subjects = r.count(o, "", "subjects", d.Subjects, 1, 1e9)
 	d.ColdFleet = r.flag(o, "", "cold_fleet", d.ColdFleet)
 	d.Slack = r.figure(o, "", "slack_ms", d.Slack, 0, 10e3)
@@ -58,19 +58,19 @@
 		d.Callers = r.callers(c)
 	}
 	if c := r.object("repeats", o.Get("repeats"), "share", "after", "most"); c != nil {
-		d.Repeats = workload.ClientRetries{Share: r.figure(c, "repeats", "share", d.Repeats.Share, 0, 1),
-			Delay: r.seconds(c, "repeats", "after", d.Repeats.Delay, 3600), Max: r.count(c, "repeats", "most", d.Repeats.Max, 0, 100)}
+		d.ClientRetries = workload.ClientRetries{Share: r.figure(c, "repeats", "share", d.ClientRetries.Share, 0, 1),
+			Delay: r.seconds(c, "repeats", "after", d.ClientRetries.Delay, 3600), Max: r.count(c, "repeats", "most", d.ClientRetries.Max, 0, 100)}
 	}
 	for i, t := range r.list("troubles", o.Get("troubles"), maxTroubles) {
-		d.Troubles = append(d.Troubles, r.trouble(at("troubles", i), t))
+		d.Faults = append(d.Faults, r.trouble(at("troubles", i), t))
 	}
 	for i, n := range r.list("only", o.Get("only"), maxOnly) {
-		d.Only = append(d.Only, int(r.number(at("only", i), n, 0, 1<<31)))
+		d.OnlyRequests = append(d.OnlyRequests, int(r.number(at("only", i), n, 0, 1<<31)))
 	}
-	if o.Get("only") != nil && d.Only == nil {
-		d.Only = []int{}
+	if o.Get("only") != nil && d.OnlyRequests == nil {
+		d.OnlyRequests = []int{}
 	}
-	slices.Sort(d.Only)
+	slices.Sort(d.OnlyRequests)
 	return d
 }
 
@@ -142,7 +142,7 @@
 	return out
 }
 
-func (r *reader) trouble(path string, v *fastjson.Value) (t fleet.Trouble) {
+func (r *reader) trouble(path string, v *fastjson.Value) (t fleet.Fault) {
 	o := r.object(path, v, "kind", "at", "for", "share", "factor")
 	if o == nil {
 		return t
@@ -150,20 +150,20 @@
 	if o.Get("kind") == nil {
 		r.fault(path+".kind", "is absent")
 	}
-	t.Kind = fleet.Kind(r.named(o, path, "kind", 0, fleet.Kinds))
-	t.At, t.For = 1000*r.figure(o, path, "at", 0, 0, maxSeconds), 1000*r.figure(o, path, "for", 10, 0.001, maxSeconds)
+	t.Kind = fleet.FaultKind(r.named(o, path, "kind", 0, fleet.FaultKindNames))
+	t.At, t.Duration = 1000*r.figure(o, path, "at", 0, 0, maxSeconds), 1000*r.figure(o, path, "for", 10, 0.001, maxSeconds)
 	t.Share = r.figure(o, path, "share", 1, 0, 1)
 	low, high := 0.0, 1000.0
 	switch t.Kind {
-	case fleet.Clock:
+	case fleet.ClockSkew:
 		low, high = -60e3, 60e3
-	case fleet.Absurd:
+	case fleet.BogusCredit:
 		low, high = 1, 1e12
 	case fleet.Flap: // each turn is an event of its own
 		low = 0.1
 	}
 	t.Factor = r.figure(o, path, "factor", 1, low, high)
-	if t.Factor == 0 && (t.Kind == fleet.Burst || t.Kind == fleet.Crawl) {
+	if t.Factor == 0 && (t.Kind == fleet.Burst || t.Kind == fleet.Slowdown) {
 		r.fault(path+".factor", "is 0")
 		t.Factor = 1
 	}
@@ -210,11 +210,11 @@
 		}
 		return l
 	}
-	day := object("seed", d.Seed, "nodes", d.Nodes, "seconds", d.Ms/1000, "load", d.Load, "cores", d.Cores, "slow", d.Slow, "fast", d.Fast, "cold", d.Cold,
-		"ramp", secs(d.Ramp), "crowd_at", d.CrowdAt, "crowd_loss", d.CrowdLoss, "fall_at", d.FallAt, "runs", d.Runs, "reading", d.Reading, "spread", d.Spread,
-		"delay_ms", d.Delay, "loss", d.Loss, "list_lag", d.ListLag/1000, "session", d.Session/1000, "drain", d.Drain/1000, "stop", d.Stop/1000,
+	day := object("seed", d.Seed, "nodes", d.Nodes, "seconds", d.DurationMs/1000, "load", d.Load, "cores", d.Cores, "slow", d.SlowSpeed, "fast", d.FastSpeed, "cold", d.ColdSpeedRatio,
+		"ramp", secs(d.RampTime), "crowd_at", d.ContentionThreshold, "crowd_loss", d.ContentionLoss, "fall_at", d.OverloadThreshold, "runs", d.MemoryRunsPerCore, "reading", d.ReadWorkRatio, "spread", d.WorkCV,
+		"delay_ms", d.NetworkDelay, "loss", d.LossRate, "list_lag", d.ListLag/1000, "session", d.SessionTimeout/1000, "drain", d.DrainGrace/1000, "stop", d.StopDelay/1000,
 		"subjects", d.Subjects, "cold_fleet", d.ColdFleet, "slack_ms", d.Slack,
-		"repeats", object("share", d.Repeats.Share, "after", secs(d.Repeats.Delay), "most", d.Repeats.Max),
+		"repeats", object("share", d.ClientRetries.Share, "after", secs(d.ClientRetries.Delay), "most", d.ClientRetries.Max),
 		"classes", list(len(d.Classes), func(i int) *fastjson.Value {
 			c := d.Classes[i]
 			return object("name", c.Name, "share", c.Share, "aim_ms", c.Aim, "deadline_ms", c.Deadline, "worth", c.Worth, "late", c.LateWorth, "work", c.Work,
@@ -225,12 +225,12 @@
 			return object("choice", h.Strategy.String(), "tries", h.MaxTries, "heeds", h.HonorsCredit, "wait", h.TryTimeoutRatio, "hedge_ms", h.HedgeDelay, "copies", max(1, h.ParallelTries),
 				"budget", h.RetryBudget, "throttle", h.Throttle, "subset", h.SubsetSize, "blind", h.RetriesInDoubtWrites, "pause_ms", h.BackoffBase, "library", h.UsesLibrary)
 		}),
-		"troubles", list(len(d.Troubles), func(i int) *fastjson.Value {
-			t := d.Troubles[i]
-			return object("kind", t.Kind.String(), "at", t.At/1000, "for", t.For/1000, "share", t.Share, "factor", t.Factor)
+		"troubles", list(len(d.Faults), func(i int) *fastjson.Value {
+			t := d.Faults[i]
+			return object("kind", t.Kind.String(), "at", t.At/1000, "for", t.Duration/1000, "share", t.Share, "factor", t.Factor)
 		}))
-	if d.Only != nil {
-		day.Set("only", list(len(d.Only), func(i int) *fastjson.Value { return a.NewNumberInt(d.Only[i]) }))
+	if d.OnlyRequests != nil {
+		day.Set("only", list(len(d.OnlyRequests), func(i int) *fastjson.Value { return a.NewNumberInt(d.OnlyRequests[i]) }))
 	}
 	return append(object("name", "replay", "day", day, "variants", list(1, func(int) *fastjson.Value {
 		return object("policy", policy)
--- a/internal/emu/experiment/experiment.go
+++ b/internal/emu/experiment/experiment.go
@@ -45,9 +45,9 @@
 }
 
 // Make returns what makes nodes with the policy.
-func (p Policy) Make() fleet.Make {
+func (p Policy) Make() fleet.NodeFactory {
 	if p.Name == "module" {
-		return fleet.Module
+		return fleet.NewModuleNode
 	}
 	return func(s whinrudder.Settings, _ uint64) (baseline.Node, error) {
 		var l baseline.Limiter
--- a/internal/emu/experiment/experiment_test.go
+++ b/internal/emu/experiment/experiment_test.go
@@ -91,7 +91,7 @@
 	nodes := map[int]int{}
 	for s := range vtime.Seed(300) {
 		d, err := e.Day(0, 5, s, nil)
-		if err != nil || d.Load < 0.2 || d.Load > 0.4 || d.Troubles[0].Factor != 5 || d.Troubles[0].At < 1000 || d.Troubles[0].At > 3000 {
+		if err != nil || d.Load < 0.2 || d.Load > 0.4 || d.Faults[0].Factor != 5 || d.Faults[0].At < 1000 || d.Faults[0].At > 3000 {
 			t.Fatalf("%+v %v", d, err)
 		}
 		nodes[d.Nodes]++
@@ -117,11 +117,11 @@
 			low := n(name, most)
 			return vtime.Range{Low: float64(low), High: float64(low + n(name, most))}
 		}
-		d := fleet.Usual(vtime.Seed(rapid.Uint64().Draw(t, "seed")))
-		d.Nodes, d.Ms, d.Load, d.Cores = n("nodes", 2000), 1000*float64(n("seconds", 3600)), float64(n("load", 200))/64, n("cores", 64)
-		d.Ramp, d.Delay, d.Fast = vtime.Range{Low: 1000, High: 1000 * float64(n("ramp", 60))}, span("delay", 50), span("fast", 4)
-		d.Repeats = workload.ClientRetries{Share: float64(n("share", 64)) / 64, Delay: vtime.Range{Low: 1000, High: 8000}, Max: n("most", 9)}
-		d.ColdFleet, d.Session = rapid.Bool().Draw(t, "cold"), 500*float64(n("session", 20))
+		d := fleet.DefaultDay(vtime.Seed(rapid.Uint64().Draw(t, "seed")))
+		d.Nodes, d.DurationMs, d.Load, d.Cores = n("nodes", 2000), 1000*float64(n("seconds", 3600)), float64(n("load", 200))/64, n("cores", 64)
+		d.RampTime, d.NetworkDelay, d.FastSpeed = vtime.Range{Low: 1000, High: 1000 * float64(n("ramp", 60))}, span("delay", 50), span("fast", 4)
+		d.ClientRetries = workload.ClientRetries{Share: float64(n("share", 64)) / 64, Delay: vtime.Range{Low: 1000, High: 8000}, Max: n("most", 9)}
+		d.ColdFleet, d.SessionTimeout = rapid.Bool().Draw(t, "cold"), 500*float64(n("session", 20))
 		d.Callers = nil
 		for range n("callers", 5) {
 			d.Callers = append(d.Callers, callermodel.Behavior{Strategy: callermodel.Strategy(n("choice", len(callermodel.StrategyNames)) - 1), MaxTries: n("tries", 9), HonorsCredit: rapid.Bool().Draw(t, "heeds"),
@@ -129,11 +129,11 @@
 				Throttle: rapid.Bool().Draw(t, "throttle"), SubsetSize: n("subset", 9), RetriesInDoubtWrites: rapid.Bool().Draw(t, "blind"), BackoffBase: float64(n("pause", 99))})
 		}
 		for range n("troubles", 4) {
-			d.Troubles = append(d.Troubles, fleet.Trouble{Kind: fleet.Kind(n("kind", len(fleet.Kinds)) - 1), At: 250 * float64(n("at", 99)), For: 250 * float64(n("for", 99)),
+			d.Faults = append(d.Faults, fleet.Fault{Kind: fleet.FaultKind(n("kind", len(fleet.FaultKindNames)) - 1), At: 250 * float64(n("at", 99)), Duration: 250 * float64(n("for", 99)),
 				Share: float64(n("hit", 64)) / 64, Factor: float64(n("factor", 9))})
 		}
 		if rapid.Bool().Draw(t, "some") {
-			d.Only = []int{n("first", 10), 10 + n("second", 1000)}
+			d.OnlyRequests = []int{n("first", 10), 10 + n("second", 1000)}
 		}
 		e, err := Parse(Write(d, "aimd"), "", nil)
 		if err != nil {
@@ -148,12 +148,12 @@
 
 // Every policy makes a node, and every measure can be taken of a day.
 func TestPoliciesAndMeasures(t *testing.T) {
-	d := fleet.Usual(1)
-	d.Nodes, d.Ms, d.Load = 2, 3000, 0.3
+	d := fleet.DefaultDay(1)
+	d.Nodes, d.DurationMs, d.Load = 2, 3000, 0.3
 	for _, p := range Policies {
-		r := fleet.Play(d, NewPolicy(p).Make())
-		if r.Requests < 20 || len(r.Broken) > 0 {
-			t.Errorf("%s: %d requests, %v", p, r.Requests, r.Broken)
+		r := fleet.Simulate(d, NewPolicy(p).Make())
+		if r.Requests < 20 || len(r.Violations) > 0 {
+			t.Errorf("%s: %d requests, %v", p, r.Requests, r.Violations)
 		}
 		for _, m := range Measures {
 			if v := m.Of(&r); math.IsNaN(v) || v < 0 {
--- a/internal/emu/experiment/measures.go
+++ b/internal/emu/experiment/measures.go
@@ -11,24 +11,24 @@
 
 // Measures are what can be measured.
 var Measures = []Measure{
-	{"goal", "share", false, func(r *fleet.Result) float64 { return r.Goal }},
-	{"whole", "share", false, func(r *fleet.Result) float64 { return r.Whole }},
+	{"goal", "share", false, func(r *fleet.Result) float64 { return r.GoalScore }},
+	{"whole", "share", false, func(r *fleet.Result) float64 { return r.OverallWorthRatio }},
 	{"worst_window", "share", false, func(r *fleet.Result) float64 { return r.WorstWindow }},
 	{"worst_class", "share", false, func(r *fleet.Result) float64 { return r.WorstClass }},
-	{"offered", "requests/s", false, func(r *fleet.Result) float64 { return r.Offered }},
+	{"offered", "requests/s", false, func(r *fleet.Result) float64 { return r.OfferedRate }},
 	{"goodput", "requests/s", false, func(r *fleet.Result) float64 { return r.Goodput }},
-	{"p50", "ms", true, func(r *fleet.Result) float64 { return r.Latency.At(0.5) }},
-	{"p90", "ms", true, func(r *fleet.Result) float64 { return r.Latency.At(0.9) }},
-	{"p99", "ms", true, func(r *fleet.Result) float64 { return r.Latency.At(0.99) }},
-	{"p999", "ms", true, func(r *fleet.Result) float64 { return r.Latency.At(0.999) }},
-	{"waste", "share", true, func(r *fleet.Result) float64 { return r.Waste }},
+	{"p50", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.5) }},
+	{"p90", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.9) }},
+	{"p99", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.99) }},
+	{"p999", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.999) }},
+	{"waste", "share", true, func(r *fleet.Result) float64 { return r.WastedWorkRatio }},
 	{"tries", "a request", true, func(r *fleet.Result) float64 { return float64(r.Tries) / float64(max(1, r.Requests)) }},
-	{"repeats", "a request", true, func(r *fleet.Result) float64 { return float64(r.Repeats) / float64(max(1, r.Requests)) }},
+	{"repeats", "a request", true, func(r *fleet.Result) float64 { return float64(r.ClientRetries) / float64(max(1, r.Requests)) }},
 	{"refused", "a request", true, func(r *fleet.Result) float64 { return float64(r.Refused) / float64(max(1, r.Requests)) }},
-	{"again", "writes", true, func(r *fleet.Result) float64 { return float64(r.Again) }},
+	{"again", "writes", true, func(r *fleet.Result) float64 { return float64(r.RepeatedWrites) }},
 	{"peak_runs", "a node", true, func(r *fleet.Result) float64 { return r.PeakRuns() }},
-	{"fell", "nodes", true, func(r *fleet.Result) float64 { return float64(r.Fell) }},
-	{"broken", "rules", true, func(r *fleet.Result) float64 { return float64(len(r.Broken)) }},
+	{"fell", "nodes", true, func(r *fleet.Result) float64 { return float64(r.OverloadCrashes) }},
+	{"broken", "rules", true, func(r *fleet.Result) float64 { return float64(len(r.Violations)) }},
 }
 
 // MeasureOf returns the measure of a name, or nil.
--- a/internal/emu/fleet/big_test.go
+++ b/internal/emu/fleet/big_test.go
@@ -16,14 +16,14 @@
 	if err != nil {
 		t.Skip("it takes long")
 	}
-	d := Usual(1)
-	d.Nodes, d.Ms, d.Cores, d.Load = 1000, 1000*seconds, 10, 0.64
-	d.Troubles = []Trouble{{Kind: Crash, At: 0.3 * d.Ms, For: 20000, Share: 0.2}, {Kind: Deploy, At: 0.6 * d.Ms, For: 38000, Share: 0.86}}
+	d := DefaultDay(1)
+	d.Nodes, d.DurationMs, d.Cores, d.Load = 1000, 1000*seconds, 10, 0.64
+	d.Faults = []Fault{{Kind: Crash, At: 0.3 * d.DurationMs, Duration: 20000, Share: 0.2}, {Kind: Deploy, At: 0.6 * d.DurationMs, Duration: 38000, Share: 0.86}}
 	for len(d.Callers) < 300 {
 		d.Callers = append(d.Callers, d.Callers[len(d.Callers)%4])
 	}
 	began := time.Now()
-	r := Play(d, Module)
+	r := Simulate(d, NewModuleNode)
 	took := time.Since(began)
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -34,9 +34,9 @@
 	for line := range strings.Lines(string(text)) {
 		if strings.HasPrefix(line, "VmHWM") {
 			t.Logf("%d requests, %.0f a second, %d tries, whole %.4f, worst 10 s %.4f, %v, %s, %d timers at most, %d broken", r.Requests,
-				r.Offered, r.Tries, r.Whole, r.WorstWindow, took, strings.TrimSpace(line), r.PeakTimers, len(r.Broken))
-			if len(r.Broken) > 0 {
-				t.Error(r.Broken[0])
+				r.OfferedRate, r.Tries, r.OverallWorthRatio, r.WorstWindow, took, strings.TrimSpace(line), r.PeakTimers, len(r.Violations))
+			if len(r.Violations) > 0 {
+				t.Error(r.Violations[0])
 			}
 		}
 	}
--- a/internal/emu/fleet/day.go
+++ b/internal/emu/fleet/day.go
@@ -18,111 +18,111 @@
 
 // Shorthands for what a day is made of.
 type (
-	Range = vtime.Range
-	Class = workload.Class
-	Habit = callermodel.Behavior
+	Range    = vtime.Range
+	Class    = workload.Class
+	Behavior = callermodel.Behavior
 )
 
 // The choices of callers.
 const (
-	Round    = callermodel.RoundRobin
-	Least    = callermodel.LeastOutstanding
-	Fastest  = callermodel.LowestLatency
-	ByKey    = callermodel.HashBySubject
-	Weighted = callermodel.WeightedRandom
-	Two      = callermodel.PowerOfTwo
+	RoundRobin       = callermodel.RoundRobin
+	LeastOutstanding = callermodel.LeastOutstanding
+	LowestLatency    = callermodel.LowestLatency
+	HashBySubject    = callermodel.HashBySubject
+	WeightedRandom   = callermodel.WeightedRandom
+	PowerOfTwo       = callermodel.PowerOfTwo
 )
 
-// Kind is a kind of trouble.
-type Kind uint8
+// FaultKind is a kind of trouble.
+type FaultKind uint8
 
 // The kinds of troubles.
 const (
-	Burst     Kind = iota // traffic is Factor times the usual
-	Crash                 // a Share of the nodes dies at once and comes back cold after For
-	Crawl                 // a Share of the nodes is Factor times slower
-	Deploy                // a Share of the nodes is replaced within For, some at a time
-	Pause                 // the worker pools of a Share of the nodes stand still
-	Storm                 // a Share of the callers tries without limit and heeds nothing
-	Partition             // a Share of the nodes and a Factor of the callers can't reach each other; with 1 the list neither
-	Stall                 // the processes of a Share of the nodes stand still
-	Clock                 // the clocks of a Share of the nodes are Factor milliseconds ahead, or behind
-	Loss                  // a Share of all messages is lost
-	Outage                // the ensemble changes nothing
-	Tame                  // a Share of the callers has a budget of retries of Factor and makes three tries
-	Heed                  // a Share of the callers heeds credit and advice
-	Hole                  // a Share of the nodes fails at once whatever reaches it
-	Absurd                // a Share of the nodes tells a credit of Factor, and refuses with advice of a day
-	Flap                  // a Share of the nodes leaves the list and comes back, over and over, each Factor seconds
+	Burst          FaultKind = iota // traffic is Factor times the usual
+	Crash                           // a Share of the nodes dies at once and comes back cold after Duration
+	Slowdown                        // a Share of the nodes is Factor times slower
+	Deploy                          // a Share of the nodes is replaced within Duration, some at a time
+	PoolPause                       // the worker pools of a Share of the nodes stand still
+	RetryStorm                      // a Share of the callers tries without limit and heeds nothing
+	Partition                       // a Share of the nodes and a Factor of the callers can't reach each other; with 1 the list neither
+	ProcessStall                    // the processes of a Share of the nodes stand still
+	ClockSkew                       // the clocks of a Share of the nodes are Factor milliseconds ahead, or behind
+	MessageLoss                     // a Share of all messages is lost
+	EnsembleOutage                  // the ensemble changes nothing
+	LimitRetries                    // a Share of the callers has a budget of retries of Factor and makes three tries
+	HonorCredit                     // a Share of the callers heeds credit and advice
+	BlackHole                       // a Share of the nodes fails at once whatever reaches it
+	BogusCredit                     // a Share of the nodes tells a credit of Factor, and refuses with advice of a day
+	Flap                            // a Share of the nodes leaves the list and comes back, over and over, each Factor seconds
 )
 
-// Kinds are the names of the kinds.
-var Kinds = []string{"burst", "crash", "crawl", "deploy", "pause", "storm", "partition", "stall", "clock", "loss", "outage", "tame", "heed", "hole", "absurd", "flap"}
+// FaultKindNames are the names of the kinds.
+var FaultKindNames = []string{"burst", "crash", "crawl", "deploy", "pause", "storm", "partition", "stall", "clock", "loss", "outage", "tame", "heed", "hole", "absurd", "flap"}
 
-func (k Kind) String() string { return Kinds[k] }
+func (k FaultKind) String() string { return FaultKindNames[k] }
 
-// Trouble is something that goes wrong for a time. Troubles may overlap.
-type Trouble struct {
-	Kind          Kind
-	At, For       float64
+// Fault is something that goes wrong for a time. Faults may overlap.
+type Fault struct {
+	Kind          FaultKind
+	At, Duration  float64
 	Share, Factor float64
 }
 
 // Day is a day to be played.
 type Day struct {
-	Seed        vtime.Seed
-	Nodes       int
-	Ms          float64 // from the first request to the last
-	Load        float64 // share of what the warm cores can do that clients ask for
-	Cores       int
-	Slow, Fast  Range // speeds of the two models, half of the nodes each
-	Cold        Range // share of the speed of a cold node
-	Ramp        Range
-	CrowdAt     Range
-	CrowdLoss   Range
-	FallAt      float64
-	Runs        float64 // running requests a core that fill the memory
-	Classes     []Class
-	Reading     float64 // share of the mean work that reading a request takes
-	Spread      float64 // coefficient of variation of the work of one class
-	Callers     []Habit
-	Repeats     workload.ClientRetries
-	Delay       Range   // of a message
-	Loss        float64 // share of messages that are lost
-	ListLag     float64 // callers hear of a change of the list so late
-	Session     float64 // the ensemble keeps a silent node for so long
-	Drain, Stop float64 // grace of the drain, and from the notice to the stop
-	Subjects    int
-	Troubles    []Trouble
-	ColdFleet   bool    // all nodes start cold
-	Only        []int   // numbers of the requests that are played, in order; nil: all
-	Slack       float64 // beyond the grace of the rules, after which an answer is late
+	Seed                  vtime.Seed
+	Nodes                 int
+	DurationMs            float64 // from the first request to the last
+	Load                  float64 // share of what the warm cores can do that clients ask for
+	Cores                 int
+	SlowSpeed, FastSpeed  Range // speeds of the two models, half of the nodes each
+	ColdSpeedRatio        Range // share of the speed of a cold node
+	RampTime              Range
+	ContentionThreshold   Range
+	ContentionLoss        Range
+	OverloadThreshold     float64
+	MemoryRunsPerCore     float64 // running requests a core that fill the memory
+	Classes               []Class
+	ReadWorkRatio         float64 // share of the mean work that reading a request takes
+	WorkCV                float64 // coefficient of variation of the work of one class
+	Callers               []Behavior
+	ClientRetries         workload.ClientRetries
+	NetworkDelay          Range   // of a message
+	LossRate              float64 // share of messages that are lost
+	ListLag               float64 // callers hear of a change of the list so late
+	SessionTimeout        float64 // the ensemble keeps a silent node for so long
+	DrainGrace, StopDelay float64 // grace of the drain, and from the notice to the stop
+	Subjects              int
+	Faults                []Fault
+	ColdFleet             bool    // all nodes start cold
+	OnlyRequests          []int   // numbers of the requests that are played, in order; nil: all
+	Slack                 float64 // beyond the grace of the rules, after which an answer is late
 }
 
-// Usual is the day of the operators of tunis-payouts without troubles: 14 nodes, the classes and habits of their page.
-func Usual(seed vtime.Seed) Day {
-	return Day{Seed: seed, Nodes: 14, Ms: 60000, Load: 0.6, Cores: 6, Slow: from(0.5, 0.7), Fast: from(1.1, 1.5), Cold: from(0.2, 0.6),
-		Ramp: from(3000, 17000), CrowdAt: from(2, 4), CrowdLoss: from(0.03, 0.1), FallAt: 8, Runs: 16, Reading: 0.25, Spread: 0.45,
+// DefaultDay is the day of the operators of tunis-payouts without troubles: 14 nodes, the classes and habits of their page.
+func DefaultDay(seed vtime.Seed) Day {
+	return Day{Seed: seed, Nodes: 14, DurationMs: 60000, Load: 0.6, Cores: 6, SlowSpeed: from(0.5, 0.7), FastSpeed: from(1.1, 1.5), ColdSpeedRatio: from(0.2, 0.6),
+		RampTime: from(3000, 17000), ContentionThreshold: from(2, 4), ContentionLoss: from(0.03, 0.1), OverloadThreshold: 8, MemoryRunsPerCore: 16, ReadWorkRatio: 0.25, WorkCV: 0.45,
 		Classes: []Class{
 			{Name: "status-lookup", Share: 0.54, Aim: 3100, Deadline: 9300, Worth: 1, LateWorth: 0.1, Work: from(240, 400), Sleep: from(180, 440), Write: false},
 			{Name: "rate-quote", Share: 0.26, Aim: 1900, Deadline: 6200, Worth: 1, LateWorth: 0.1, Work: from(170, 300), Sleep: from(71, 160), Write: false},
 			{Name: "payout-book", Share: 0.20, Aim: 2500, Deadline: 7800, Worth: 3, LateWorth: 0.2, Work: from(240, 400), Sleep: from(93, 210), Write: true},
 		},
-		Callers: []Habit{{Strategy: Round, HonorsCredit: true, TryTimeoutRatio: 0.6}, {Strategy: Least, MaxTries: 3, HonorsCredit: true, TryTimeoutRatio: 0.6},
-			{Strategy: Fastest, MaxTries: 2, HonorsCredit: true, TryTimeoutRatio: 0.6}, {Strategy: ByKey, TryTimeoutRatio: 0.6}},
-		Repeats: workload.ClientRetries{Delay: from(2000, 6000), Max: 3},
-		Delay:   from(0.5, 3), ListLag: 1500, Drain: 2000, Stop: 12000, Subjects: 10000, Slack: 50}
+		Callers: []Behavior{{Strategy: RoundRobin, HonorsCredit: true, TryTimeoutRatio: 0.6}, {Strategy: LeastOutstanding, MaxTries: 3, HonorsCredit: true, TryTimeoutRatio: 0.6},
+			{Strategy: LowestLatency, MaxTries: 2, HonorsCredit: true, TryTimeoutRatio: 0.6}, {Strategy: HashBySubject, TryTimeoutRatio: 0.6}},
+		ClientRetries: workload.ClientRetries{Delay: from(2000, 6000), Max: 3},
+		NetworkDelay:  from(0.5, 3), ListLag: 1500, DrainGrace: 2000, StopDelay: 12000, Subjects: 10000, Slack: 50}
 }
 
 func from(low, high float64) Range { return Range{Low: low, High: high} }
 
 // Settings are those of a node of the day.
 func (d Day) Settings(cold bool) whinrudder.Settings {
-	s := whinrudder.Settings{Servers: d.Nodes, Callers: len(d.Callers), Cores: d.Cores, Cold: cold, Memory: d.Runs * float64(d.Cores) * heldKB * runFactor,
+	s := whinrudder.Settings{Servers: d.Nodes, Callers: len(d.Callers), Cores: d.Cores, Cold: cold, Memory: d.MemoryRunsPerCore * float64(d.Cores) * heldKB * runFactor,
 		RunFactor: runFactor, EntryKB: 10, Halt: whinrudder.HaltAbort, Say: whinrudder.SayWindow, HeardFor: heardFor, TellsGone: true,
 		PassesDeadline: true, Below: whinrudder.BelowNone, DeepChecks: true, MaxRetryAfter: 1000, KeepAlive: 30000, Tick: 2,
-		Rules: whinrudder.Rules{AnswerGrace: answerGrace, ColdFrom: d.Cold.Low, RampTime: d.Ramp.High, DrainGrace: d.Drain,
-			FallMultiple: d.FallAt, FallWindow: fallWindow},
+		Rules: whinrudder.Rules{AnswerGrace: answerGrace, ColdFrom: d.ColdSpeedRatio.Low, RampTime: d.RampTime.High, DrainGrace: d.DrainGrace,
+			FallMultiple: d.OverloadThreshold, FallWindow: fallWindow},
 		Goal: whinrudder.Goal{Whole: 0.6, WorstClass: 0.2, WorstWindow: 0.2}}
 	for _, c := range d.Classes {
 		w := whinrudder.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth, Repeat: whinrudder.Safe}
@@ -149,9 +149,9 @@
 // machine draws the worker pool of a place in the fleet; it stays the same over its lives.
 func (d Day) machine(i int) workers.Params {
 	r := d.Seed.Split("machine", i).Rand()
-	p := workers.Params{Cores: d.Cores, Speed: d.Fast.At(r.Float64()), ColdSpeedRatio: d.Cold.At(r.Float64()),
-		RampTime: d.Ramp.At(r.Float64()), ContentionThreshold: d.CrowdAt.At(r.Float64()), ContentionLoss: d.CrowdLoss.At(r.Float64()), OverloadThreshold: d.FallAt, OverloadWindow: fallWindow}
-	if slow := d.Slow.At(r.Float64()); i%2 == 0 {
+	p := workers.Params{Cores: d.Cores, Speed: d.FastSpeed.At(r.Float64()), ColdSpeedRatio: d.ColdSpeedRatio.At(r.Float64()),
+		RampTime: d.RampTime.At(r.Float64()), ContentionThreshold: d.ContentionThreshold.At(r.Float64()), ContentionLoss: d.ContentionLoss.At(r.Float64()), OverloadThreshold: d.OverloadThreshold, OverloadWindow: fallWindow}
+	if slow := d.SlowSpeed.At(r.Float64()); i%2 == 0 {
 		p.Speed = slow
 	}
 	return p
@@ -159,17 +159,17 @@
 
 // weight is what the operators gave a place: by its model, not by what it really is.
 func (d Day) weight(i int) float64 {
-	r := d.Fast
+	r := d.FastSpeed
 	if i%2 == 0 {
-		r = d.Slow
+		r = d.SlowSpeed
 	}
 	return r.At(0.5)
 }
 
-// Clients returns those of the day.
-func (d Day) Clients() workload.Params {
+// Workload returns those of the day.
+func (d Day) Workload() workload.Params {
 	figures := d.Seed.Split("classes", 0).Rand()
-	p := workload.Params{DurationMs: d.Ms, Classes: d.Classes, WorkCV: d.Spread, Callers: len(d.Callers), Subjects: d.Subjects, ClientRetries: d.Repeats}
+	p := workload.Params{DurationMs: d.DurationMs, Classes: d.Classes, WorkCV: d.WorkCV, Callers: len(d.Callers), Subjects: d.Subjects, ClientRetries: d.ClientRetries}
 	mean := 0.0
 	for _, c := range d.Classes {
 		p.RunWork, p.SleepTime = append(p.RunWork, c.Work.At(figures.Float64())), append(p.SleepTime, c.Sleep.At(figures.Float64()))
@@ -179,11 +179,11 @@
 	for i := range d.Nodes {
 		speed += d.machine(i).Speed * float64(d.Cores)
 	}
-	p.ReadWork = mean * d.Reading
+	p.ReadWork = mean * d.ReadWorkRatio
 	p.Rate = d.Load * speed / (mean + p.ReadWork)
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		if t.Kind == Burst {
-			p.Surges = append(p.Surges, workload.Surge{From: t.At, To: t.At + t.For, Factor: t.Factor})
+			p.Surges = append(p.Surges, workload.Surge{From: t.At, To: t.At + t.Duration, Factor: t.Factor})
 		}
 	}
 	return p
--- a/internal/emu/fleet/troubles.go
+++ b/internal/emu/fleet/faults.go
@@ -5,7 +5,7 @@
 )
 
 // trouble sets up what goes wrong. Bursts are the clients' own.
-func (p *play) trouble(i int, t Trouble) {
+func (p *play) trouble(i int, t Fault) {
 	hit := p.day.some(i, t.Share, p.day.Nodes, "trouble")
 	each := func(at float64, do func(s *server)) {
 		p.k.After(at, func(float64) {
@@ -17,12 +17,12 @@
 	switch t.Kind {
 	case Crash:
 		each(t.At, func(s *server) { s.die("crashed") })
-		each(t.At+t.For, func(s *server) {
+		each(t.At+t.Duration, func(s *server) {
 			if !s.up {
 				s.start(true)
 			}
 		})
-	case Crawl:
+	case Slowdown:
 		slow := func(by float64) func(*server) {
 			return func(s *server) {
 				if s.crawl = by; s.pool != nil {
@@ -31,8 +31,8 @@
 			}
 		}
 		each(t.At, slow(t.Factor))
-		each(t.At+t.For, slow(1))
-	case Pause:
+		each(t.At+t.Duration, slow(1))
+	case PoolPause:
 		hold := func(on bool) func(*server) {
 			return func(s *server) {
 				if s.pool != nil {
@@ -41,28 +41,28 @@
 			}
 		}
 		each(t.At, hold(true))
-		each(t.At+t.For, hold(false))
+		each(t.At+t.Duration, hold(false))
 	case Deploy:
 		for j, n := range hit {
-			p.k.After(t.At+t.For*float64(j)/float64(len(hit)), func(float64) { p.servers[n].leave() })
+			p.k.After(t.At+t.Duration*float64(j)/float64(len(hit)), func(float64) { p.servers[n].leave() })
 		}
-	case Storm, Tame, Heed:
+	case RetryStorm, LimitRetries, HonorCredit:
 		for _, n := range p.day.some(i, t.Share, len(p.callers), t.Kind.String()) {
 			c := p.callers[n]
 			p.k.After(t.At, func(float64) {
 				switch t.Kind {
-				case Storm:
+				case RetryStorm:
 					c.MaxTries, c.HonorsCredit, c.RetryBudget, c.BackoffBase = 0, false, 0, 0
-				case Tame:
+				case LimitRetries:
 					c.MaxTries, c.RetryBudget = 3, t.Factor
-				case Heed:
+				case HonorCredit:
 					c.HonorsCredit = true
 				}
 			})
-			p.k.After(t.At+t.For, func(float64) { c.Behavior = p.day.Callers[n] })
+			p.k.After(t.At+t.Duration, func(float64) { c.Behavior = p.day.Callers[n] })
 		}
 	case Partition:
-		cut := network.Partition{From: t.At, To: t.At + t.For, Nodes: make([]bool, p.day.Nodes)}
+		cut := network.Partition{From: t.At, To: t.At + t.Duration, Nodes: make([]bool, p.day.Nodes)}
 		for _, n := range hit {
 			cut.Nodes[n] = true
 		}
@@ -76,28 +76,28 @@
 		}
 		p.net.AddPartition(cut)
 		each(t.At, func(s *server) { p.silent(s, true) })
-		each(t.At+t.For, func(s *server) { p.silent(s, false) })
-	case Stall:
-		each(t.At, func(s *server) { s.stall(t.At + t.For) })
-	case Clock:
+		each(t.At+t.Duration, func(s *server) { p.silent(s, false) })
+	case ProcessStall:
+		each(t.At, func(s *server) { s.stall(t.At + t.Duration) })
+	case ClockSkew:
 		each(t.At, func(s *server) { s.clock += t.Factor })
-		each(t.At+t.For, func(s *server) { s.clock -= t.Factor })
-	case Hole:
+		each(t.At+t.Duration, func(s *server) { s.clock -= t.Factor })
+	case BlackHole:
 		each(t.At, func(s *server) { s.hole = true })
-		each(t.At+t.For, func(s *server) { s.hole = false })
-	case Absurd:
+		each(t.At+t.Duration, func(s *server) { s.hole = false })
+	case BogusCredit:
 		each(t.At, func(s *server) { s.absurd = t.Factor })
-		each(t.At+t.For, func(s *server) { s.absurd = 0 })
+		each(t.At+t.Duration, func(s *server) { s.absurd = 0 })
 	case Flap:
-		for at, on := t.At, false; at < t.At+t.For; at, on = at+1000*t.Factor, !on {
+		for at, on := t.At, false; at < t.At+t.Duration; at, on = at+1000*t.Factor, !on {
 			each(at, func(s *server) { p.flap(s, on) })
 		}
-		each(t.At+t.For, func(s *server) { p.flap(s, true) })
-	case Loss:
-		p.net.AddLoss(network.LossPeriod{From: t.At, To: t.At + t.For, Rate: t.Share})
-	case Outage:
+		each(t.At+t.Duration, func(s *server) { p.flap(s, true) })
+	case MessageLoss:
+		p.net.AddLoss(network.LossPeriod{From: t.At, To: t.At + t.Duration, Rate: t.Share})
+	case EnsembleOutage:
 		p.k.After(t.At, func(now float64) { p.list.BeginOutage(now); p.watch() })
-		p.k.After(t.At+t.For, func(now float64) { p.list.EndOutage(now); p.watch() })
+		p.k.After(t.At+t.Duration, func(now float64) { p.list.EndOutage(now); p.watch() })
 	}
 }
 
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -21,7 +21,7 @@
 	classes []attempt.Class
 }
 
-func newLibrary(p *play, h Habit, seed vtime.Seed) *library {
+func newLibrary(p *play, h Behavior, seed vtime.Seed) *library {
 	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.SubsetSize), router: route.New(),
 		shared: &attempt.Shared{Budget: attempt.NewBudget(), Waits: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Usual: attempt.NewUsual(len(p.day.Classes))}}
 	for _, c := range p.day.Classes {
@@ -63,7 +63,7 @@
 		switch do.What {
 		case attempt.Done:
 			if q.tries == 0 {
-				l.p.res.Withheld++
+				l.p.res.Unsent++
 			}
 			l.p.lose(q)
 			return
@@ -123,7 +123,7 @@
 		l.p.score.bin(now).Refused++
 	case attempt.Unsent, attempt.Broken:
 		a.Failed, a.NoAnswer = true, true
-		l.p.res.Lost++
+		l.p.res.Disconnected++
 	default:
 		a.Failed = true
 		l.p.res.Failed++
--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -45,7 +45,7 @@
 // play is a day under way.
 type play struct {
 	day      Day
-	make     Make
+	make     NodeFactory
 	k        vtime.Kernel
 	until    float64
 	messages vtime.Seed
@@ -59,7 +59,7 @@
 	crowd    *workload.Generator
 	all      map[int]*try // that are not over for all sides
 	tries    int
-	outside  Outside
+	outside  ExternalWork
 	others   int // runs from outside, so far
 
 	res     Result
@@ -68,28 +68,28 @@
 	useful  float64
 }
 
-// Drive lets a day go on until a time. Poke lets all nodes tell what they have to tell by themselves.
-type Drive func(k *vtime.Kernel, to float64, poke func())
+// Driver lets a day go on until a time. Poke lets all nodes tell what they have to tell by themselves.
+type Driver func(k *vtime.Kernel, to float64, poke func())
 
-// Play plays a day in virtual time.
-func Play(d Day, make Make) Result {
-	return PlayBy(d, make, func(k *vtime.Kernel, to float64, _ func()) { k.Run(to) }, nil)
+// Simulate plays a day in virtual time.
+func Simulate(d Day, make NodeFactory) Result {
+	return SimulateWith(d, make, func(k *vtime.Kernel, to float64, _ func()) { k.Run(to) }, nil)
 }
 
-// Outside tells the work of a run that none of the day's callers asked for; it is called when the run starts. Nodes that are more
+// ExternalWork tells the work of a run that none of the day's callers asked for; it is called when the run starts. Nodes that are more
 // than their core may have other callers.
-type Outside func(run core.Spawn) workers.Work
+type ExternalWork func(run core.Spawn) workers.Work
 
-// PlayBy plays a day by whatever time Drive goes by.
-func PlayBy(d Day, make_ Make, drive Drive, outside Outside) Result {
+// SimulateWith plays a day by whatever time Driver goes by.
+func SimulateWith(d Day, make_ NodeFactory, drive Driver, outside ExternalWork) Result {
 	p := &play{day: d, make: make_, outside: outside, all: map[int]*try{}, messages: d.Seed.Split("network", 0),
-		net: network.Network{Delay: d.Delay, LossRate: d.Loss}, listed: slices.Repeat([]bool{true}, d.Nodes),
-		list: ensemble.New(ensemble.Params{SessionTimeout: d.Session, WatchDelay: d.ListLag}, d.Nodes, true)}
+		net: network.Network{Delay: d.NetworkDelay, LossRate: d.LossRate}, listed: slices.Repeat([]bool{true}, d.Nodes),
+		list: ensemble.New(ensemble.Params{SessionTimeout: d.SessionTimeout, WatchDelay: d.ListLag}, d.Nodes, true)}
 	longest := 0.0
 	for _, c := range d.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	p.until = d.Ms + longest + 1000
+	p.until = d.DurationMs + longest + 1000
 	p.lists.Do = func(float64) { p.watch() }
 	p.score = newScore(&p.day, &p.res)
 	var weights []float64
@@ -106,7 +106,7 @@
 			p.libs[i] = newLibrary(p, h, d.Seed.Split("library", i))
 		}
 	}
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		p.trouble(i, t)
 	}
 	p.arrivals()
@@ -122,21 +122,21 @@
 		}
 	}
 	for _, s := range p.servers {
-		if e, ok := s.node.(Ender); ok && s.up {
-			e.End(true)
+		if e, ok := s.node.(Terminator); ok && s.up {
+			e.Terminate(true)
 		}
 	}
 	p.score.end()
-	p.res.Fired = p.k.Fired()
+	p.res.TimersFired = p.k.Fired()
 	if p.started > 0 {
-		p.res.Waste = max(0, p.started-p.useful) / p.started
+		p.res.WastedWorkRatio = max(0, p.started-p.useful) / p.started
 	}
 	return p.res
 }
 
 // arrivals lets the requests of the clients come, one after the other.
 func (p *play) arrivals() {
-	p.crowd = workload.New(p.day.Clients(), p.day.Seed)
+	p.crowd = workload.New(p.day.Workload(), p.day.Seed)
 	var next vtime.Timer
 	var q workload.Request
 	draw := func() {
@@ -145,10 +145,10 @@
 			if q, ok = p.crowd.Next(); !ok {
 				return
 			}
-			if p.day.Only == nil {
+			if p.day.OnlyRequests == nil {
 				break
 			}
-			if _, is := slices.BinarySearch(p.day.Only, q.Number); is {
+			if _, is := slices.BinarySearch(p.day.OnlyRequests, q.Number); is {
 				break
 			}
 		}
@@ -167,14 +167,14 @@
 	var next vtime.Timer
 	i := 0
 	next.Do = func(now float64) {
-		b := &p.res.Bins[i]
+		b := &p.res.Buckets[i]
 		for _, s := range p.servers {
 			if s.up {
-				b.Up, b.Running, b.Unread = b.Up+1, b.Running+s.pool.Running(), b.Unread+s.pool.Unread()
+				b.NodesUp, b.Running, b.Unread = b.NodesUp+1, b.Running+s.pool.Running(), b.Unread+s.pool.Unread()
 			}
 		}
 		p.res.PeakTimers = max(p.res.PeakTimers, p.k.Len())
-		if i++; i < len(p.res.Bins) {
+		if i++; i < len(p.res.Buckets) {
 			p.k.Set(&next, now+binFor)
 		}
 	}
@@ -199,8 +199,8 @@
 }
 
 func (p *play) broke(format string, args ...any) {
-	if len(p.res.Broken) < 20 {
-		p.res.Broken = append(p.res.Broken, fmt.Sprintf(format, args...))
+	if len(p.res.Violations) < 20 {
+		p.res.Violations = append(p.res.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -290,7 +290,7 @@
 		return
 	}
 	if q.tries == 0 {
-		p.res.Withheld++
+		p.res.Unsent++
 	}
 	p.lose(q)
 }
@@ -387,7 +387,7 @@
 	}
 	now, c := p.k.Now(), p.callers[t.q.Caller]
 	if r.refused || r.lost {
-		p.res.Lost++
+		p.res.Disconnected++
 		c.RecordConnectionFailure(now, t.s.no)
 		if r.refused {
 			p.after(t, callermodel.ConnectFailed)
--- a/internal/emu/fleet/score.go
+++ b/internal/emu/fleet/score.go
@@ -14,13 +14,13 @@
 	binFor    = 500.0
 )
 
-// Bin is a part of a day: worth asked for and worth got in time, by when it was first asked for, and what went on then.
-type Bin struct {
-	Asked, Got     float64
-	Tries, Refused int
-	Running        int // in all pools, at its end
-	Unread         int
-	Up             int // nodes that take connections
+// TimeBucket is a part of a day: worth asked for and worth got in time, by when it was first asked for, and what went on then.
+type TimeBucket struct {
+	OfferedWorth, EarnedWorth float64
+	Tries, Refused            int
+	Running                   int // in all pools, at its end
+	Unread                    int
+	NodesUp                   int // nodes that take connections
 }
 
 // Latencies are the times to the answer of what was served, in milliseconds, to two figures.
@@ -31,8 +31,8 @@
 
 func (l Latencies) add(ms float64) { l.h.RecordValue(int64(math.Round(ms))) }
 
-// At returns the latency that a share of the answers had at most; 0 without answers.
-func (l Latencies) At(share float64) float64 {
+// Quantile returns the latency that a share of the answers had at most; 0 without answers.
+func (l Latencies) Quantile(share float64) float64 {
 	if l.h == nil {
 		return 0
 	}
@@ -60,33 +60,33 @@
 
 // String tells the usual quantiles.
 func (l Latencies) String() string {
-	return fmt.Sprintf("p50 %.0f p90 %.0f p99 %.0f p99.9 %.0f of %d", l.At(0.5), l.At(0.9), l.At(0.99), l.At(0.999), l.Count())
+	return fmt.Sprintf("p50 %.0f p90 %.0f p99 %.0f p99.9 %.0f of %d", l.Quantile(0.5), l.Quantile(0.9), l.Quantile(0.99), l.Quantile(0.999), l.Count())
 }
 
 // Result is what became of a day, as the operators count.
 type Result struct {
-	Requests, Tries       int
-	Repeats               int     // requests that clients made again
-	Goal                  float64 // 0.6 of the whole, 0.2 of the worst 10 s, 0.2 of the worst class
-	Whole                 float64 // worth answered in time over worth asked for, retries credited to the first try
-	WorstWindow, WorstAt  float64
-	WorstClass            float64
-	ByClass               []float64
-	Withheld              int // requests that a caller sent nowhere
-	Refused, Failed, Lost int // tries: turned away, failed, cut off
-	Resets                int // tries whose connection broke without a crash of the node
-	ResetWhy              []string
-	Cancelled             int     // tries that their caller took back
-	Waste                 float64 // work of runs whose answer was of no use, over work of all runs
-	Again                 int     // writes that were run for two tries of theirs
-	Fell                  int     // nodes that fell
-	Offered               float64 // first tries a second
-	Goodput               float64 // requests a second that were served by their aim
-	Latency               Latencies
-	Bins                  []Bin
-	Broken                []string // rules that were broken, with the history
-	Fired                 uint64
-	PeakTimers            int
+	Requests, Tries               int
+	ClientRetries                 int     // requests that clients made again
+	GoalScore                     float64 // 0.6 of the whole, 0.2 of the worst 10 s, 0.2 of the worst class
+	OverallWorthRatio             float64 // worth answered in time over worth asked for, retries credited to the first try
+	WorstWindow, WorstWindowStart float64
+	WorstClass                    float64
+	ClassWorthRatios              []float64
+	Unsent                        int // requests that a caller sent nowhere
+	Refused, Failed, Disconnected int // tries: turned away, failed, cut off
+	Resets                        int // tries whose connection broke without a crash of the node
+	ResetReasons                  []string
+	Cancelled                     int     // tries that their caller took back
+	WastedWorkRatio               float64 // work of runs whose answer was of no use, over work of all runs
+	RepeatedWrites                int     // writes that were run for two tries of theirs
+	OverloadCrashes               int     // nodes that fell
+	OfferedRate                   float64 // first tries a second
+	Goodput                       float64 // requests a second that were served by their aim
+	Latency                       Latencies
+	Buckets                       []TimeBucket
+	Violations                    []string // rules that were broken, with the history
+	TimersFired                   uint64
+	PeakTimers                    int
 }
 
 // score counts as a day goes on.
@@ -98,22 +98,24 @@
 }
 
 func newScore(d *Day, r *Result) *score {
-	r.Bins, r.Latency = make([]Bin, max(1, int(math.Ceil(d.Ms/binFor)))), newLatencies()
+	r.Buckets, r.Latency = make([]TimeBucket, max(1, int(math.Ceil(d.DurationMs/binFor)))), newLatencies()
 	return &score{day: d, res: r, asked: make([]float64, len(d.Classes)), got: make([]float64, len(d.Classes))}
 }
 
 // bin returns the part of the day that a time is in.
-func (s *score) bin(at float64) *Bin { return &s.res.Bins[min(int(at/binFor), len(s.res.Bins)-1)] }
+func (s *score) bin(at float64) *TimeBucket {
+	return &s.res.Buckets[min(int(at/binFor), len(s.res.Buckets)-1)]
+}
 
 // ask counts a request; what clients ask for again was counted the first time.
 func (s *score) ask(q *ask) {
 	if q.RetryCount > 0 {
-		s.res.Repeats++
+		s.res.ClientRetries++
 		return
 	}
 	s.res.Requests++
 	s.asked[q.Class] += s.day.Classes[q.Class].Worth
-	s.bin(q.At).Asked += s.day.Classes[q.Class].Worth
+	s.bin(q.At).OfferedWorth += s.day.Classes[q.Class].Worth
 }
 
 // serve counts a request that was served.
@@ -130,7 +132,7 @@
 		worth = c.Worth * c.LateWorth
 	}
 	s.got[q.Class] += worth
-	s.bin(q.At).Got += worth
+	s.bin(q.At).EarnedWorth += worth
 	s.res.Latency.add(took)
 }
 
@@ -143,34 +145,34 @@
 		}
 		return s
 	}
-	r.Whole, r.WorstClass, r.WorstWindow = sum(s.got)/max(1e-9, sum(s.asked)), 1, 1
+	r.OverallWorthRatio, r.WorstClass, r.WorstWindow = sum(s.got)/max(1e-9, sum(s.asked)), 1, 1
 	for i := range s.asked {
 		share := 1.0
 		if s.asked[i] > 0 {
 			share = s.got[i] / s.asked[i]
 		}
-		r.ByClass = append(r.ByClass, share)
+		r.ClassWorthRatios = append(r.ClassWorthRatios, share)
 		r.WorstClass = min(r.WorstClass, share)
 	}
-	for i := range r.Bins {
-		if share, ok := r.Window(i); ok && share < r.WorstWindow {
-			r.WorstWindow, r.WorstAt = share, float64(i)*binFor
+	for i := range r.Buckets {
+		if share, ok := r.WindowWorthRatio(i); ok && share < r.WorstWindow {
+			r.WorstWindow, r.WorstWindowStart = share, float64(i)*binFor
 		}
 	}
-	r.Goal = 0.6*r.Whole + 0.2*r.WorstWindow + 0.2*r.WorstClass
-	r.Offered, r.Goodput = float64(r.Requests)/s.day.Ms*1000, float64(s.inTime)/s.day.Ms*1000
+	r.GoalScore = 0.6*r.OverallWorthRatio + 0.2*r.WorstWindow + 0.2*r.WorstClass
+	r.OfferedRate, r.Goodput = float64(r.Requests)/s.day.DurationMs*1000, float64(s.inTime)/s.day.DurationMs*1000
 }
 
-// Window returns the share of the worth that was got in the ten seconds from a bin on; ok is false past the end, or where
+// WindowWorthRatio returns the share of the worth that was got in the ten seconds from a bin on; ok is false past the end, or where
 // nothing was asked for.
-func (r *Result) Window(from int) (share float64, ok bool) {
+func (r *Result) WindowWorthRatio(from int) (share float64, ok bool) {
 	long := int(windowFor / binFor)
-	if from+long > len(r.Bins) {
+	if from+long > len(r.Buckets) {
 		return 0, false
 	}
 	a, g := 0.0, 0.0
-	for _, b := range r.Bins[from : from+long] {
-		a, g = a+b.Asked, g+b.Got
+	for _, b := range r.Buckets[from : from+long] {
+		a, g = a+b.OfferedWorth, g+b.EarnedWorth
 	}
 	return g / max(1e-9, a), a > 0
 }
@@ -180,18 +182,18 @@
 
 // PeakRuns returns the most runs that a node of those that were up had in the mean, over two seconds.
 func (r *Result) PeakRuns() (most float64) {
-	for i := peakOver; i <= len(r.Bins); i++ {
+	for i := peakOver; i <= len(r.Buckets); i++ {
 		runs, up := 0, 0
-		for _, b := range r.Bins[i-peakOver : i] {
-			runs, up = runs+b.Running, up+b.Up
+		for _, b := range r.Buckets[i-peakOver : i] {
+			runs, up = runs+b.Running, up+b.NodesUp
 		}
 		most = max(most, float64(runs)/float64(max(1, up)))
 	}
 	return most
 }
 
-// BinMs is the length of a Bin.
-func BinMs() float64 { return binFor }
+// BucketMs is the length of a TimeBucket.
+func BucketMs() float64 { return binFor }
 
 // sorted lists the numbers of tries in order.
 func sorted(all map[int]*try) (out []int) {
--- a/internal/emu/fleet/server.go
+++ b/internal/emu/fleet/server.go
@@ -22,11 +22,13 @@
 	sockets   = 1024
 )
 
-// Make makes a node of a fleet.
-type Make func(s whinrudder.Settings, seed uint64) (baseline.Node, error)
+// NodeFactory makes a node of a fleet.
+type NodeFactory func(s whinrudder.Settings, seed uint64) (baseline.Node, error)
 
-// Module makes nodes with the inherited module.
-func Module(s whinrudder.Settings, seed uint64) (baseline.Node, error) { return core.New(s, seed) }
+// NewModuleNode makes nodes with the inherited module.
+func NewModuleNode(s whinrudder.Settings, seed uint64) (baseline.Node, error) {
+	return core.New(s, seed)
+}
 
 // server is a place in the fleet and the node that has it now.
 type server struct {
@@ -92,13 +94,13 @@
 
 func (t *try) mark(what string) { t.history = append(t.history, mark{t.s.p.k.Now(), what}) }
 
-// Ender is a node that has to be told of its end: it was killed, or it has left by itself.
-type Ender interface{ End(killed bool) }
+// Terminator is a node that has to be told of its end: it was killed, or it has left by itself.
+type Terminator interface{ Terminate(killed bool) }
 
-// Reset is what a node that is more than its core tells of a try whose connection broke, and why.
-type Reset struct {
+// ConnectionReset is what a node that is more than its core tells of a try whose connection broke, and why.
+type ConnectionReset struct {
 	core.Reply // its sink alone counts
-	Why        string
+	Reason     string
 }
 
 // start brings a node up in its place.
@@ -142,8 +144,8 @@
 	s.life++
 	s.p.k.Cancel(&s.tick)
 	s.p.silent(s, true)
-	if e, ok := s.node.(Ender); ok {
-		e.End(why != "stopped")
+	if e, ok := s.node.(Terminator); ok {
+		e.Terminate(why != "stopped")
 	}
 	for _, n := range sorted(s.tries) {
 		t := s.tries[n]
@@ -179,10 +181,10 @@
 	}
 	s.draining, s.notice = true, s.p.k.Now()
 	life := s.life
-	s.tell(core.Leave{StopAt: s.notice + s.p.day.Stop})
+	s.tell(core.Leave{StopAt: s.notice + s.p.day.StopDelay})
 	s.p.list.Leave(s.notice, s.no)
 	s.p.watch()
-	s.p.k.After(s.p.day.Stop, func(float64) { s.over(life) })
+	s.p.k.After(s.p.day.StopDelay, func(float64) { s.over(life) })
 }
 
 // over ends a node that has drained, and starts its successor.
@@ -287,7 +289,7 @@
 
 // fall ends a node that took on too much; it comes back cold.
 func (s *server) fall(why string) {
-	s.p.res.Fell++
+	s.p.res.OverloadCrashes++
 	s.die(why)
 	s.p.k.After(fallenFor, func(float64) { s.start(true) })
 }
@@ -344,12 +346,12 @@
 			}
 		}
 		s.p.reach(t, func(float64) { s.p.heard(t, r) })
-	case Reset:
+	case ConnectionReset:
 		t := o.To.(*try)
-		t.mark("reset: " + o.Why)
+		t.mark("reset: " + o.Reason)
 		t.gone = true // nobody is left who could be answered
-		if s.p.res.Resets++; len(s.p.res.ResetWhy) < 10 {
-			s.p.res.ResetWhy = append(s.p.res.ResetWhy, fmt.Sprintf("%s (draining %v): %s", t.name(), s.draining, t.tale()))
+		if s.p.res.Resets++; len(s.p.res.ResetReasons) < 10 {
+			s.p.res.ResetReasons = append(s.p.res.ResetReasons, fmt.Sprintf("%s (draining %v): %s", t.name(), s.draining, t.tale()))
 		}
 		s.forget(t)
 		s.p.reach(t, func(float64) { s.p.heard(t, reply{lost: true}) })
@@ -368,7 +370,7 @@
 		case t.ran:
 			s.p.broke("duplicate: %s runs twice: %s", t.name(), t.tale())
 			return
-		case t.came > s.notice+s.p.day.Drain+50 && s.stallTo < s.notice:
+		case t.came > s.notice+s.p.day.DrainGrace+50 && s.stallTo < s.notice:
 			s.p.broke("drain: %s came too late to be run: %s", t.name(), t.tale())
 		}
 		t.ran, t.running = true, true
@@ -376,7 +378,7 @@
 		t.mark("run")
 		if t.q.write {
 			if t.q.runs++; t.q.runs > 1 {
-				s.p.res.Again++ // by two tries: what callers do, not a broken rule
+				s.p.res.RepeatedWrites++ // by two tries: what callers do, not a broken rule
 			}
 		}
 		s.p.started += t.q.Work.Run
--- a/internal/emu/hunt/hunt.go
+++ b/internal/emu/hunt/hunt.go
@@ -127,9 +127,9 @@
 		day  fleet.Day
 	}
 	var parts []part
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		w := d
-		w.Troubles = slices.Delete(slices.Clone(d.Troubles), i, i+1)
+		w.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
 		parts = append(parts, part{fmt.Sprintf("%s at %.0f s", t.Kind, t.At/1000), w})
 	}
 	with := func(what string, is bool, do func(*fleet.Day)) {
@@ -157,8 +157,8 @@
 		}
 	})
 	with("a cold fleet", cold, func(w *fleet.Day) { w.ColdFleet = false })
-	with("clients that ask again", d.Repeats.Share > 0, func(w *fleet.Day) { w.Repeats.Share = 0 })
-	with("a late list", d.ListLag+d.Session > 0, func(w *fleet.Day) { w.ListLag, w.Session = 0, 0 })
+	with("clients that ask again", d.ClientRetries.Share > 0, func(w *fleet.Day) { w.ClientRetries.Share = 0 })
+	with("a late list", d.ListLag+d.SessionTimeout > 0, func(w *fleet.Day) { w.ListLag, w.SessionTimeout = 0, 0 })
 	with("a load over 0.7", d.Load > 0.7, func(w *fleet.Day) { w.Load = 0.7 })
 	results := vtime.ParallelMap(len(parts)+1, runtime.GOMAXPROCS(0), func(i int) fleet.Result {
 		if i == 0 {
@@ -167,14 +167,14 @@
 		return play(parts[i-1].day)
 	})
 	worst = results[0]
-	from := int(worst.WorstAt / fleet.BinMs())
+	from := int(worst.WorstWindowStart / fleet.BucketMs())
 	for i, p := range parts {
 		r := results[i+1]
-		share, ok := r.Window(from)
+		share, ok := r.WindowWorthRatio(from)
 		if !ok {
 			share = r.WorstWindow
 		}
-		if c := (Cause{p.what, r.Goal - worst.Goal, share - worst.WorstWindow}); c.At > 0.005 || c.Goal > 0.005 {
+		if c := (Cause{p.what, r.GoalScore - worst.GoalScore, share - worst.WorstWindow}); c.At > 0.005 || c.Goal > 0.005 {
 			out = append(out, c)
 		}
 	}
--- a/internal/emu/hunt/hunt_test.go
+++ b/internal/emu/hunt/hunt_test.go
@@ -40,12 +40,12 @@
 
 // The part of a day that cost most is named first, and parts that cost nothing are not.
 func TestCauses(t *testing.T) {
-	d := fleet.Usual(3)
-	d.Ms, d.Load = 40000, 0.5
-	d.Troubles = []fleet.Trouble{{Kind: fleet.Outage, At: 2000, For: 5000}, {Kind: fleet.Pause, At: 12000, For: 9000, Share: 1}}
-	r, causes := Causes(d, func(d fleet.Day) fleet.Result { return fleet.Play(d, fleet.Module) })
+	d := fleet.DefaultDay(3)
+	d.DurationMs, d.Load = 40000, 0.5
+	d.Faults = []fleet.Fault{{Kind: fleet.EnsembleOutage, At: 2000, Duration: 5000}, {Kind: fleet.PoolPause, At: 12000, Duration: 9000, Share: 1}}
+	r, causes := Causes(d, func(d fleet.Day) fleet.Result { return fleet.Simulate(d, fleet.NewModuleNode) })
 	if len(causes) == 0 || causes[0].What != "pause at 12 s" || causes[0].At < 0.3 || r.WorstWindow > 0.7 {
-		t.Errorf("worst %.3f at %.0f: %+v", r.WorstWindow, r.WorstAt, causes)
+		t.Errorf("worst %.3f at %.0f: %+v", r.WorstWindow, r.WorstWindowStart, causes)
 	}
 	for _, c := range causes {
 		if c.What == "outage at 2 s" {
--- a/internal/emu/live/clients.go
+++ b/internal/emu/live/clients.go
@@ -70,7 +70,7 @@
 	if d.Nodes > maxNodes {
 		return c, fmt.Errorf("live: %d nodes, %d at most", d.Nodes, maxNodes)
 	}
-	if rate := d.Clients().Rate * 1000; rate > maxRate {
+	if rate := d.Workload().Rate * 1000; rate > maxRate {
 		return c, fmt.Errorf("live: %.0f requests a second, %.0f at most", rate, maxRate)
 	}
 	c = Calls{Reasons: map[string]int{}}
@@ -86,10 +86,10 @@
 	defer h.stop()
 	b := &book{works: map[string]workers.Work{}, runs: map[string]int{}}
 	quiet := d
-	quiet.Only = []int{}
+	quiet.OnlyRequests = []int{}
 	var fault, loadFault error
 	var load sync.WaitGroup
-	r := fleet.PlayBy(quiet, h.make, func(k *vtime.Kernel, to float64, poke func()) {
+	r := fleet.SimulateWith(quiet, h.make, func(k *vtime.Kernel, to float64, poke func()) {
 		load.Go(func() {
 			if err := b.load(ctx, h, proxy, protocol, &c); err != nil {
 				loadFault = err
@@ -98,7 +98,7 @@
 		fault = h.drive(ctx, k, to, poke)
 	}, b.run)
 	load.Wait()
-	c.Broken = r.Broken
+	c.Broken = r.Violations
 	for no, n := range b.runs {
 		c.Runs += n
 		if n > 1 {
@@ -158,7 +158,7 @@
 	}
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	crowd := workload.New(d.Clients(), d.Seed)
+	crowd := workload.New(d.Workload(), d.Seed)
 	for q, ok := crowd.Next(); ok; q, ok = crowd.Next() {
 		at := h.start.Add(time.Duration(q.At * float64(time.Millisecond)))
 		select {
--- a/internal/emu/live/live.go
+++ b/internal/emu/live/live.go
@@ -59,8 +59,8 @@
 	if d.Nodes > maxNodes {
 		return r, fmt.Errorf("live: %d nodes, %d at most", d.Nodes, maxNodes)
 	}
-	for _, t := range d.Troubles {
-		if t.Kind == fleet.Clock {
+	for _, t := range d.Faults {
+		if t.Kind == fleet.ClockSkew {
 			return r, fmt.Errorf("live: the clock of one process can't be set apart from the others'")
 		}
 	}
@@ -73,7 +73,7 @@
 	h := &Host{Program: program, day: d, dir: dir, begun: make(chan struct{})}
 	defer h.stop()
 	var fault error
-	r = fleet.PlayBy(d, h.make, func(k *vtime.Kernel, to float64, poke func()) { fault = h.drive(ctx, k, to, poke) }, nil)
+	r = fleet.SimulateWith(d, h.make, func(k *vtime.Kernel, to float64, poke func()) { fault = h.drive(ctx, k, to, poke) }, nil)
 	return r, fault
 }
 
@@ -296,7 +296,7 @@
 	}
 }
 
-// End ends the process.
+// Terminate ends the process.
 func (n *node) End(bool) {
 	n.process.Process.Kill()
 	n.cancel()
@@ -314,7 +314,7 @@
 	switch {
 	case n.gone || errors.Is(err, context.Canceled): // it died, which the fleet knows, or its caller left
 	case err != nil:
-		n.out = append(n.out, fleet.Reset{Reply: core.Reply{To: r.To}, Why: err.Error()})
+		n.out = append(n.out, fleet.ConnectionReset{Reply: core.Reply{To: r.To}, Reason: err.Error()})
 	default:
 		a.ID = r.ID
 		n.out = append(n.out, core.Reply{To: r.To, Answer: a})
@@ -374,7 +374,7 @@
 			"late_worth": c.LateWorth, "repeat": repeat})
 	}
 	return json.Marshal(object{"name": name, "listen": listen, "pool": pool, "announce": "127.0.0.1:9", "seed": strconv.FormatUint(seed, 16),
-		"stop_ms": d.Stop - stopFor, "limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"stop_ms": d.StopDelay - stopFor, "limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"settings": object{"servers": s.Servers, "tick_ms": s.Tick, "profiles": profiles,
 			"specifics": object{"below": "silent", "callers": s.Callers, "cores": s.Cores, "cold": s.Cold, "halt": "abort", "say": "window",
 				"heard_for_ms": s.HeardFor, "keepalive_max_ms": s.KeepAlive, "ram_kb": s.Memory, "run_factor": s.RunFactor, "entry_kb": s.EntryKB,
--- a/internal/emu/live/live_test.go
+++ b/internal/emu/live/live_test.go
@@ -16,7 +16,7 @@
 
 // A process is configured as the emulated node is.
 func TestConfig(t *testing.T) {
-	d := fleet.Usual(1)
+	d := fleet.DefaultDay(1)
 	text, err := config(d, d.Settings(true), "n1", "127.0.0.1:1", "127.0.0.1:2", 7)
 	if err != nil {
 		t.Fatal(err)
@@ -53,17 +53,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Requests < 50 || r.Latency.Count() == 0 || r.Bins[2].Up != 1 || r.Bins[5].Up != 2 {
+	if r.Requests < 50 || r.Latency.Count() == 0 || r.Buckets[2].NodesUp != 1 || r.Buckets[5].NodesUp != 2 {
 		t.Errorf("%+v", r)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Log(b) // on a machine that stands still for seconds an answer is late
 	}
 	d.Nodes = maxNodes + 1
 	if _, err := Play(ctx, program, d); err == nil {
 		t.Error("too many nodes are played")
 	}
-	if _, err := Play(ctx, filepath.Join(t.TempDir(), "none"), fleet.Day{Nodes: 1, Cores: 1, Classes: d.Classes, Callers: d.Callers, Ms: 1000, Load: 0.1}); err == nil {
+	if _, err := Play(ctx, filepath.Join(t.TempDir(), "none"), fleet.Day{Nodes: 1, Cores: 1, Classes: d.Classes, Callers: d.Callers, DurationMs: 1000, Load: 0.1}); err == nil {
 		t.Error("a program that is not there is played")
 	}
 }
--- a/internal/emu/report/report.go
+++ b/internal/emu/report/report.go
@@ -34,15 +34,15 @@
 // Day draws a day that was played, with its troubles shaded: worth answered in time, tries a request, what runs in the fleet.
 func Day(title string, d fleet.Day, plays []Play) ([]byte, error) {
 	var shades []chart.Shade
-	for _, t := range d.Troubles {
-		shades = append(shades, chart.Shade{From: t.At / 1000, To: (t.At + t.For) / 1000, Name: t.Kind.String()})
+	for _, t := range d.Faults {
+		shades = append(shades, chart.Shade{From: t.At / 1000, To: (t.At + t.Duration) / 1000, Name: t.Kind.String()})
 	}
-	series := func(of func(part []fleet.Bin) float64) (out []chart.Line) {
+	series := func(of func(part []fleet.TimeBucket) float64) (out []chart.Line) {
 		for _, p := range plays {
 			l := chart.Line{Name: p.Name}
-			for i := smooth; i <= len(p.Result.Bins); i++ {
-				l.X = append(l.X, float64(i)*fleet.BinMs()/1000)
-				l.Y = append(l.Y, of(p.Result.Bins[i-smooth:i]))
+			for i := smooth; i <= len(p.Result.Buckets); i++ {
+				l.X = append(l.X, float64(i)*fleet.BucketMs()/1000)
+				l.Y = append(l.Y, of(p.Result.Buckets[i-smooth:i]))
 			}
 			out = append(out, l)
 		}
@@ -53,21 +53,21 @@
 		asked += c.Share * c.Worth
 	}
 	return chart.SVG(
-		chart.Panel{Title: title, Y: "worth in time, share", High: 1.02, Shades: shades, Lines: series(func(part []fleet.Bin) float64 {
+		chart.Panel{Title: title, Y: "worth in time, share", High: 1.02, Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
 			a, g := 0.0, 0.0
 			for _, b := range part {
-				a, g = a+b.Asked, g+b.Got
+				a, g = a+b.OfferedWorth, g+b.EarnedWorth
 			}
 			return g / max(1e-9, a)
 		})},
-		chart.Panel{Y: "tries a request", Shades: shades, Lines: series(func(part []fleet.Bin) float64 {
+		chart.Panel{Y: "tries a request", Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
 			a, n := 0.0, 0
 			for _, b := range part {
-				a, n = a+b.Asked, n+b.Tries
+				a, n = a+b.OfferedWorth, n+b.Tries
 			}
 			return float64(n) * asked / max(1e-9, a)
 		})},
-		chart.Panel{X: "seconds", Y: "runs in the fleet", Shades: shades, Lines: series(func(part []fleet.Bin) float64 {
+		chart.Panel{X: "seconds", Y: "runs in the fleet", Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
 			n := 0
 			for _, b := range part {
 				n += b.Running
@@ -212,21 +212,21 @@
 // Text tells a result of a day as people read it.
 func Text(d fleet.Day, plays []Play) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d, %d nodes of %d cores, %d callers, load %.2f, %.0f s\n", uint64(d.Seed), d.Nodes, d.Cores, len(d.Callers), d.Load, d.Ms/1000)
-	for _, t := range d.Troubles {
-		fmt.Fprintf(&b, "  %5.1f to %5.1f s  %-9s share %.2f, factor %.2f\n", t.At/1000, (t.At+t.For)/1000, t.Kind, t.Share, t.Factor)
+	fmt.Fprintf(&b, "seed %d, %d nodes of %d cores, %d callers, load %.2f, %.0f s\n", uint64(d.Seed), d.Nodes, d.Cores, len(d.Callers), d.Load, d.DurationMs/1000)
+	for _, t := range d.Faults {
+		fmt.Fprintf(&b, "  %5.1f to %5.1f s  %-9s share %.2f, factor %.2f\n", t.At/1000, (t.At+t.Duration)/1000, t.Kind, t.Share, t.Factor)
 	}
 	fmt.Fprintf(&b, "%-12s %6s %6s %13s %6s %9s %8s %6s %6s %5s %7s  %s\n", "", "goal", "whole", "worst 10 s at", "class", "requests", "tries", "waste", "again",
 		"fell", "broken", "latency in ms")
 	for _, p := range plays {
 		r := p.Result
-		fmt.Fprintf(&b, "%-12s %6.3f %6.3f %6.3f %4.0f s %6.3f %9d %8.2f %6.3f %6d %5d %7d  %v\n", p.Name, r.Goal, r.Whole, r.WorstWindow, r.WorstAt/1000,
-			r.WorstClass, r.Requests, float64(r.Tries)/float64(max(1, r.Requests)), r.Waste, r.Again, r.Fell, len(r.Broken), r.Latency)
-		for _, x := range r.Broken {
+		fmt.Fprintf(&b, "%-12s %6.3f %6.3f %6.3f %4.0f s %6.3f %9d %8.2f %6.3f %6d %5d %7d  %v\n", p.Name, r.GoalScore, r.OverallWorthRatio, r.WorstWindow, r.WorstWindowStart/1000,
+			r.WorstClass, r.Requests, float64(r.Tries)/float64(max(1, r.Requests)), r.WastedWorkRatio, r.RepeatedWrites, r.OverloadCrashes, len(r.Violations), r.Latency)
+		for _, x := range r.Violations {
 			fmt.Fprintln(&b, "   ", x)
 		}
 		if r.Resets > 0 {
-			fmt.Fprintf(&b, "    %d connections broke without a crash: %s\n", r.Resets, strings.Join(r.ResetWhy, "\n      "))
+			fmt.Fprintf(&b, "    %d connections broke without a crash: %s\n", r.Resets, strings.Join(r.ResetReasons, "\n      "))
 		}
 	}
 	return b.String()
@@ -241,16 +241,16 @@
 			fmt.Fprintf(&b, "%-14s %9.3f %9.3f %+9.3f\n", m.Name, x, y, x-y)
 		}
 	}
-	for i := range emulated.ByClass {
-		x, y := emulated.ByClass[i], real.ByClass[i]
+	for i := range emulated.ClassWorthRatios {
+		x, y := emulated.ClassWorthRatios[i], real.ClassWorthRatios[i]
 		fmt.Fprintf(&b, "%-14s %9.3f %9.3f %+9.3f\n", fmt.Sprint("class ", i), x, y, x-y)
 	}
 	var off float64
 	n := 0
-	for i := 0; i+smooth <= min(len(emulated.Bins), len(real.Bins)); i += smooth {
+	for i := 0; i+smooth <= min(len(emulated.Buckets), len(real.Buckets)); i += smooth {
 		a, x, y := 0.0, 0.0, 0.0
 		for j := i; j < i+smooth; j++ {
-			a, x, y = a+emulated.Bins[j].Asked, x+emulated.Bins[j].Got, y+real.Bins[j].Got
+			a, x, y = a+emulated.Buckets[j].OfferedWorth, x+emulated.Buckets[j].EarnedWorth, y+real.Buckets[j].EarnedWorth
 		}
 		if a > 0 {
 			off += math.Abs(x-y) / a
--- a/internal/emu/shrink/shrink.go
+++ b/internal/emu/shrink/shrink.go
@@ -68,19 +68,19 @@
 }
 
 func (s *shrinker) troubles() {
-	for i := len(s.day.Troubles) - 1; i >= 0; i-- {
+	for i := len(s.day.Faults) - 1; i >= 0; i-- {
 		d := s.day
-		d.Troubles = slices.Delete(slices.Clone(d.Troubles), i, i+1)
-		s.try("no "+s.day.Troubles[i].Kind.String(), d)
+		d.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
+		s.try("no "+s.day.Faults[i].Kind.String(), d)
 	}
 }
 
 // time ends the day sooner, and troubles with it.
 func (s *shrinker) time() {
 	for _, share := range []float64{0.5, 0.75, 0.9} {
-		for s.day.Ms > 1000 {
+		for s.day.DurationMs > 1000 {
 			d := s.day
-			if d.Ms *= share; !s.try("shorter", d) {
+			if d.DurationMs *= share; !s.try("shorter", d) {
 				break
 			}
 		}
@@ -126,12 +126,12 @@
 		do   func(d *fleet.Day)
 	}{
 		{"a warm fleet", func(d *fleet.Day) bool { return d.ColdFleet }, func(d *fleet.Day) { d.ColdFleet = false }},
-		{"clients ask once", func(d *fleet.Day) bool { return d.Repeats.Share > 0 }, func(d *fleet.Day) { d.Repeats.Share = 0 }},
-		{"no loss", func(d *fleet.Day) bool { return d.Loss > 0 }, func(d *fleet.Day) { d.Loss = 0 }},
-		{"a list that hears at once", func(d *fleet.Day) bool { return d.ListLag+d.Session > 0 }, func(d *fleet.Day) { d.ListLag, d.Session = 0, 0 }},
+		{"clients ask once", func(d *fleet.Day) bool { return d.ClientRetries.Share > 0 }, func(d *fleet.Day) { d.ClientRetries.Share = 0 }},
+		{"no loss", func(d *fleet.Day) bool { return d.LossRate > 0 }, func(d *fleet.Day) { d.LossRate = 0 }},
+		{"a list that hears at once", func(d *fleet.Day) bool { return d.ListLag+d.SessionTimeout > 0 }, func(d *fleet.Day) { d.ListLag, d.SessionTimeout = 0, 0 }},
 		{"one class", func(d *fleet.Day) bool { return len(d.Classes) > 1 }, func(d *fleet.Day) { d.Classes = only(d.Classes, 0) }},
 		{"the last class", func(d *fleet.Day) bool { return len(d.Classes) > 1 }, func(d *fleet.Day) { d.Classes = only(d.Classes, len(d.Classes)-1) }},
-		{"even work", func(d *fleet.Day) bool { return d.Spread > 0 }, func(d *fleet.Day) { d.Spread = 0 }},
+		{"even work", func(d *fleet.Day) bool { return d.WorkCV > 0 }, func(d *fleet.Day) { d.WorkCV = 0 }},
 	} {
 		if c.is(&s.day) {
 			d := s.day
@@ -149,7 +149,7 @@
 
 // requests leaves out as many requests as it can, by delta debugging: parts of the list are left out, finer and finer.
 func (s *shrinker) requests(n int) {
-	all := s.day.Only
+	all := s.day.OnlyRequests
 	if all == nil {
 		for i := range n {
 			all = append(all, i)
@@ -160,9 +160,9 @@
 		cut := false
 		for from := 0; from < len(all); from += size {
 			d := s.day
-			d.Only = slices.Delete(slices.Clone(all), from, min(from+size, len(all)))
+			d.OnlyRequests = slices.Delete(slices.Clone(all), from, min(from+size, len(all)))
 			if s.try("fewer requests", d) {
-				all, cut = d.Only, true
+				all, cut = d.OnlyRequests, true
 				parts = max(2, parts-1)
 				break
 			}
--- a/internal/emu/shrink/shrink_test.go
+++ b/internal/emu/shrink/shrink_test.go
@@ -44,24 +44,24 @@
 // or two; the file of the small day breaks the same rule again.
 func TestASeededFaultIsShrunk(t *testing.T) {
 	play := func(d fleet.Day) fleet.Result {
-		return fleet.Play(d, func(s whinrudder.Settings, seed uint64) (baseline.Node, error) {
-			n, err := fleet.Module(s, seed)
+		return fleet.Simulate(d, func(s whinrudder.Settings, seed uint64) (baseline.Node, error) {
+			n, err := fleet.NewModuleNode(s, seed)
 			return &forgetful{Node: n, came: map[string]float64{}}, err
 		})
 	}
-	d := fleet.Usual(4)
-	d.Ms = 30000
-	d.Troubles = []fleet.Trouble{{Kind: fleet.Burst, At: 1000, For: 4000, Factor: 1.5}, {Kind: fleet.Crawl, At: 2000, For: 9000, Share: 0.2, Factor: 5},
-		{Kind: fleet.Deploy, At: 9000, For: 10000, Share: 0.8}, {Kind: fleet.Crash, At: 12000, For: 5000, Share: 0.2}}
+	d := fleet.DefaultDay(4)
+	d.DurationMs = 30000
+	d.Faults = []fleet.Fault{{Kind: fleet.Burst, At: 1000, Duration: 4000, Factor: 1.5}, {Kind: fleet.Slowdown, At: 2000, Duration: 9000, Share: 0.2, Factor: 5},
+		{Kind: fleet.Deploy, At: 9000, Duration: 10000, Share: 0.8}, {Kind: fleet.Crash, At: 12000, Duration: 5000, Share: 0.2}}
 	breaks := func(d fleet.Day) bool {
-		return slices.ContainsFunc(play(d).Broken, func(b string) bool { return Rule(b) == "lost" })
+		return slices.ContainsFunc(play(d).Violations, func(b string) bool { return Rule(b) == "lost" })
 	}
 	if !breaks(d) {
 		t.Fatal("the fault does not show itself")
 	}
 	small, steps := Day(d, breaks, func(d fleet.Day) int { return play(d).Requests }, 600)
-	if len(small.Troubles) != 1 || small.Troubles[0].Kind != fleet.Deploy || small.Nodes > 2 || len(small.Callers) != 1 || len(small.Only) > 3 || len(small.Only) == 0 {
-		t.Errorf("%d nodes, callers %v, troubles %v, requests %v after %d cuts", small.Nodes, small.Callers, small.Troubles, small.Only, len(steps))
+	if len(small.Faults) != 1 || small.Faults[0].Kind != fleet.Deploy || small.Nodes > 2 || len(small.Callers) != 1 || len(small.OnlyRequests) > 3 || len(small.OnlyRequests) == 0 {
+		t.Errorf("%d nodes, callers %v, troubles %v, requests %v after %d cuts", small.Nodes, small.Callers, small.Faults, small.OnlyRequests, len(steps))
 	}
 	e, err := experiment.Parse(experiment.Write(small, "module"), "", nil)
 	if err != nil {
@@ -71,7 +71,7 @@
 	if err != nil || !breaks(again) {
 		t.Errorf("the file breaks nothing: %v", err)
 	}
-	if b := play(again).Broken; len(b) == 0 || !strings.Contains(b[0], "read; ") {
+	if b := play(again).Violations; len(b) == 0 || !strings.Contains(b[0], "read; ") {
 		t.Errorf("the history is %v", b)
 	}
 }
@@ -79,21 +79,21 @@
 // Whatever a fault hangs on, what is left holds it, nothing of it can be left out, and the bound on plays is kept.
 func TestNothingIsLeftThatIsOfNoUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := fleet.Usual(1)
+		d := fleet.DefaultDay(1)
 		for k := range rapid.IntRange(0, 6).Draw(t, "troubles") {
-			d.Troubles = append(d.Troubles, fleet.Trouble{Kind: fleet.Kind(k), At: 1, For: 1})
+			d.Faults = append(d.Faults, fleet.Fault{Kind: fleet.FaultKind(k), At: 1, Duration: 1})
 		}
-		kind := fleet.Kind(rapid.IntRange(0, len(d.Troubles)).Draw(t, "needs")) // the last: none of them
+		kind := fleet.FaultKind(rapid.IntRange(0, len(d.Faults)).Draw(t, "needs")) // the last: none of them
 		nodes := rapid.IntRange(1, 14).Draw(t, "nodes")
 		requests := rapid.SliceOfNDistinct(rapid.IntRange(0, 99), 1, 4, rapid.ID[int]).Draw(t, "requests")
 		asked := 0
 		breaks := func(d fleet.Day) bool {
 			asked++
-			if d.Nodes < nodes || needs(kind) && !slices.ContainsFunc(d.Troubles, func(t fleet.Trouble) bool { return t.Kind == kind }) {
+			if d.Nodes < nodes || needs(kind) && !slices.ContainsFunc(d.Faults, func(t fleet.Fault) bool { return t.Kind == kind }) {
 				return false
 			}
 			for _, n := range requests {
-				if d.Only != nil && !slices.Contains(d.Only, n) {
+				if d.OnlyRequests != nil && !slices.Contains(d.OnlyRequests, n) {
 					return false
 				}
 			}
@@ -109,9 +109,9 @@
 		if needs(kind) {
 			want = 1
 		}
-		if !breaks(small) || small.Nodes != nodes || len(small.Troubles) != want || !slices.Equal(small.Only, requests) || asked > 3001 ||
-			len(small.Callers) != 1 || small.Callers[0] != (callermodel.Behavior{MaxTries: 1, HonorsCredit: true, TryTimeoutRatio: 0.6}) || small.Ms > 2000 {
-			t.Fatalf("%d nodes of %d, troubles %v, requests %v of %v, %d plays", small.Nodes, nodes, small.Troubles, small.Only, requests, asked)
+		if !breaks(small) || small.Nodes != nodes || len(small.Faults) != want || !slices.Equal(small.OnlyRequests, requests) || asked > 3001 ||
+			len(small.Callers) != 1 || small.Callers[0] != (callermodel.Behavior{MaxTries: 1, HonorsCredit: true, TryTimeoutRatio: 0.6}) || small.DurationMs > 2000 {
+			t.Fatalf("%d nodes of %d, troubles %v, requests %v of %v, %d plays", small.Nodes, nodes, small.Faults, small.OnlyRequests, requests, asked)
 		}
 		asked = 0
 		if Day(d, breaks, func(fleet.Day) int { return 100 }, 7); asked > 7 {
@@ -120,4 +120,4 @@
 	})
 }
 
-func needs(k fleet.Kind) bool { return k%2 == 0 }
+func needs(k fleet.FaultKind) bool { return k%2 == 0 }
--- a/internal/emu/study/speed.go
+++ b/internal/emu/study/speed.go
@@ -25,15 +25,15 @@
 // Speed plays the usual day for some seconds with so many nodes, and callers in proportion, on one core's worth of work.
 func Speed(nodes []int, seconds float64) (out []SpeedRun) {
 	for _, n := range nodes {
-		d := fleet.Usual(1)
-		d.Nodes, d.Ms = n, 1000*seconds
+		d := fleet.DefaultDay(1)
+		d.Nodes, d.DurationMs = n, 1000*seconds
 		for len(d.Callers) < n*3/10 {
 			d.Callers = append(d.Callers, d.Callers[len(d.Callers)%4])
 		}
 		runtime.GC()
 		most, stop := peak()
 		began := time.Now()
-		r := fleet.Play(d, fleet.Module)
+		r := fleet.Simulate(d, fleet.NewModuleNode)
 		took := time.Since(began).Seconds()
 		stop()
 		out = append(out, SpeedRun{n, len(d.Callers), r.Requests, r.Tries, seconds, took, most.Load()})
--- a/internal/emu/study/study.go
+++ b/internal/emu/study/study.go
@@ -133,8 +133,8 @@
 		return Played{}, err
 	}
 	v := e.Variants[variant]
-	r := fleet.Play(d, v.Policy.Make())
-	p := Played{Family: e.Name, Variant: v.Name, X: x, Seed: uint64(seed), Fell: r.Fell, Broken: r.Broken, Latency: r.Latency}
+	r := fleet.Simulate(d, v.Policy.Make())
+	p := Played{Family: e.Name, Variant: v.Name, X: x, Seed: uint64(seed), Fell: r.OverloadCrashes, Broken: r.Violations, Latency: r.Latency}
 	for _, m := range e.Measure {
 		p.Values = append(p.Values, experiment.MeasureOf(m).Of(&r))
 	}
