--- a/cmd/whinrudder-kit/days.go
+++ b/cmd/whinrudder-kit/days.go
@@ -21,7 +21,7 @@
 
 // load reads an experiment: a file, or one that ships with the kit by its name.
 func load(name string) (*experiment.Experiment, error) {
-	text, ok := experiment.Text(name)
+	text, ok := experiment.FamilySource(name)
 	if !ok {
 		var err error
 		if text, err = os.ReadFile(name); err != nil {
@@ -48,21 +48,21 @@
 			}
 		}
 		if c.IsSet("first-seed") {
-			e.First = vtime.Seed(c.Uint64("first-seed"))
+			e.FirstSeed = vtime.Seed(c.Uint64("first-seed"))
 		}
 		if c.IsSet("effect") {
-			e.Effect, e.Stop = c.Float("effect"), true
+			e.MinEffect, e.StopEarly = c.Float("effect"), true
 		}
 		if m := c.StringSlice("measure"); len(m) > 0 {
 			for _, name := range m {
-				if experiment.MeasureOf(name) == nil {
+				if experiment.MeasureByName(name) == nil {
 					return nil, fmt.Errorf("lab: measure %q is none of %s", name, strings.Join(experiment.MeasureNames(), ", "))
 				}
 			}
-			e.Measure = m
+			e.Measures = m
 		}
 		if p := c.StringSlice("policy"); len(p) > 0 {
-			if err := e.Compare(p); err != nil {
+			if err := e.SetPolicies(p); err != nil {
 				return nil, err
 			}
 		}
@@ -149,14 +149,14 @@
 		if i == 0 {
 			d = w
 		}
-		out = append(out, report.Play{Name: v.Name, Result: fleet.Simulate(w, v.Policy.Make())})
+		out = append(out, report.Play{Name: v.Name, Result: fleet.Simulate(w, v.Policy.NodeFactory())})
 	}
 	return d, out, nil
 }
 
 // variant returns what plays a day as the first variant of an experiment does.
 func variant(e *experiment.Experiment) func(fleet.Day) fleet.Result {
-	make := e.Variants[0].Policy.Make()
+	make := e.Variants[0].Policy.NodeFactory()
 	return func(d fleet.Day) fleet.Result { return fleet.Simulate(d, make) }
 }
 
@@ -195,13 +195,13 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.NArg() == 0 {
 				for _, f := range experiment.Families() {
-					text, _ := experiment.Text(f)
+					text, _ := experiment.FamilySource(f)
 					first, _, _ := strings.Cut(string(text), "\n")
 					fmt.Fprintf(out, "%-10s %s\n", f, strings.TrimPrefix(first, "// "))
 				}
 				return nil
 			}
-			text, ok := experiment.Text(c.Args().First())
+			text, ok := experiment.FamilySource(c.Args().First())
 			if !ok {
 				return fmt.Errorf("lab: no day %q ships", c.Args().First())
 			}
@@ -217,7 +217,7 @@
 			if c.IsSet("policy") || len(e.Variants) > 1 {
 				return nil
 			}
-			return e.Compare(experiment.Policies)
+			return e.SetPolicies(experiment.PolicyNames)
 		}),
 	}, {
 		Name: "sweep", Usage: "play a day over the values of one of its figures", ArgsUsage: "EXPERIMENT...",
@@ -225,7 +225,7 @@
 			&cli.FloatFlag{Name: "to", Value: 1.5}, &cli.IntFlag{Name: "steps", Value: 9}),
 		Action: run(func(c *cli.Command, e *experiment.Experiment) error {
 			if len(c.StringSlice("measure")) == 0 {
-				e.Measure = []string{"goal", "offered", "goodput", "p50", "p99", "waste", "tries"}
+				e.Measures = []string{"goal", "offered", "goodput", "p50", "p99", "waste", "tries"}
 			}
 			if e.Sweep.Key != "" && !c.IsSet("key") {
 				return nil
@@ -251,7 +251,7 @@
 			}
 			fmt.Fprint(out, report.Text(d, all))
 			if err := output(c, "day", func(w io.Writer) error {
-				_, err := w.Write(experiment.Write(d, e.Variants[0].Policy.Name))
+				_, err := w.Write(experiment.MarshalDay(d, e.Variants[0].Policy.Name))
 				return err
 			}); err != nil {
 				return err
@@ -348,7 +348,7 @@
 				return err
 			}
 		}
-		if e.CompareLike(s.Variants) != nil {
+		if e.MatchVariants(s.Variants) != nil {
 			continue // the file has changed since: its days are not those of the results
 		}
 		d, plays, err := plays(e, worst.X, vtime.Seed(worst.Worst))
--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -55,8 +55,8 @@
 			if err != nil {
 				return err
 			}
-			dims := e.Dims()
-			p := hunt.Params{Random: c.Int("random"), Keep: c.Int("keep"), Rounds: c.Int("rounds"), Tries: c.Int("tries"), Seed: e.First}
+			dims := e.Dimensions()
+			p := hunt.Params{Random: c.Int("random"), Keep: c.Int("keep"), Rounds: c.Int("rounds"), Tries: c.Int("tries"), Seed: e.FirstSeed}
 			if p.Random < 1 || p.Random > 100000 || p.Keep < 1 || p.Rounds < 0 || p.Rounds > 1000 || p.Tries < 1 || p.Tries > 1000 {
 				return errors.New("lab hunt: want --random 1 to 100000, --keep and --tries from 1, --rounds from 0")
 			}
@@ -95,7 +95,7 @@
 				}
 				if dir := c.String("days"); dir != "" {
 					path := filepath.Join(dir, fmt.Sprintf("%s-%d.json", e.Name, i+1))
-					if err := errors.Join(os.MkdirAll(dir, 0o755), os.WriteFile(path, experiment.Write(d, e.Variants[0].Policy.Name), 0o644)); err != nil {
+					if err := errors.Join(os.MkdirAll(dir, 0o755), os.WriteFile(path, experiment.MarshalDay(d, e.Variants[0].Policy.Name), 0o644)); err != nil {
 						return err
 					}
 				}
@@ -117,7 +117,7 @@
 			}
 			play := variant(e)
 			for s := range e.Seeds {
-				d, err := e.Day(0, 0, e.First+vtime.Seed(s), nil)
+				d, err := e.Day(0, 0, e.FirstSeed+vtime.Seed(s), nil)
 				if err != nil {
 					return err
 				}
@@ -136,10 +136,10 @@
 				}, func(d fleet.Day) int { return play(d).Requests }, c.Int("plays"))
 				left := play(small)
 				fmt.Fprintf(out, "seed %d breaks %q: %s\n%d cuts: %d nodes, %d callers, %d troubles, %.1f s, %d requests; before %d, %d, %d, %.1f s, %d\n%s\n",
-					uint64(e.First)+uint64(s), rule, r.Violations[0], len(steps), small.Nodes, len(small.Callers), len(small.Faults), small.DurationMs/1000,
+					uint64(e.FirstSeed)+uint64(s), rule, r.Violations[0], len(steps), small.Nodes, len(small.Callers), len(small.Faults), small.DurationMs/1000,
 					left.Requests, d.Nodes, len(d.Callers), len(d.Faults), d.DurationMs/1000, r.Requests, strings.Join(left.Violations, "\n"))
 				return output(c, "out", func(w io.Writer) error {
-					_, err := w.Write(experiment.Write(small, e.Variants[0].Policy.Name))
+					_, err := w.Write(experiment.MarshalDay(small, e.Variants[0].Policy.Name))
 					return err
 				})
 			}
@@ -161,13 +161,13 @@
 			}
 			drawn := false
 			for i, v := range e.Variants {
-				make := v.Policy.Make()
+				make := v.Policy.NodeFactory()
 				play := func(d fleet.Day) fleet.Result { return fleet.Simulate(d, make) }
 				n, with := 0, 0.0
 				ends := map[string]int{}
 				var names []string
 				for s := range e.Seeds {
-					d, err := e.Day(i, 0, e.First+vtime.Seed(s), nil)
+					d, err := e.Day(i, 0, e.FirstSeed+vtime.Seed(s), nil)
 					if err != nil {
 						return err
 					}
--- a/internal/emu/experiment/day.go
+++ b/internal/emu/experiment/day.go
@@ -170,8 +170,8 @@
 	return t
 }
 
-// Write returns a day as a file that gives the same day, with nothing drawn but by its seed.
-func Write(d fleet.Day, policy string) []byte {
+// MarshalDay returns a day as a file that gives the same day, with nothing drawn but by its seed.
+func MarshalDay(d fleet.Day, policy string) []byte {
 	var a fastjson.Arena
 	object := func(pairs ...any) *fastjson.Value {
 		o := a.NewObject()
--- a/internal/emu/experiment/days.go
+++ b/internal/emu/experiment/days.go
@@ -13,8 +13,8 @@
 	return []string{"calm", "burst", "crash", "crawl", "deploy", "overload", "cold", "storm", "budget", "fastest", "partition", "stall", "eid", "collapse"}
 }
 
-// Text returns the file of a family that ships with the kit; ok is false if there is none.
-func Text(family string) (text []byte, ok bool) {
+// FamilySource returns the file of a family that ships with the kit; ok is false if there is none.
+func FamilySource(family string) (text []byte, ok bool) {
 	b, err := days.ReadFile("days/" + strings.TrimSuffix(family, ".jsonnet") + ".jsonnet")
 	return b, err == nil
 }
--- a/internal/emu/experiment/experiment.go
+++ b/internal/emu/experiment/experiment.go
@@ -18,34 +18,34 @@
 	"whinrudder/internal/vtime"
 )
 
-// Policies are the names of what may run in the nodes of a day. The module is the node's own.
-var Policies = []string{"module", "none", "fixed", "codel", "aimd", "gradient2", "vegas"}
+// PolicyNames are the names of what may run in the nodes of a day. The module is the node's own.
+var PolicyNames = []string{"module", "none", "fixed", "codel", "aimd", "gradient2", "vegas"}
 
 // Policy is what runs in the nodes of a variant.
 type Policy struct {
-	Name  string  // of Policies
-	Limit float64 // of running requests: the fixed one, or the first of one that learns
-	Queue int     // requests that may wait
-	Times float64 // by which CoDel's figures, made for fast services, are multiplied
-	Aim   float64 // milliseconds after which AIMD takes a run for lost
+	Name        string  // of PolicyNames
+	Limit       float64 // of running requests: the fixed one, or the first of one that learns
+	MaxQueued   int     // requests that may wait
+	CoDelFactor float64 // by which CoDel's figures, made for fast services, are multiplied
+	AIMDTimeout float64 // milliseconds after which AIMD takes a run for lost
 }
 
 // NewPolicy returns a policy with its usual figures, which were set by hand for six cores.
 func NewPolicy(name string) Policy {
-	p := Policy{Name: name, Limit: 6, Queue: 6, Times: 10, Aim: 1500}
+	p := Policy{Name: name, Limit: 6, MaxQueued: 6, CoDelFactor: 10, AIMDTimeout: 1500}
 	switch name {
 	case "none":
-		p.Queue = 0
+		p.MaxQueued = 0
 	case "fixed":
-		p.Limit, p.Queue = 9, 9
+		p.Limit, p.MaxQueued = 9, 9
 	case "codel":
-		p.Limit, p.Queue = 9, 1000
+		p.Limit, p.MaxQueued = 9, 1000
 	}
 	return p
 }
 
-// Make returns what makes nodes with the policy.
-func (p Policy) Make() fleet.NodeFactory {
+// NodeFactory returns what makes nodes with the policy.
+func (p Policy) NodeFactory() fleet.NodeFactory {
 	if p.Name == "module" {
 		return fleet.NewModuleNode
 	}
@@ -58,9 +58,9 @@
 		case "fixed":
 			l = baseline.Fixed(p.Limit)
 		case "codel":
-			l, how = baseline.Fixed(p.Limit), baseline.NewCoDel(p.Times)
+			l, how = baseline.Fixed(p.Limit), baseline.NewCoDel(p.CoDelFactor)
 		case "aimd":
-			l = baseline.NewAIMD(p.Limit, p.Aim)
+			l = baseline.NewAIMD(p.Limit, p.AIMDTimeout)
 		case "gradient2":
 			l = baseline.NewGradient2(p.Limit)
 		case "vegas":
@@ -68,7 +68,7 @@
 		default:
 			return nil, fmt.Errorf("no policy %q", p.Name)
 		}
-		return baseline.NewServer(l, how, p.Queue, s.Rules.DrainGrace), nil
+		return baseline.NewServer(l, how, p.MaxQueued, s.Rules.DrainGrace), nil
 	}
 }
 
@@ -88,14 +88,14 @@
 
 // Experiment is what a file says.
 type Experiment struct {
-	Name     string
-	Variants []Variant // the first is what the others are compared with
-	Sweep    Sweep     // without a key: none
-	First    vtime.Seed
-	Seeds    int
-	Effect   float64  // the least difference that matters; 0: any
-	Stop     bool     // to play on only until every difference is clear
-	Measure  []string // the first is what decides
+	Name      string
+	Variants  []Variant // the first is what the others are compared with
+	Sweep     Sweep     // without a key: none
+	FirstSeed vtime.Seed
+	Seeds     int
+	MinEffect float64  // the least difference that matters; 0: any
+	StopEarly bool     // to play on only until every difference is clear
+	Measures  []string // the first is what decides
 
 	day *fastjson.Value
 }
@@ -127,29 +127,29 @@
 	}
 	e.Name = r.text(o, "", "name", "experiment")
 	e.Seeds = r.count(o, "", "seeds", 30, 1, maxSeeds)
-	e.First = vtime.Seed(r.seed(o, "", "first_seed", 1))
-	e.Effect, e.Stop = r.figure(o, "", "effect", 0, 0, 1), r.flag(o, "", "stop", false)
-	if e.Stop && e.Effect == 0 {
+	e.FirstSeed = vtime.Seed(r.seed(o, "", "first_seed", 1))
+	e.MinEffect, e.StopEarly = r.figure(o, "", "effect", 0, 0, 1), r.flag(o, "", "stop", false)
+	if e.StopEarly && e.MinEffect == 0 {
 		r.fault("stop", "wants an effect: without one a small difference is played for without end")
 	}
 	e.day = o.Get("day")
 	if e.day == nil {
 		e.day = fastjson.MustParse("{}")
 	}
-	r.day(e.day, e.First)
+	r.day(e.day, e.FirstSeed)
 	e.variants(r, o)
 	if s := r.object("sweep", o.Get("sweep"), "key", "values", "from", "to", "steps"); s != nil {
 		e.sweep(r, s)
 	}
 	for i, m := range r.list("measure", o.Get("measure"), len(Measures)) {
 		name := string(m.GetStringBytes())
-		if MeasureOf(name) == nil {
+		if MeasureByName(name) == nil {
 			r.fault(at("measure", i), "is %q, want one of %s", name, strings.Join(MeasureNames(), ", "))
 		}
-		e.Measure = append(e.Measure, name)
+		e.Measures = append(e.Measures, name)
 	}
-	if len(e.Measure) == 0 {
-		e.Measure = []string{"goal", "whole", "worst_window", "worst_class", "waste", "tries", "p99"}
+	if len(e.Measures) == 0 {
+		e.Measures = []string{"goal", "whole", "worst_window", "worst_class", "waste", "tries", "p99"}
 	}
 	return e, r.err()
 }
@@ -161,12 +161,12 @@
 		if v == nil {
 			continue
 		}
-		p := NewPolicy(Policies[r.named(v, path, "policy", 0, Policies)])
-		p.Limit, p.Times = r.figure(v, path, "limit", p.Limit, 1, 1e6), r.figure(v, path, "times", p.Times, 0.01, 1e4)
-		p.Queue, p.Aim = r.count(v, path, "queue", p.Queue, 0, 1e6), r.figure(v, path, "timeout_ms", p.Aim, 1, 3600e3)
+		p := NewPolicy(PolicyNames[r.named(v, path, "policy", 0, PolicyNames)])
+		p.Limit, p.CoDelFactor = r.figure(v, path, "limit", p.Limit, 1, 1e6), r.figure(v, path, "times", p.CoDelFactor, 0.01, 1e4)
+		p.MaxQueued, p.AIMDTimeout = r.count(v, path, "queue", p.MaxQueued, 0, 1e6), r.figure(v, path, "timeout_ms", p.AIMDTimeout, 1, 3600e3)
 		w := Variant{Name: r.text(v, path, "name", p.Name), Policy: p, patch: v.Get("day")}
 		if w.patch != nil {
-			r.day(e.merged(w.patch), e.First)
+			r.day(e.merged(w.patch), e.FirstSeed)
 		}
 		if slices.ContainsFunc(e.Variants, func(x Variant) bool { return x.Name == w.Name }) {
 			r.fault(path+".name", "is %q for the second time", w.Name)
@@ -204,7 +204,7 @@
 func (e *Experiment) check() error {
 	for _, v := range e.Sweep.Values {
 		for i := range e.Variants {
-			if _, err := e.Day(i, v, e.First, nil); err != nil {
+			if _, err := e.Day(i, v, e.FirstSeed, nil); err != nil {
 				return fmt.Errorf("experiment: sweep of %q at %v: %w", e.Sweep.Key, v, err)
 			}
 		}
@@ -246,10 +246,10 @@
 	return d, r.err()
 }
 
-// Dims returns the figures of the day that are drawn.
-func (e *Experiment) Dims() []Dim {
+// Dimensions returns the figures of the day that are drawn.
+func (e *Experiment) Dimensions() []Dimension {
 	r := &reader{draw: func(string) float64 { return 0.5 }}
-	r.day(e.day, e.First)
+	r.day(e.day, e.FirstSeed)
 	return r.dims
 }
 
@@ -277,12 +277,12 @@
 
 func uintText(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// Compare puts policies with their usual figures in place of the variants.
-func (e *Experiment) Compare(policies []string) error {
+// SetPolicies puts policies with their usual figures in place of the variants.
+func (e *Experiment) SetPolicies(policies []string) error {
 	var all []Variant
 	for _, p := range policies {
-		if !slices.Contains(Policies, p) {
-			return fmt.Errorf("experiment: policy %q is none of %s", p, strings.Join(Policies, ", "))
+		if !slices.Contains(PolicyNames, p) {
+			return fmt.Errorf("experiment: policy %q is none of %s", p, strings.Join(PolicyNames, ", "))
 		}
 		all = append(all, Variant{Name: p, Policy: NewPolicy(p)})
 	}
@@ -290,10 +290,10 @@
 	return nil
 }
 
-// CompareLike makes the variants those of results, by their names: the file's own, or policies in their place.
-func (e *Experiment) CompareLike(names []string) error {
+// MatchVariants makes the variants those of results, by their names: the file's own, or policies in their place.
+func (e *Experiment) MatchVariants(names []string) error {
 	if slices.EqualFunc(e.Variants, names, func(v Variant, n string) bool { return v.Name == n }) {
 		return nil
 	}
-	return e.Compare(names)
+	return e.SetPolicies(names)
 }
--- a/internal/emu/experiment/experiment_test.go
+++ b/internal/emu/experiment/experiment_test.go
@@ -55,13 +55,13 @@
 // The days that ship can be read and drawn, each figure within its range, and by the seed alone.
 func TestFamilies(t *testing.T) {
 	for _, f := range Families() {
-		text, _ := Text(f)
+		text, _ := FamilySource(f)
 		e, err := Parse(text, f, template.Evaluate)
 		if err != nil || e.Name != f {
 			t.Fatalf("%s: %q %v", f, e.Name, err)
 		}
-		if len(e.Dims()) < 2 {
-			t.Errorf("%s: draws %v", f, e.Dims())
+		if len(e.Dimensions()) < 2 {
+			t.Errorf("%s: draws %v", f, e.Dimensions())
 		}
 		for seed := range vtime.Seed(20) {
 			for v := range e.Variants {
@@ -85,7 +85,7 @@
 	if diff := cmp.Diff([]float64{2, 5, 8}, e.Sweep.Values); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]Dim{{"nodes", 3, 5}, {"load", 0.2, 0.4}, {"troubles.0.at", 1, 3}}, e.Dims()); diff != "" {
+	if diff := cmp.Diff([]Dimension{{"nodes", 3, 5}, {"load", 0.2, 0.4}, {"troubles.0.at", 1, 3}}, e.Dimensions()); diff != "" {
 		t.Error(diff)
 	}
 	nodes := map[int]int{}
@@ -135,12 +135,12 @@
 		if rapid.Bool().Draw(t, "some") {
 			d.OnlyRequests = []int{n("first", 10), 10 + n("second", 1000)}
 		}
-		e, err := Parse(Write(d, "aimd"), "", nil)
+		e, err := Parse(MarshalDay(d, "aimd"), "", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := e.Day(0, 0, 99, nil)
-		if diff := cmp.Diff(d, got); err != nil || diff != "" || e.Variants[0].Policy.Name != "aimd" || len(e.Dims()) > 0 {
+		if diff := cmp.Diff(d, got); err != nil || diff != "" || e.Variants[0].Policy.Name != "aimd" || len(e.Dimensions()) > 0 {
 			t.Fatal(err, diff)
 		}
 	})
@@ -150,13 +150,13 @@
 func TestPoliciesAndMeasures(t *testing.T) {
 	d := fleet.DefaultDay(1)
 	d.Nodes, d.DurationMs, d.Load = 2, 3000, 0.3
-	for _, p := range Policies {
-		r := fleet.Simulate(d, NewPolicy(p).Make())
+	for _, p := range PolicyNames {
+		r := fleet.Simulate(d, NewPolicy(p).NodeFactory())
 		if r.Requests < 20 || len(r.Violations) > 0 {
 			t.Errorf("%s: %d requests, %v", p, r.Requests, r.Violations)
 		}
 		for _, m := range Measures {
-			if v := m.Of(&r); math.IsNaN(v) || v < 0 {
+			if v := m.Value(&r); math.IsNaN(v) || v < 0 {
 				t.Errorf("%s: %s is %v", p, m.Name, v)
 			}
 		}
--- a/internal/emu/experiment/measures.go
+++ b/internal/emu/experiment/measures.go
@@ -4,9 +4,9 @@
 
 // Measure is a figure of a day that was played.
 type Measure struct {
-	Name, Unit string
-	Less       bool // less is better
-	Of         func(r *fleet.Result) float64
+	Name, Unit    string
+	LowerIsBetter bool // less is better
+	Value         func(r *fleet.Result) float64
 }
 
 // Measures are what can be measured.
@@ -31,8 +31,8 @@
 	{"broken", "rules", true, func(r *fleet.Result) float64 { return float64(len(r.Violations)) }},
 }
 
-// MeasureOf returns the measure of a name, or nil.
-func MeasureOf(name string) *Measure {
+// MeasureByName returns the measure of a name, or nil.
+func MeasureByName(name string) *Measure {
 	for i := range Measures {
 		if Measures[i].Name == name {
 			return &Measures[i]
--- a/internal/emu/experiment/reader.go
+++ b/internal/emu/experiment/reader.go
@@ -13,8 +13,8 @@
 	"whinrudder/internal/vtime"
 )
 
-// Dim is a figure of a day that a file gives as a range: it is drawn anew for each seed.
-type Dim struct {
+// Dimension is a figure of a day that a file gives as a range: it is drawn anew for each seed.
+type Dimension struct {
 	Path      string // as in the file: troubles.0.share
 	Low, High float64
 }
@@ -22,7 +22,7 @@
 // reader reads a file and gathers its faults, by the path of the field. Draw says where in its range a figure is, 0 to 1.
 type reader struct {
 	draw   func(path string) float64
-	dims   []Dim
+	dims   []Dimension
 	faults []error
 }
 
@@ -115,7 +115,7 @@
 	if p.Low == p.High {
 		return p.Low
 	}
-	r.dims = append(r.dims, Dim{path, p.Low, p.High})
+	r.dims = append(r.dims, Dimension{path, p.Low, p.High})
 	return p.At(r.draw(path))
 }
 
@@ -129,7 +129,7 @@
 		r.fault(join(path, key), "is no whole number")
 		return usual
 	} else if p.Low < p.High {
-		r.dims = append(r.dims, Dim{join(path, key), p.Low, p.High})
+		r.dims = append(r.dims, Dimension{join(path, key), p.Low, p.High})
 		return min(int(p.High), int(vtime.Range{Low: p.Low, High: p.High + 1}.At(r.draw(join(path, key)))))
 	} else {
 		return int(p.Low)
--- a/internal/emu/report/report.go
+++ b/internal/emu/report/report.go
@@ -93,7 +93,7 @@
 		return out, err
 	}
 	for _, name := range s.Measure {
-		m := experiment.MeasureOf(name)
+		m := experiment.MeasureByName(name)
 		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": " + name + " by " + s.Sweep, X: s.Sweep, Y: name + ", " + m.Unit, Lines: lines(s, cells, name, "")})
 		add(name, svg, fault)
 	}
@@ -237,7 +237,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-14s %9s %9s %9s\n", "", "emulated", "real", "error")
 	for _, m := range experiment.Measures {
-		if x, y := m.Of(&emulated), m.Of(&real); m.Name != "broken" {
+		if x, y := m.Value(&emulated), m.Value(&real); m.Name != "broken" {
 			fmt.Fprintf(&b, "%-14s %9.3f %9.3f %+9.3f\n", m.Name, x, y, x-y)
 		}
 	}
--- a/internal/emu/report/report_test.go
+++ b/internal/emu/report/report_test.go
@@ -50,7 +50,7 @@
 		t.Fatalf("%d plots, %v", len(plots), err)
 	}
 	d, _ := e.Day(0, 0.8, 1, nil)
-	plays := []Play{{"module", fleet.Simulate(d, fleet.NewModuleNode)}, {"<fixed>", fleet.Simulate(d, e.Variants[1].Policy.Make())}}
+	plays := []Play{{"module", fleet.Simulate(d, fleet.NewModuleNode)}, {"<fixed>", fleet.Simulate(d, e.Variants[1].Policy.NodeFactory())}}
 	day, err := Day("a day", d, plays)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emu/shrink/shrink_test.go
+++ b/internal/emu/shrink/shrink_test.go
@@ -63,7 +63,7 @@
 	if len(small.Faults) != 1 || small.Faults[0].Kind != fleet.Deploy || small.Nodes > 2 || len(small.Callers) != 1 || len(small.OnlyRequests) > 3 || len(small.OnlyRequests) == 0 {
 		t.Errorf("%d nodes, callers %v, troubles %v, requests %v after %d cuts", small.Nodes, small.Callers, small.Faults, small.OnlyRequests, len(steps))
 	}
-	e, err := experiment.Parse(experiment.Write(small, "module"), "", nil)
+	e, err := experiment.Parse(experiment.MarshalDay(small, "module"), "", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emu/study/cells.go
+++ b/internal/emu/study/cells.go
@@ -47,7 +47,7 @@
 		for vi, variant := range s.Variants {
 			c := Cell{Family: s.Name, Variant: variant, X: x}
 			worst := 0.0
-			less := experiment.MeasureOf(s.Measure[0]).Less
+			less := experiment.MeasureByName(s.Measure[0]).LowerIsBetter
 			for _, d := range s.Days {
 				if d.Variant != variant || d.X != x {
 					continue
--- a/internal/emu/study/lines.go
+++ b/internal/emu/study/lines.go
@@ -82,7 +82,7 @@
 				return nil, fmt.Errorf("results: line %d: study %q has no variants or no measures, or is there twice", n, s.Name)
 			}
 			for _, m := range s.Measure {
-				if experiment.MeasureOf(m) == nil {
+				if experiment.MeasureByName(m) == nil {
 					return nil, fmt.Errorf("results: line %d: measure %q is not known", n, m)
 				}
 			}
--- a/internal/emu/study/study.go
+++ b/internal/emu/study/study.go
@@ -51,7 +51,7 @@
 	var out []*Study
 	most := 0
 	for _, e := range all {
-		s := &Study{Name: e.Name, Sweep: e.Sweep.Key, Measure: e.Measure, Effect: e.Effect, Seeds: e.Seeds}
+		s := &Study{Name: e.Name, Sweep: e.Sweep.Key, Measure: e.Measures, Effect: e.MinEffect, Seeds: e.Seeds}
 		for _, v := range e.Variants {
 			s.Variants = append(s.Variants, v.Name)
 		}
@@ -78,12 +78,12 @@
 				continue
 			}
 			n := p.e.Seeds - p.seeds
-			if p.e.Stop {
+			if p.e.StopEarly {
 				n = min(n, batch)
 			}
 			for i := range n {
 				for v := range p.e.Variants {
-					jobs = append(jobs, job{p, v, p.e.First + vtime.Seed(p.seeds+i)})
+					jobs = append(jobs, job{p, v, p.e.FirstSeed + vtime.Seed(p.seeds+i)})
 				}
 			}
 			p.seeds += n
@@ -121,7 +121,7 @@
 			jobs[i].p.to.Days = append(jobs[i].p.to.Days, r.day)
 		}
 		for _, p := range points {
-			p.done = p.done || p.seeds >= p.e.Seeds || p.e.Stop && clear(p)
+			p.done = p.done || p.seeds >= p.e.Seeds || p.e.StopEarly && clear(p)
 		}
 	}
 }
@@ -133,10 +133,10 @@
 		return Played{}, err
 	}
 	v := e.Variants[variant]
-	r := fleet.Simulate(d, v.Policy.Make())
+	r := fleet.Simulate(d, v.Policy.NodeFactory())
 	p := Played{Family: e.Name, Variant: v.Name, X: x, Seed: uint64(seed), Fell: r.OverloadCrashes, Broken: r.Violations, Latency: r.Latency}
-	for _, m := range e.Measure {
-		p.Values = append(p.Values, experiment.MeasureOf(m).Of(&r))
+	for _, m := range e.Measures {
+		p.Values = append(p.Values, experiment.MeasureByName(m).Value(&r))
 	}
 	return p, nil
 }
@@ -148,10 +148,10 @@
 	first := p.to.values(p.e.Variants[0].Name, p.x, 0)
 	if len(p.e.Variants) == 1 {
 		low, high := interval(first, spent(look))
-		return high-low < 2*p.e.Effect
+		return high-low < 2*p.e.MinEffect
 	}
 	for _, v := range p.e.Variants[1:] {
-		if Decide(differences(p.to.values(v.Name, p.x, 0), first), p.e.Effect, look) == Unclear {
+		if Decide(differences(p.to.values(v.Name, p.x, 0), first), p.e.MinEffect, look) == Unclear {
 			return false
 		}
 	}
