--- a/cmd/whinrudder-kit/days.go
+++ b/cmd/whinrudder-kit/days.go
@@ -100,8 +100,8 @@
 // finish writes what was played: a table, and files where they are wanted.
 func finish(out io.Writer, c *cli.Command, all []*study.Study) error {
 	fmt.Fprintln(os.Stderr)
-	study.Write(out, all)
-	if err := output(c, "json", func(w io.Writer) error { return study.WriteLines(w, all) }); err != nil {
+	study.WriteTable(out, all)
+	if err := output(c, "json", func(w io.Writer) error { return study.WriteJSONLines(w, all) }); err != nil {
 		return err
 	}
 	if dir := c.String("plots"); dir != "" {
@@ -285,7 +285,7 @@
 			if s := c.Float("seconds"); !(s >= 1 && s <= 3600) {
 				return fmt.Errorf("lab speed: --seconds is %v, want 1 to 3600", s)
 			}
-			study.WriteSpeed(out, study.Speed(c.IntSlice("nodes"), c.Float("seconds")))
+			study.WriteSpeed(out, study.MeasureSpeed(c.IntSlice("nodes"), c.Float("seconds")))
 			return nil
 		},
 	}, huntCommand(out), shrinkCommand(out), collapseCommand(out), liveCommand(out), clientsCommand(out)}
@@ -297,7 +297,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	all, err := study.ReadLines(f)
+	all, err := study.ReadJSONLines(f)
 	if err == nil && len(all) == 0 {
 		err = fmt.Errorf("results: %s holds none", c.Args().First())
 	}
@@ -327,7 +327,7 @@
 	}
 	for _, s := range all {
 		var text strings.Builder
-		study.Write(&text, []*study.Study{s})
+		study.WriteTable(&text, []*study.Study{s})
 		p, err := report.Study(s)
 		if err != nil {
 			return err
@@ -339,23 +339,23 @@
 		}
 		worst := cells[0]
 		for _, w := range cells {
-			if w.Variant == s.Variants[0] && w.Measured[0].Mean < worst.Measured[0].Mean {
+			if w.Variant == s.Variants[0] && w.Estimates[0].Mean < worst.Estimates[0].Mean {
 				worst = w
 			}
 		}
 		if s.Sweep != "" {
-			if err := e.SetSweep(experiment.Sweep{Key: s.Sweep, Values: s.Xs()}); err != nil {
+			if err := e.SetSweep(experiment.Sweep{Key: s.Sweep, Values: s.SweepValues()}); err != nil {
 				return err
 			}
 		}
 		if e.MatchVariants(s.Variants) != nil {
 			continue // the file has changed since: its days are not those of the results
 		}
-		d, plays, err := plays(e, worst.X, vtime.Seed(worst.Worst))
+		d, plays, err := plays(e, worst.SweepValue, vtime.Seed(worst.WorstSeed))
 		if err != nil {
 			return err
 		}
-		svg, err := report.Day(fmt.Sprintf("%s, seed %d", s.Name, worst.Worst), d, plays)
+		svg, err := report.Day(fmt.Sprintf("%s, seed %d", s.Name, worst.WorstSeed), d, plays)
 		if err != nil {
 			return err
 		}
--- a/internal/emu/report/report.go
+++ b/internal/emu/report/report.go
@@ -87,18 +87,18 @@
 	}
 	if s.Sweep == "" {
 		if rows := differences(cells, s.Variants[0]); len(rows) > 0 {
-			svg, fault := chart.Intervals(s.Name+": "+s.Measure[0]+" less that of "+s.Variants[0], s.Measure[0], rows)
+			svg, fault := chart.Intervals(s.Name+": "+s.Measures[0]+" less that of "+s.Variants[0], s.Measures[0], rows)
 			add("differences", svg, fault)
 		}
 		return out, err
 	}
-	for _, name := range s.Measure {
+	for _, name := range s.Measures {
 		m := experiment.MeasureByName(name)
 		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": " + name + " by " + s.Sweep, X: s.Sweep, Y: name + ", " + m.Unit, Lines: lines(s, cells, name, "")})
 		add(name, svg, fault)
 	}
 	has := func(name string) bool {
-		for _, m := range s.Measure {
+		for _, m := range s.Measures {
 			if m == name {
 				return true
 			}
@@ -128,8 +128,8 @@
 
 // lines draws a measure of each variant by the sweep, or by the mean of another measure.
 func lines(s *study.Study, cells []study.Cell, name, by string) (out []chart.Line) {
-	find := func(c study.Cell, name string) (m study.Measured) {
-		for _, m := range c.Measured {
+	find := func(c study.Cell, name string) (m study.Estimate) {
+		for _, m := range c.Estimates {
 			if m.Name == name {
 				return m
 			}
@@ -142,7 +142,7 @@
 			if c.Variant != v {
 				continue
 			}
-			x, m := c.X, find(c, name)
+			x, m := c.SweepValue, find(c, name)
 			if by != "" {
 				x = find(c, by).Mean
 			}
@@ -156,8 +156,8 @@
 func differences(cells []study.Cell, first string) (rows []chart.Row) {
 	for _, c := range cells {
 		if c.Variant != first {
-			m := c.Measured[0]
-			rows = append(rows, chart.Row{Name: c.Variant, Mean: m.Less, Low: m.Lower, High: m.Upper})
+			m := c.Estimates[0]
+			rows = append(rows, chart.Row{Name: c.Variant, Mean: m.Diff, Low: m.DiffLow, High: m.DiffHigh})
 		}
 	}
 	return rows
@@ -172,7 +172,7 @@
 			rows = append(rows, r)
 		}
 	}
-	return chart.Intervals("difference to "+all[0].Variants[0]+", 95%", all[0].Measure[0], rows)
+	return chart.Intervals("difference to "+all[0].Variants[0]+", 95%", all[0].Measures[0], rows)
 }
 
 // Section is a part of a page.
--- a/internal/emu/study/cells.go
+++ b/internal/emu/study/cells.go
@@ -10,31 +10,31 @@
 	"whinrudder/internal/vtime"
 )
 
-// Measured is one figure of a cell, with 95% intervals by bootstrap.
-type Measured struct {
-	Name               string
-	Mean, Low, High    float64
-	Less, Lower, Upper float64 // the mean difference to the first variant in pairs, and its interval
+// Estimate is one figure of a cell, with 95% intervals by bootstrap.
+type Estimate struct {
+	Name                    string
+	Mean, Low, High         float64
+	Diff, DiffLow, DiffHigh float64 // the mean difference to the first variant in pairs, and its interval
 }
 
 // Cell is what a variant did at a point of a study.
 type Cell struct {
-	Family, Variant string
-	X               float64
-	Seeds           int
-	Measured        []Measured
-	Verdict         Verdict // of the first measure, against the first variant
-	Fell, Broken    int
-	FirstBroken     string
-	Worst           uint64 // the seed of the worst day by the first measure
-	Latency         fleet.Latencies
+	Family, Variant             string
+	SweepValue                  float64
+	Seeds                       int
+	Estimates                   []Estimate
+	Verdict                     Verdict // of the first measure, against the first variant
+	OverloadCrashes, Violations int
+	FirstViolation              string
+	WorstSeed                   uint64 // the seed of the worst day by the first measure
+	Latency                     fleet.Latencies
 }
 
-// Xs returns the values of the sweep, in order; one if nothing was swept.
-func (s *Study) Xs() (out []float64) {
+// SweepValues returns the values of the sweep, in order; one if nothing was swept.
+func (s *Study) SweepValues() (out []float64) {
 	for _, d := range s.Days {
-		if !slices.Contains(out, d.X) {
-			out = append(out, d.X)
+		if !slices.Contains(out, d.SweepValue) {
+			out = append(out, d.SweepValue)
 		}
 	}
 	slices.Sort(out)
@@ -43,38 +43,38 @@
 
 // Cells sums up a study.
 func (s *Study) Cells() (out []Cell) {
-	for _, x := range s.Xs() {
+	for _, x := range s.SweepValues() {
 		for vi, variant := range s.Variants {
-			c := Cell{Family: s.Name, Variant: variant, X: x}
+			c := Cell{Family: s.Name, Variant: variant, SweepValue: x}
 			worst := 0.0
-			less := experiment.MeasureByName(s.Measure[0]).LowerIsBetter
+			less := experiment.MeasureByName(s.Measures[0]).LowerIsBetter
 			for _, d := range s.Days {
-				if d.Variant != variant || d.X != x {
+				if d.Variant != variant || d.SweepValue != x {
 					continue
 				}
 				if v := d.Values[0]; c.Seeds == 0 || less && v > worst || !less && v < worst {
-					c.Worst, worst = d.Seed, v
+					c.WorstSeed, worst = d.Seed, v
 				}
 				c.Seeds++
-				c.Fell += d.Fell
+				c.OverloadCrashes += d.OverloadCrashes
 				c.Latency = c.Latency.Merge(d.Latency)
-				if c.Broken += len(d.Broken); c.FirstBroken == "" && len(d.Broken) > 0 {
-					c.FirstBroken = fmt.Sprintf("seed %d: %s", d.Seed, d.Broken[0])
+				if c.Violations += len(d.Violations); c.FirstViolation == "" && len(d.Violations) > 0 {
+					c.FirstViolation = fmt.Sprintf("seed %d: %s", d.Seed, d.Violations[0])
 				}
 			}
 			if c.Seeds == 0 {
 				continue
 			}
-			for mi, name := range s.Measure {
+			for mi, name := range s.Measures {
 				v := s.values(variant, x, mi)
 				diffs := differences(v, s.values(s.Variants[0], x, mi))
 				seed := vtime.Seed(1).Split(s.Name+variant+name, int(1e6*x))
-				m := Measured{Name: name}
+				m := Estimate{Name: name}
 				m.Mean, m.Low, m.High = Bootstrap(v, seed)
-				m.Less, m.Lower, m.Upper = Bootstrap(diffs, seed)
-				c.Measured = append(c.Measured, m)
+				m.Diff, m.DiffLow, m.DiffHigh = Bootstrap(diffs, seed)
+				c.Estimates = append(c.Estimates, m)
 				if vi > 0 && mi == 0 {
-					c.Verdict = Decide(diffs, s.Effect, 1)
+					c.Verdict = Decide(diffs, s.MinEffect, 1)
 				}
 			}
 			out = append(out, c)
@@ -83,8 +83,8 @@
 	return out
 }
 
-// Write writes the cells of studies as people read them.
-func Write(w io.Writer, all []*Study) {
+// WriteTable writes the cells of studies as people read them.
+func WriteTable(w io.Writer, all []*Study) {
 	for _, s := range all {
 		cells := s.Cells()
 		if len(cells) == 0 {
@@ -98,7 +98,7 @@
 		if s.Sweep != "" {
 			fmt.Fprintf(w, " %8s", s.Sweep[max(0, len(s.Sweep)-8):])
 		}
-		for i, m := range s.Measure {
+		for i, m := range s.Measures {
 			fmt.Fprintf(w, " %12s", m)
 			if i == 0 && len(s.Variants) > 1 {
 				fmt.Fprintf(w, " %25s", "less the first (95%)")
@@ -108,21 +108,21 @@
 		for _, c := range cells {
 			fmt.Fprintf(w, "  %-12s", c.Variant)
 			if s.Sweep != "" {
-				fmt.Fprintf(w, " %8.4g", c.X)
+				fmt.Fprintf(w, " %8.4g", c.SweepValue)
 			}
-			for i, m := range c.Measured {
+			for i, m := range c.Estimates {
 				fmt.Fprintf(w, " %12.5g", m.Mean)
 				if i == 0 && len(s.Variants) > 1 {
 					less := ""
 					if c.Variant != s.Variants[0] {
-						less = fmt.Sprintf("%+.3f (%+.3f, %+.3f)", m.Less, m.Lower, m.Upper)
+						less = fmt.Sprintf("%+.3f (%+.3f, %+.3f)", m.Diff, m.DiffLow, m.DiffHigh)
 					}
 					fmt.Fprintf(w, " %25s", less)
 				}
 			}
-			fmt.Fprintf(w, " %5d %6d\n", c.Fell, c.Broken)
-			if c.FirstBroken != "" {
-				fmt.Fprintln(w, "    ", c.FirstBroken)
+			fmt.Fprintf(w, " %5d %6d\n", c.OverloadCrashes, c.Violations)
+			if c.FirstViolation != "" {
+				fmt.Fprintln(w, "    ", c.FirstViolation)
 			}
 		}
 	}
--- a/internal/emu/study/lines.go
+++ b/internal/emu/study/lines.go
@@ -10,8 +10,8 @@
 	"whinrudder/internal/emu/experiment"
 )
 
-// WriteLines writes studies as JSON lines: for each one line of type "study", and one of type "day" for each day played.
-func WriteLines(w io.Writer, all []*Study) error {
+// WriteJSONLines writes studies as JSON lines: for each one line of type "study", and one of type "day" for each day played.
+func WriteJSONLines(w io.Writer, all []*Study) error {
 	b := bufio.NewWriter(w)
 	var a fastjson.Arena
 	texts := func(v []string) *fastjson.Value {
@@ -31,8 +31,8 @@
 		o.Set("name", a.NewString(s.Name))
 		o.Set("sweep", a.NewString(s.Sweep))
 		o.Set("variants", texts(s.Variants))
-		o.Set("measure", texts(s.Measure))
-		o.Set("effect", a.NewNumberFloat64(s.Effect))
+		o.Set("measure", texts(s.Measures))
+		o.Set("effect", a.NewNumberFloat64(s.MinEffect))
 		o.Set("seeds", a.NewNumberInt(s.Seeds))
 		line(o)
 		for _, d := range s.Days {
@@ -41,14 +41,14 @@
 			o.Set("study", a.NewString(s.Name))
 			o.Set("variant", a.NewString(d.Variant))
 			if s.Sweep != "" {
-				o.Set("x", a.NewNumberFloat64(d.X))
+				o.Set("x", a.NewNumberFloat64(d.SweepValue))
 			}
 			o.Set("seed", a.NewNumberString(fmt.Sprint(d.Seed)))
-			for i, m := range s.Measure {
+			for i, m := range s.Measures {
 				o.Set(m, a.NewNumberFloat64(d.Values[i]))
 			}
-			o.Set("nodes_fell", a.NewNumberInt(d.Fell))
-			o.Set("rules_broken", texts(d.Broken))
+			o.Set("nodes_fell", a.NewNumberInt(d.OverloadCrashes))
+			o.Set("rules_broken", texts(d.Violations))
 			line(o)
 		}
 	}
@@ -58,8 +58,8 @@
 // maxLine bounds a line of a file of results.
 const maxLine = 1 << 20
 
-// ReadLines reads what WriteLines wrote. The error names the line.
-func ReadLines(r io.Reader) (out []*Study, err error) {
+// ReadJSONLines reads what WriteJSONLines wrote. The error names the line.
+func ReadJSONLines(r io.Reader) (out []*Study, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
 	by := map[string]*Study{}
@@ -77,11 +77,11 @@
 		switch kind := string(v.GetStringBytes("type")); kind {
 		case "study":
 			s := &Study{Name: string(v.GetStringBytes("name")), Sweep: string(v.GetStringBytes("sweep")), Variants: texts("variants"),
-				Measure: texts("measure"), Effect: v.GetFloat64("effect"), Seeds: v.GetInt("seeds")}
-			if len(s.Measure) == 0 || len(s.Variants) == 0 || by[s.Name] != nil {
+				Measures: texts("measure"), MinEffect: v.GetFloat64("effect"), Seeds: v.GetInt("seeds")}
+			if len(s.Measures) == 0 || len(s.Variants) == 0 || by[s.Name] != nil {
 				return nil, fmt.Errorf("results: line %d: study %q has no variants or no measures, or is there twice", n, s.Name)
 			}
-			for _, m := range s.Measure {
+			for _, m := range s.Measures {
 				if experiment.MeasureByName(m) == nil {
 					return nil, fmt.Errorf("results: line %d: measure %q is not known", n, m)
 				}
@@ -93,9 +93,9 @@
 			if s == nil {
 				return nil, fmt.Errorf("results: line %d: a day of no study", n)
 			}
-			d := Played{Family: s.Name, Variant: string(v.GetStringBytes("variant")), X: v.GetFloat64("x"), Seed: v.GetUint64("seed"),
-				Fell: v.GetInt("nodes_fell"), Broken: texts("rules_broken")}
-			for _, m := range s.Measure {
+			d := DayResult{Family: s.Name, Variant: string(v.GetStringBytes("variant")), SweepValue: v.GetFloat64("x"), Seed: v.GetUint64("seed"),
+				OverloadCrashes: v.GetInt("nodes_fell"), Violations: texts("rules_broken")}
+			for _, m := range s.Measures {
 				x := v.Get(m)
 				if x == nil || x.Type() != fastjson.TypeNumber {
 					return nil, fmt.Errorf("results: line %d: %s is absent", n, m)
--- a/internal/emu/study/speed.go
+++ b/internal/emu/study/speed.go
@@ -16,14 +16,14 @@
 
 // SpeedRun is how fast a day was played, and with how much memory.
 type SpeedRun struct {
-	Nodes, Callers  int
-	Requests, Tries int
-	Virtual, Took   float64 // seconds
-	Heap            uint64  // bytes at most of objects, those that are no longer in use included
+	Nodes, Callers                 int
+	Requests, Tries                int
+	VirtualSeconds, ElapsedSeconds float64 // seconds
+	PeakHeapBytes                  uint64  // bytes at most of objects, those that are no longer in use included
 }
 
-// Speed plays the usual day for some seconds with so many nodes, and callers in proportion, on one core's worth of work.
-func Speed(nodes []int, seconds float64) (out []SpeedRun) {
+// MeasureSpeed plays the usual day for some seconds with so many nodes, and callers in proportion, on one core's worth of work.
+func MeasureSpeed(nodes []int, seconds float64) (out []SpeedRun) {
 	for _, n := range nodes {
 		d := fleet.DefaultDay(1)
 		d.Nodes, d.DurationMs = n, 1000*seconds
@@ -69,10 +69,10 @@
 	fmt.Fprintf(w, "%7s %8s %9s %14s %12s %9s\n", "nodes", "callers", "requests", "virtual s/s", "requests/s", "heap MB")
 	var x, time, heap []float64
 	for _, r := range all {
-		fmt.Fprintf(w, "%7d %8d %9d %14.1f %12.0f %9.1f\n", r.Nodes, r.Callers, r.Requests, r.Virtual/r.Took, float64(r.Requests)/r.Took, float64(r.Heap)/1e6)
+		fmt.Fprintf(w, "%7d %8d %9d %14.1f %12.0f %9.1f\n", r.Nodes, r.Callers, r.Requests, r.VirtualSeconds/r.ElapsedSeconds, float64(r.Requests)/r.ElapsedSeconds, float64(r.PeakHeapBytes)/1e6)
 		x = append(x, math.Log(float64(r.Nodes)))
-		time = append(time, math.Log(r.Took/float64(max(1, r.Requests))))
-		heap = append(heap, math.Log(float64(max(1, r.Heap))))
+		time = append(time, math.Log(r.ElapsedSeconds/float64(max(1, r.Requests))))
+		heap = append(heap, math.Log(float64(max(1, r.PeakHeapBytes))))
 	}
 	if len(all) > 1 {
 		_, t := stat.LinearRegression(x, time, nil, false)
--- a/internal/emu/study/study.go
+++ b/internal/emu/study/study.go
@@ -11,26 +11,26 @@
 	"whinrudder/internal/vtime"
 )
 
-// Played is one day that was played: where it belongs, and what was measured.
-type Played struct {
+// DayResult is one day that was played: where it belongs, and what was measured.
+type DayResult struct {
 	Family, Variant string
-	X               float64 // value of the sweep
+	SweepValue      float64 // value of the sweep
 	Seed            uint64
 	Values          []float64 // by measure
-	Fell            int
-	Broken          []string
+	OverloadCrashes int
+	Violations      []string
 	Latency         fleet.Latencies // not kept in files
 }
 
 // Study is what was played of one experiment.
 type Study struct {
-	Name     string
-	Sweep    string // the figure that was swept; empty: none
-	Variants []string
-	Measure  []string
-	Effect   float64
-	Seeds    int // wanted
-	Days     []Played
+	Name      string
+	Sweep     string // the figure that was swept; empty: none
+	Variants  []string
+	Measures  []string
+	MinEffect float64
+	Seeds     int // wanted
+	Days      []DayResult
 }
 
 // batch is how many seeds are played between two looks at what is clear.
@@ -51,7 +51,7 @@
 	var out []*Study
 	most := 0
 	for _, e := range all {
-		s := &Study{Name: e.Name, Sweep: e.Sweep.Key, Measure: e.Measures, Effect: e.MinEffect, Seeds: e.Seeds}
+		s := &Study{Name: e.Name, Sweep: e.Sweep.Key, Measures: e.Measures, MinEffect: e.MinEffect, Seeds: e.Seeds}
 		for _, v := range e.Variants {
 			s.Variants = append(s.Variants, v.Name)
 		}
@@ -92,7 +92,7 @@
 			return out, nil
 		}
 		type result struct {
-			day Played
+			day DayResult
 			err error
 		}
 		ticks := make(chan struct{}, len(jobs))
@@ -127,14 +127,14 @@
 }
 
 // play plays one day and measures.
-func play(e *experiment.Experiment, variant int, x float64, seed vtime.Seed) (Played, error) {
+func play(e *experiment.Experiment, variant int, x float64, seed vtime.Seed) (DayResult, error) {
 	d, err := e.Day(variant, x, seed, nil)
 	if err != nil {
-		return Played{}, err
+		return DayResult{}, err
 	}
 	v := e.Variants[variant]
 	r := fleet.Simulate(d, v.Policy.NodeFactory())
-	p := Played{Family: e.Name, Variant: v.Name, X: x, Seed: uint64(seed), Fell: r.OverloadCrashes, Broken: r.Violations, Latency: r.Latency}
+	p := DayResult{Family: e.Name, Variant: v.Name, SweepValue: x, Seed: uint64(seed), OverloadCrashes: r.OverloadCrashes, Violations: r.Violations, Latency: r.Latency}
 	for _, m := range e.Measures {
 		p.Values = append(p.Values, experiment.MeasureByName(m).Value(&r))
 	}
@@ -161,7 +161,7 @@
 // values returns what was measured on the days of a variant, in the order of the seeds.
 func (s *Study) values(variant string, x float64, measure int) (out []float64) {
 	for _, d := range s.Days {
-		if d.Variant == variant && d.X == x {
+		if d.Variant == variant && d.SweepValue == x {
 			out = append(out, d.Values[measure])
 		}
 	}
--- a/internal/emu/study/study_test.go
+++ b/internal/emu/study/study_test.go
@@ -36,8 +36,8 @@
 	}
 	all := play()
 	var a, b, lines strings.Builder
-	Write(&a, all)
-	Write(&b, play())
+	WriteTable(&a, all)
+	WriteTable(&b, play())
 	if diff := cmp.Diff(a.String(), b.String()); diff != "" {
 		t.Error(diff)
 	}
@@ -46,25 +46,25 @@
 		t.Fatalf("%d cells: %s", len(cells), a.String())
 	}
 	for i, c := range cells {
-		m := c.Measured[0]
-		if c.Seeds%batch != 0 || c.Seeds >= 30 || c.Broken > 0 || c.Seeds != cells[i/3*3].Seeds {
+		m := c.Estimates[0]
+		if c.Seeds%batch != 0 || c.Seeds >= 30 || c.Violations > 0 || c.Seeds != cells[i/3*3].Seeds {
 			t.Errorf("%+v", c)
 		}
 		switch c.Variant {
 		case "same":
-			if m.Less != 0 || m.Lower != 0 || m.Upper != 0 || c.Verdict != Same {
+			if m.Diff != 0 || m.DiffLow != 0 || m.DiffHigh != 0 || c.Verdict != Same {
 				t.Errorf("%+v", c)
 			}
 		case "none":
-			if m.Upper >= 0 || c.Verdict != Less {
+			if m.DiffHigh >= 0 || c.Verdict != Less {
 				t.Errorf("%+v", c)
 			}
 		}
 	}
-	if err := WriteLines(&lines, all); err != nil {
+	if err := WriteJSONLines(&lines, all); err != nil {
 		t.Fatal(err)
 	}
-	again, err := ReadLines(strings.NewReader(lines.String()))
+	again, err := ReadJSONLines(strings.NewReader(lines.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	}
 	for _, bad := range []string{"{", `{"type":"day","study":"x"}`, `{"type":"what"}`, `{"type":"study","name":"x"}`,
 		`{"type":"study","name":"x","variants":["a"],"measure":["goal"]}` + "\n" + `{"type":"day","study":"x"}`} {
-		if _, err := ReadLines(strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), "line ") {
+		if _, err := ReadJSONLines(strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), "line ") {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
