--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -80,18 +80,18 @@
 			}, tell)
 			fmt.Fprintln(os.Stderr)
 			for i, f := range found {
-				d, err := day(f.Place, f.Seed)
+				d, err := day(f.Point, f.Seed)
 				if err != nil {
 					return err
 				}
-				r, causes := hunt.Causes(d, play)
-				fmt.Fprintf(out, "%d. goal %.3f (drawn %.3f), worst 10 s %.3f from %.0f s on, %d broken, seed %d\n", i+1, f.Score, f.From, r.WorstWindow, r.WorstWindowStart/1000,
+				r, causes := hunt.FindCauses(d, play)
+				fmt.Fprintf(out, "%d. goal %.3f (drawn %.3f), worst 10 s %.3f from %.0f s on, %d broken, seed %d\n", i+1, f.Score, f.InitialScore, r.WorstWindow, r.WorstWindowStart/1000,
 					len(r.Violations), uint64(f.Seed))
 				for j, dim := range dims {
-					fmt.Fprintf(out, "     %s %.3g\n", dim.Path, vtime.Range{Low: dim.Low, High: dim.High}.At(f.Place[j]))
+					fmt.Fprintf(out, "     %s %.3g\n", dim.Path, vtime.Range{Low: dim.Low, High: dim.High}.At(f.Point[j]))
 				}
 				for _, w := range causes {
-					fmt.Fprintf(out, "   without %-28s worst 10 s %+.3f, goal %+.3f\n", w.What, w.At, w.Goal)
+					fmt.Fprintf(out, "   without %-28s worst 10 s %+.3f, goal %+.3f\n", w.Name, w.WorstWindowGain, w.GoalGain)
 				}
 				if dir := c.String("days"); dir != "" {
 					path := filepath.Join(dir, fmt.Sprintf("%s-%d.json", e.Name, i+1))
--- a/internal/emu/hunt/hunt.go
+++ b/internal/emu/hunt/hunt.go
@@ -22,12 +22,12 @@
 	Seed   vtime.Seed
 }
 
-// Found is a bad day.
-type Found struct {
-	Place []float64 // of each figure in its range, 0 to 1
-	Seed  vtime.Seed
-	Score float64 // what is searched to be small
-	From  float64 // the score that it was climbed from
+// Candidate is a bad day.
+type Candidate struct {
+	Point        []float64 // of each figure in its range, 0 to 1
+	Seed         vtime.Seed
+	Score        float64 // what is searched to be small
+	InitialScore float64 // the score that it was climbed from
 }
 
 // first is how far a climb steps in a range, and least the step at which it has come to rest.
@@ -38,18 +38,18 @@
 
 // Search returns the worst days that it finds, the worst first. Score plays the day of a place and a seed; it is called from
 // many goroutines at once and must give the same for the same.
-func Search(dims int, p Params, score func(place []float64, seed vtime.Seed) float64, progress func(done, all int)) []Found {
-	all := make([]Found, p.Random)
+func Search(dims int, p Params, score func(place []float64, seed vtime.Seed) float64, progress func(done, all int)) []Candidate {
+	all := make([]Candidate, p.Random)
 	for i := range all {
 		r := p.Seed.Split("place", i).Rand()
-		all[i] = Found{Seed: p.Seed + vtime.Seed(i)}
+		all[i] = Candidate{Seed: p.Seed + vtime.Seed(i)}
 		for range dims {
-			all[i].Place = append(all[i].Place, r.Float64())
+			all[i].Point = append(all[i].Point, r.Float64())
 		}
 	}
 	done, most := 0, p.Random+p.Rounds*p.Tries*min(p.Keep, p.Random)
-	measure := func(f []Found) {
-		scores := vtime.ParallelMap(len(f), runtime.GOMAXPROCS(0), func(i int) float64 { return score(f[i].Place, f[i].Seed) })
+	measure := func(f []Candidate) {
+		scores := vtime.ParallelMap(len(f), runtime.GOMAXPROCS(0), func(i int) float64 { return score(f[i].Point, f[i].Seed) })
 		for i := range f {
 			f[i].Score = scores[i]
 		}
@@ -58,15 +58,15 @@
 		}
 	}
 	measure(all)
-	worst := func(a, b Found) int { return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.Seed, b.Seed)) }
+	worst := func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.Seed, b.Seed)) }
 	slices.SortFunc(all, worst)
 	kept := all[:min(p.Keep, len(all))]
 	step := make([]float64, len(kept))
 	for i := range kept {
-		kept[i].From, step[i] = kept[i].Score, first
+		kept[i].InitialScore, step[i] = kept[i].Score, first
 	}
 	for round := range p.Rounds {
-		var near []Found
+		var near []Candidate
 		var of []int
 		for i, k := range kept {
 			if step[i] < least {
@@ -98,30 +98,30 @@
 }
 
 // move takes one or two figures of a place some way off.
-func move(f Found, step float64, seed vtime.Seed) Found {
+func move(f Candidate, step float64, seed vtime.Seed) Candidate {
 	r := seed.Rand()
-	f.Place = slices.Clone(f.Place)
-	if len(f.Place) == 0 {
+	f.Point = slices.Clone(f.Point)
+	if len(f.Point) == 0 {
 		f.Seed = f.Seed.Split("another", int(r.Uint32()))
 		return f
 	}
 	for range 1 + r.IntN(2) {
-		i := r.IntN(len(f.Place))
-		f.Place[i] = math.Min(1, math.Max(0, f.Place[i]+step*(2*r.Float64()-1)))
+		i := r.IntN(len(f.Point))
+		f.Point[i] = math.Min(1, math.Max(0, f.Point[i]+step*(2*r.Float64()-1)))
 	}
 	return f
 }
 
 // Cause is a part of a day, and what would be without it.
 type Cause struct {
-	What string
-	Goal float64 // gained without it
-	At   float64 // share gained in the worst ten seconds
+	Name            string
+	GoalGain        float64 // gained without it
+	WorstWindowGain float64 // share gained in the worst ten seconds
 }
 
-// Causes plays a day without each of its parts and returns them, the part that cost the worst ten seconds most first. Parts
+// FindCauses plays a day without each of its parts and returns them, the part that cost the worst ten seconds most first. Parts
 // that cost nothing are left out.
-func Causes(d fleet.Day, play func(fleet.Day) fleet.Result) (worst fleet.Result, out []Cause) {
+func FindCauses(d fleet.Day, play func(fleet.Day) fleet.Result) (worst fleet.Result, out []Cause) {
 	type part struct {
 		what string
 		day  fleet.Day
@@ -174,10 +174,10 @@
 		if !ok {
 			share = r.WorstWindow
 		}
-		if c := (Cause{p.what, r.GoalScore - worst.GoalScore, share - worst.WorstWindow}); c.At > 0.005 || c.Goal > 0.005 {
+		if c := (Cause{p.what, r.GoalScore - worst.GoalScore, share - worst.WorstWindow}); c.WorstWindowGain > 0.005 || c.GoalGain > 0.005 {
 			out = append(out, c)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Cause) int { return cmp.Compare(b.At, a.At) })
+	slices.SortStableFunc(out, func(a, b Cause) int { return cmp.Compare(b.WorstWindowGain, a.WorstWindowGain) })
 	return worst, out
 }
--- a/internal/emu/hunt/hunt_test.go
+++ b/internal/emu/hunt/hunt_test.go
@@ -23,16 +23,16 @@
 	p := Params{Random: 60, Keep: 3, Rounds: 12, Tries: 8, Seed: 3}
 	played, most := 0, 0
 	found := Search(4, p, score, func(done, all int) { played, most = done, all })
-	if found[0].Score > 0.02 || found[0].From < 0.1 || len(found) != 3 || played > most || most != 60+12*8*3 {
+	if found[0].Score > 0.02 || found[0].InitialScore < 0.1 || len(found) != 3 || played > most || most != 60+12*8*3 {
 		t.Errorf("%+v, %d of %d played", found, played, most)
 	}
 	if diff := cmp.Diff(found, Search(4, p, score, nil)); diff != "" {
 		t.Error(diff)
 	}
 	for _, f := range found {
-		for _, x := range f.Place {
+		for _, x := range f.Point {
 			if x < 0 || x > 1 {
-				t.Errorf("out of its range: %v", f.Place)
+				t.Errorf("out of its range: %v", f.Point)
 			}
 		}
 	}
@@ -43,12 +43,12 @@
 	d := fleet.DefaultDay(3)
 	d.DurationMs, d.Load = 40000, 0.5
 	d.Faults = []fleet.Fault{{Kind: fleet.EnsembleOutage, At: 2000, Duration: 5000}, {Kind: fleet.PoolPause, At: 12000, Duration: 9000, Share: 1}}
-	r, causes := Causes(d, func(d fleet.Day) fleet.Result { return fleet.Simulate(d, fleet.NewModuleNode) })
-	if len(causes) == 0 || causes[0].What != "pause at 12 s" || causes[0].At < 0.3 || r.WorstWindow > 0.7 {
+	r, causes := FindCauses(d, func(d fleet.Day) fleet.Result { return fleet.Simulate(d, fleet.NewModuleNode) })
+	if len(causes) == 0 || causes[0].Name != "pause at 12 s" || causes[0].WorstWindowGain < 0.3 || r.WorstWindow > 0.7 {
 		t.Errorf("worst %.3f at %.0f: %+v", r.WorstWindow, r.WorstWindowStart, causes)
 	}
 	for _, c := range causes {
-		if c.What == "outage at 2 s" {
+		if c.Name == "outage at 2 s" {
 			t.Errorf("named: %+v", c)
 		}
 	}
