--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -125,10 +125,10 @@
 				if len(r.Violations) == 0 {
 					continue
 				}
-				rule := shrink.Rule(r.Violations[0])
+				rule := shrink.RuleName(r.Violations[0])
 				small, steps := shrink.Day(d, func(d fleet.Day) bool {
 					for _, b := range play(d).Violations {
-						if shrink.Rule(b) == rule {
+						if shrink.RuleName(b) == rule {
 							return true
 						}
 					}
--- a/internal/emu/shrink/shrink.go
+++ b/internal/emu/shrink/shrink.go
@@ -11,16 +11,16 @@
 	"whinrudder/internal/emu/fleet"
 )
 
-// Rule returns the name of a rule that was broken, as the history of it begins.
-func Rule(broken string) string {
+// RuleName returns the name of a rule that was broken, as the history of it begins.
+func RuleName(broken string) string {
 	name, _, _ := strings.Cut(broken, ":")
 	return name
 }
 
 // Step is a cut that held.
 type Step struct {
-	What  string
-	Plays int // so far
+	Change      string
+	Simulations int // so far
 }
 
 // shrinker is a search under way.
--- a/internal/emu/shrink/shrink_test.go
+++ b/internal/emu/shrink/shrink_test.go
@@ -54,7 +54,7 @@
 	d.Faults = []fleet.Fault{{Kind: fleet.Burst, At: 1000, Duration: 4000, Factor: 1.5}, {Kind: fleet.Slowdown, At: 2000, Duration: 9000, Share: 0.2, Factor: 5},
 		{Kind: fleet.Deploy, At: 9000, Duration: 10000, Share: 0.8}, {Kind: fleet.Crash, At: 12000, Duration: 5000, Share: 0.2}}
 	breaks := func(d fleet.Day) bool {
-		return slices.ContainsFunc(play(d).Violations, func(b string) bool { return Rule(b) == "lost" })
+		return slices.ContainsFunc(play(d).Violations, func(b string) bool { return RuleName(b) == "lost" })
 	}
 	if !breaks(d) {
 		t.Fatal("the fault does not show itself")
