--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -171,18 +171,18 @@
 					if err != nil {
 						return err
 					}
-					f := collapse.Look(d, play)
-					if with += f.With / float64(e.Seeds); !f.Collapse {
+					f := collapse.Detect(d, play)
+					if with += f.WorthWithTrigger / float64(e.Seeds); !f.Collapse {
 						continue
 					}
 					if n++; n == 1 {
-						for _, x := range f.Ends {
-							names = append(names, x.What)
+						for _, x := range f.Remedies {
+							names = append(names, x.Name)
 						}
 					}
-					for _, x := range f.Ends {
-						if x.Ends {
-							ends[x.What]++
+					for _, x := range f.Remedies {
+						if x.Recovers {
+							ends[x.Name]++
 						}
 					}
 					if !drawn && c.String("plot") != "" {
@@ -205,10 +205,10 @@
 // drawCollapse draws a collapse and the first measure that ends it.
 func drawCollapse(c *cli.Command, title string, d fleet.Day, f collapse.Finding, play func(fleet.Day) fleet.Result) error {
 	all := []report.Play{{Name: "as it is", Result: f.Result}}
-	for _, e := range f.Ends {
-		if e.Ends {
+	for _, e := range f.Remedies {
+		if e.Recovers {
 			d = e.Day
-			all = append(all, report.Play{Name: e.What, Result: play(e.Day)})
+			all = append(all, report.Play{Name: e.Name, Result: play(e.Day)})
 			break
 		}
 	}
--- a/internal/emu/collapse/collapse.go
+++ b/internal/emu/collapse/collapse.go
@@ -23,53 +23,53 @@
 
 // Finding is what a day showed.
 type Finding struct {
-	Collapse bool
-	Until    float64 // the last trigger is over
-	Without  float64 // share of the worth in time, over the look, without the triggers
-	With     float64
-	Ends     []End // what was tried against it
-	Result   fleet.Result
+	Collapse            bool
+	TriggerEnd          float64 // the last trigger is over
+	WorthWithoutTrigger float64 // share of the worth in time, over the look, without the triggers
+	WorthWithTrigger    float64
+	Remedies            []Remedy // what was tried against it
+	Result              fleet.Result
 }
 
-// End is a measure against a collapse, and the share of the worth over a look after it.
-type End struct {
-	What  string
-	Share float64
-	Ends  bool
-	Day   fleet.Day
+// Remedy is a measure against a collapse, and the share of the worth over a look after it.
+type Remedy struct {
+	Name       string
+	WorthRatio float64
+	Recovers   bool
+	Day        fleet.Day
 }
 
-// Look plays a day whose troubles are the triggers. A day that ends too soon after them for a look and measures shows nothing.
-func Look(d fleet.Day, play func(fleet.Day) fleet.Result) Finding {
+// Detect plays a day whose troubles are the triggers. A day that ends too soon after them for a look and measures shows nothing.
+func Detect(d fleet.Day, play func(fleet.Day) fleet.Result) Finding {
 	f := Finding{}
 	for _, t := range d.Faults {
-		f.Until = max(f.Until, t.At+t.Duration)
+		f.TriggerEnd = max(f.TriggerEnd, t.At+t.Duration)
 	}
 	calm := d
 	calm.Faults = nil
 	days := vtime.ParallelMap(2, runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play([]fleet.Day{d, calm}[i]) })
 	f.Result = days[0]
-	from := f.Until + graceFor
-	f.With, f.Without = share(&days[0], from), share(&days[1], from)
-	f.Collapse = f.Without >= holds && f.With < half*f.Without
+	from := f.TriggerEnd + graceFor
+	f.WorthWithTrigger, f.WorthWithoutTrigger = share(&days[0], from), share(&days[1], from)
+	f.Collapse = f.WorthWithoutTrigger >= holds && f.WorthWithTrigger < half*f.WorthWithoutTrigger
 	if !f.Collapse {
 		return f
 	}
 	at := from + lookFor
 	for _, m := range measures(d, at) {
-		f.Ends = append(f.Ends, End{What: m.what, Day: m.day})
+		f.Remedies = append(f.Remedies, Remedy{Name: m.what, Day: m.day})
 	}
-	results := vtime.ParallelMap(len(f.Ends), runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play(f.Ends[i].Day) })
-	for i := range f.Ends {
-		e := &f.Ends[i]
-		e.Share = share(&results[i], at+actsFor+graceFor)
-		e.Ends = e.Share >= holds*f.Without
+	results := vtime.ParallelMap(len(f.Remedies), runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play(f.Remedies[i].Day) })
+	for i := range f.Remedies {
+		e := &f.Remedies[i]
+		e.WorthRatio = share(&results[i], at+actsFor+graceFor)
+		e.Recovers = e.WorthRatio >= holds*f.WorthWithoutTrigger
 	}
 	return f
 }
 
-// Needs returns how long a day must be after its last trigger to be looked at with all measures.
-func Needs() float64 { return 2*graceFor + 2*lookFor + actsFor }
+// ObservationMs returns how long a day must be after its last trigger to be looked at with all measures.
+func ObservationMs() float64 { return 2*graceFor + 2*lookFor + actsFor }
 
 // share returns the share of the worth that was got in time over a look.
 func share(r *fleet.Result, from float64) float64 {
--- a/internal/emu/collapse/collapse_test.go
+++ b/internal/emu/collapse/collapse_test.go
@@ -31,7 +31,7 @@
 func TestLook(t *testing.T) {
 	d := fleet.DefaultDay(1)
 	d.Faults = []fleet.Fault{{Kind: fleet.Burst, At: 10000, Duration: 5000, Factor: 2}}
-	d.DurationMs = 15000 + Needs()
+	d.DurationMs = 15000 + ObservationMs()
 	for _, c := range []struct {
 		name     string
 		play     func(fleet.Day) fleet.Result
@@ -45,15 +45,15 @@
 		{"heeding helps", model(true, 0.95, fleet.HonorCredit), true, []string{"callers heed credit and advice"}},
 		{"a budget helps", model(true, 0.95, fleet.LimitRetries), true, []string{"callers keep to a budget of retries of a tenth", "clients held off, and the budget"}},
 	} {
-		f := Look(d, c.play)
+		f := Detect(d, c.play)
 		var ends []string
-		for _, e := range f.Ends {
-			if e.Ends {
-				ends = append(ends, e.What)
+		for _, e := range f.Remedies {
+			if e.Recovers {
+				ends = append(ends, e.Name)
 			}
 		}
 		if f.Collapse != c.collapse || !slices.Equal(ends, c.ends) {
-			t.Errorf("%s: %v, %.2f with and %.2f without, ends %q", c.name, f.Collapse, f.With, f.Without, ends)
+			t.Errorf("%s: %v, %.2f with and %.2f without, ends %q", c.name, f.Collapse, f.WorthWithTrigger, f.WorthWithoutTrigger, ends)
 		}
 	}
 }
