--- a/cmd/whinrudder-kit/days.go
+++ b/cmd/whinrudder-kit/days.go
@@ -114,20 +114,20 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	var drawn []report.Named
+	var drawn []report.Plot
 	for _, s := range all {
-		p, err := report.Study(s)
+		p, err := report.DrawStudy(s)
 		if err != nil {
 			return err
 		}
 		drawn = append(drawn, p...)
 	}
 	if len(all) > 1 && len(all[0].Variants) > 1 {
-		svg, err := report.Families(all)
+		svg, err := report.DrawFamilies(all)
 		if err != nil {
 			return err
 		}
-		drawn = append(drawn, report.Named{Name: "families", SVG: svg})
+		drawn = append(drawn, report.Plot{Name: "families", SVG: svg})
 	}
 	for _, p := range drawn {
 		path := filepath.Join(dir, p.Name+".svg")
@@ -140,7 +140,7 @@
 }
 
 // plays plays one day with all variants of its experiment.
-func plays(e *experiment.Experiment, x float64, seed vtime.Seed) (d fleet.Day, out []report.Play, err error) {
+func plays(e *experiment.Experiment, x float64, seed vtime.Seed) (d fleet.Day, out []report.VariantResult, err error) {
 	for i, v := range e.Variants {
 		w, err := e.Day(i, x, seed, nil)
 		if err != nil {
@@ -149,7 +149,7 @@
 		if i == 0 {
 			d = w
 		}
-		out = append(out, report.Play{Name: v.Name, Result: fleet.Simulate(w, v.Policy.NodeFactory())})
+		out = append(out, report.VariantResult{Name: v.Name, Result: fleet.Simulate(w, v.Policy.NodeFactory())})
 	}
 	return d, out, nil
 }
@@ -249,7 +249,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprint(out, report.Text(d, all))
+			fmt.Fprint(out, report.FormatResults(d, all))
 			if err := output(c, "day", func(w io.Writer) error {
 				_, err := w.Write(experiment.MarshalDay(d, e.Variants[0].Policy.Name))
 				return err
@@ -319,16 +319,16 @@
 	}
 	var sections []report.Section
 	if len(all) > 1 && len(all[0].Variants) > 1 {
-		svg, err := report.Families(all)
+		svg, err := report.DrawFamilies(all)
 		if err != nil {
 			return err
 		}
-		sections = append(sections, report.Section{Title: "all", Plots: []report.Named{{Name: "differences", SVG: svg}}})
+		sections = append(sections, report.Section{Title: "all", Plots: []report.Plot{{Name: "differences", SVG: svg}}})
 	}
 	for _, s := range all {
 		var text strings.Builder
 		study.WriteTable(&text, []*study.Study{s})
-		p, err := report.Study(s)
+		p, err := report.DrawStudy(s)
 		if err != nil {
 			return err
 		}
@@ -355,11 +355,11 @@
 		if err != nil {
 			return err
 		}
-		svg, err := report.Day(fmt.Sprintf("%s, seed %d", s.Name, worst.WorstSeed), d, plays)
+		svg, err := report.DrawDay(fmt.Sprintf("%s, seed %d", s.Name, worst.WorstSeed), d, plays)
 		if err != nil {
 			return err
 		}
-		sections = append(sections, report.Section{Title: "worst " + s.Name, Text: report.Text(d, plays), Plots: []report.Named{{Name: "the day", SVG: svg}}})
+		sections = append(sections, report.Section{Title: "worst " + s.Name, Text: report.FormatResults(d, plays), Plots: []report.Plot{{Name: "the day", SVG: svg}}})
 	}
-	return output(c, "out", func(w io.Writer) error { return report.Write(w, "Rehearsal", sections) })
+	return output(c, "out", func(w io.Writer) error { return report.WritePage(w, "Rehearsal", sections) })
 }
--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -33,9 +33,9 @@
 }
 
 // drawDay writes the plot of a day, if one is wanted.
-func drawDay(c *cli.Command, title string, d fleet.Day, all []report.Play) error {
+func drawDay(c *cli.Command, title string, d fleet.Day, all []report.VariantResult) error {
 	return output(c, "plot", func(w io.Writer) error {
-		svg, err := report.Day(title, d, all)
+		svg, err := report.DrawDay(title, d, all)
 		if err != nil {
 			return err
 		}
@@ -204,11 +204,11 @@
 
 // drawCollapse draws a collapse and the first measure that ends it.
 func drawCollapse(c *cli.Command, title string, d fleet.Day, f collapse.Finding, play func(fleet.Day) fleet.Result) error {
-	all := []report.Play{{Name: "as it is", Result: f.Result}}
+	all := []report.VariantResult{{Name: "as it is", Result: f.Result}}
 	for _, e := range f.Remedies {
 		if e.Recovers {
 			d = e.Day
-			all = append(all, report.Play{Name: e.Name, Result: play(e.Day)})
+			all = append(all, report.VariantResult{Name: e.Name, Result: play(e.Day)})
 			break
 		}
 	}
@@ -230,9 +230,9 @@
 				if err != nil {
 					return err
 				}
-				all := []report.Play{{Name: "emulated", Result: fleet.Simulate(d, fleet.NewModuleNode)}, {Name: "real", Result: r}}
-				fmt.Fprint(out, report.Text(d, all))
-				fmt.Fprint(out, report.Errors(all[0].Result, r))
+				all := []report.VariantResult{{Name: "emulated", Result: fleet.Simulate(d, fleet.NewModuleNode)}, {Name: "real", Result: r}}
+				fmt.Fprint(out, report.FormatResults(d, all))
+				fmt.Fprint(out, report.FormatModelErrors(all[0].Result, r))
 				return drawDay(c, fmt.Sprintf("%s, seed %d", e.Name, uint64(d.Seed)), d, all)
 			})
 		},
--- a/internal/emu/report/report.go
+++ b/internal/emu/report/report.go
@@ -16,14 +16,14 @@
 	"whinrudder/internal/emu/study"
 )
 
-// Named is a plot with a name that may be that of a file.
-type Named struct {
+// Plot is a plot with a name that may be that of a file.
+type Plot struct {
 	Name string
 	SVG  []byte
 }
 
-// Play is what a variant did on a day.
-type Play struct {
+// VariantResult is what a variant did on a day.
+type VariantResult struct {
 	Name   string
 	Result fleet.Result
 }
@@ -31,8 +31,8 @@
 // smooth is how many bins a point of a time series is the mean of: two seconds.
 const smooth = 4
 
-// Day draws a day that was played, with its troubles shaded: worth answered in time, tries a request, what runs in the fleet.
-func Day(title string, d fleet.Day, plays []Play) ([]byte, error) {
+// DrawDay draws a day that was played, with its troubles shaded: worth answered in time, tries a request, what runs in the fleet.
+func DrawDay(title string, d fleet.Day, plays []VariantResult) ([]byte, error) {
 	var shades []chart.Shade
 	for _, t := range d.Faults {
 		shades = append(shades, chart.Shade{From: t.At / 1000, To: (t.At + t.Duration) / 1000, Name: t.Kind.String()})
@@ -76,14 +76,14 @@
 		})})
 }
 
-// Study draws a study: over its sweep where it has one, else the differences to the first variant.
-func Study(s *study.Study) (out []Named, err error) {
+// DrawStudy draws a study: over its sweep where it has one, else the differences to the first variant.
+func DrawStudy(s *study.Study) (out []Plot, err error) {
 	cells := s.Cells()
 	add := func(name string, svg []byte, fault error) {
 		if fault != nil && err == nil {
 			err = fault
 		}
-		out = append(out, Named{strings.ReplaceAll(s.Name+"-"+name, " ", "-"), svg})
+		out = append(out, Plot{strings.ReplaceAll(s.Name+"-"+name, " ", "-"), svg})
 	}
 	if s.Sweep == "" {
 		if rows := differences(cells, s.Variants[0]); len(rows) > 0 {
@@ -163,8 +163,8 @@
 	return rows
 }
 
-// Families draws the differences of many studies in one plot.
-func Families(all []*study.Study) ([]byte, error) {
+// DrawFamilies draws the differences of many studies in one plot.
+func DrawFamilies(all []*study.Study) ([]byte, error) {
 	var rows []chart.Row
 	for _, s := range all {
 		for _, r := range differences(s.Cells(), s.Variants[0]) {
@@ -179,11 +179,11 @@
 type Section struct {
 	Title string
 	Text  string // as it stands, in a fixed width
-	Plots []Named
+	Plots []Plot
 }
 
 // svg returns a plot without the head of a file, as it stands inside of a page.
-func (n Named) svg() template.HTML {
+func (n Plot) svg() template.HTML {
 	b := n.SVG
 	if i := bytes.Index(b, []byte("<svg")); i > 0 {
 		b = b[i:]
@@ -191,7 +191,7 @@
 	return template.HTML(b)
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{"svg": Named.svg}).Parse(`<!DOCTYPE html>
+var page = template.Must(template.New("page").Funcs(template.FuncMap{"svg": Plot.svg}).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font-family:sans-serif;max-width:1100px;margin:2em auto;color:#222}pre{overflow-x:auto;background:#f5f5f5;padding:.7em;font-size:12px}
 svg{max-width:100%;height:auto}nav a{margin-right:1em}</style></head><body><h1>{{.Title}}</h1>
@@ -201,16 +201,16 @@
 {{end}}</body></html>
 `))
 
-// Write writes a page.
-func Write(w io.Writer, title string, sections []Section) error {
+// WritePage writes a page.
+func WritePage(w io.Writer, title string, sections []Section) error {
 	return page.Execute(w, struct {
 		Title    string
 		Sections []Section
 	}{title, sections})
 }
 
-// Text tells a result of a day as people read it.
-func Text(d fleet.Day, plays []Play) string {
+// FormatResults tells a result of a day as people read it.
+func FormatResults(d fleet.Day, plays []VariantResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %d nodes of %d cores, %d callers, load %.2f, %.0f s\n", uint64(d.Seed), d.Nodes, d.Cores, len(d.Callers), d.Load, d.DurationMs/1000)
 	for _, t := range d.Faults {
@@ -232,8 +232,8 @@
 	return b.String()
 }
 
-// Errors tells how far a play in virtual time is from a real one.
-func Errors(emulated, real fleet.Result) string {
+// FormatModelErrors tells how far a play in virtual time is from a real one.
+func FormatModelErrors(emulated, real fleet.Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-14s %9s %9s %9s\n", "", "emulated", "real", "error")
 	for _, m := range experiment.Measures {
--- a/internal/emu/report/report_test.go
+++ b/internal/emu/report/report_test.go
@@ -45,13 +45,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plots, err := Study(all[0])
+	plots, err := DrawStudy(all[0])
 	if err != nil || len(plots) != 7 {
 		t.Fatalf("%d plots, %v", len(plots), err)
 	}
 	d, _ := e.Day(0, 0.8, 1, nil)
-	plays := []Play{{"module", fleet.Simulate(d, fleet.NewModuleNode)}, {"<fixed>", fleet.Simulate(d, e.Variants[1].Policy.NodeFactory())}}
-	day, err := Day("a day", d, plays)
+	plays := []VariantResult{{"module", fleet.Simulate(d, fleet.NewModuleNode)}, {"<fixed>", fleet.Simulate(d, e.Variants[1].Policy.NodeFactory())}}
+	day, err := DrawDay("a day", d, plays)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 		}
 	}
 	var page strings.Builder
-	if err := Write(&page, "Rehearsal", []Section{{"one", Text(d, plays), append(plots, Named{"the day", day})}}); err != nil {
+	if err := WritePage(&page, "Rehearsal", []Section{{"one", FormatResults(d, plays), append(plots, Plot{"the day", day})}}); err != nil {
 		t.Fatal(err)
 	}
 	if strings.Count(page.String(), "<svg") != 8 || !strings.Contains(page.String(), "&lt;fixed&gt;") {
@@ -73,7 +73,7 @@
 	if refs := regexp.MustCompile(`(src|href)="?[a-z]+:`).FindAllString(page.String(), -1); len(refs) > 0 {
 		t.Errorf("the page refers to %v", refs)
 	}
-	if text := Errors(plays[0].Result, plays[0].Result); !strings.Contains(text, "2 s: 0.000") {
+	if text := FormatModelErrors(plays[0].Result, plays[0].Result); !strings.Contains(text, "2 s: 0.000") {
 		t.Error(text)
 	}
 }
