--- a/internal/emu/chart/chart.go
+++ b/internal/emu/chart/chart.go
@@ -18,10 +18,10 @@
 // Line is one line of a panel; Low and High are a band around it, or nil. A figure that is no number breaks nothing: it is
 // left out.
 type Line struct {
-	Name         string
-	X, Y         []float64
-	Low, High    []float64
-	PointsNoLine bool // the points alone
+	Name       string
+	X, Y       []float64
+	Low, High  []float64
+	PointsOnly bool // the points alone
 }
 
 // Shade is a part of the x axis that stands out, and why.
@@ -32,11 +32,11 @@
 
 // Panel is one plot.
 type Panel struct {
-	Title, X, Y string
-	Lines       []Line
-	Shades      []Shade
-	Low, High   float64 // of the y axis; both 0: as the lines are
-	Diagonal    bool    // a thin line where y is x
+	Title, XLabel, YLabel string
+	Lines                 []Line
+	Shades                []Shade
+	YMin, YMax            float64 // of the y axis; both 0: as the lines are
+	Diagonal              bool    // a thin line where y is x
 }
 
 // Row is an interval of a list of them.
@@ -98,9 +98,9 @@
 
 func (p Panel) plot() (*plot.Plot, error) {
 	l := plot.New()
-	l.Title.Text, l.X.Label.Text, l.Y.Label.Text = p.Title, p.X, p.Y
+	l.Title.Text, l.X.Label.Text, l.Y.Label.Text = p.Title, p.XLabel, p.YLabel
 	l.Legend.Top, l.Legend.Left = true, false
-	low, high := p.Low, p.High
+	low, high := p.YMin, p.YMax
 	if low == 0 && high == 0 {
 		low, high = math.Inf(1), math.Inf(-1)
 		for _, n := range p.Lines {
@@ -169,7 +169,7 @@
 	}
 	line.Color, dots.Color, dots.Shape, dots.Radius = c, c, shape, vg.Points(1.5)
 	switch {
-	case n.PointsNoLine:
+	case n.PointsOnly:
 		l.Add(dots)
 		l.Legend.Add(n.Name, dots)
 	case len(xy) > 60:
--- a/internal/emu/report/report.go
+++ b/internal/emu/report/report.go
@@ -53,21 +53,21 @@
 		asked += c.Share * c.Worth
 	}
 	return chart.SVG(
-		chart.Panel{Title: title, Y: "worth in time, share", High: 1.02, Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
+		chart.Panel{Title: title, YLabel: "worth in time, share", YMax: 1.02, Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
 			a, g := 0.0, 0.0
 			for _, b := range part {
 				a, g = a+b.OfferedWorth, g+b.EarnedWorth
 			}
 			return g / max(1e-9, a)
 		})},
-		chart.Panel{Y: "tries a request", Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
+		chart.Panel{YLabel: "tries a request", Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
 			a, n := 0.0, 0
 			for _, b := range part {
 				a, n = a+b.OfferedWorth, n+b.Tries
 			}
 			return float64(n) * asked / max(1e-9, a)
 		})},
-		chart.Panel{X: "seconds", Y: "runs in the fleet", Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
+		chart.Panel{XLabel: "seconds", YLabel: "runs in the fleet", Shades: shades, Lines: series(func(part []fleet.TimeBucket) float64 {
 			n := 0
 			for _, b := range part {
 				n += b.Running
@@ -94,7 +94,7 @@
 	}
 	for _, name := range s.Measures {
 		m := experiment.MeasureByName(name)
-		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": " + name + " by " + s.Sweep, X: s.Sweep, Y: name + ", " + m.Unit, Lines: lines(s, cells, name, "")})
+		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": " + name + " by " + s.Sweep, XLabel: s.Sweep, YLabel: name + ", " + m.Unit, Lines: lines(s, cells, name, "")})
 		add(name, svg, fault)
 	}
 	has := func(name string) bool {
@@ -106,7 +106,7 @@
 		return false
 	}
 	if has("offered") && has("goodput") {
-		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": goodput by offered load", X: "offered, requests/s", Y: "served by the aim, requests/s",
+		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": goodput by offered load", XLabel: "offered, requests/s", YLabel: "served by the aim, requests/s",
 			Diagonal: true, Lines: lines(s, cells, "goodput", "offered")})
 		add("goodput-by-offered", svg, fault)
 	}
@@ -120,7 +120,7 @@
 				}
 			}
 		}
-		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": latency by offered load", X: "offered, requests/s", Y: "ms", Lines: all})
+		svg, fault := chart.SVG(chart.Panel{Title: s.Name + ": latency by offered load", XLabel: "offered, requests/s", YLabel: "ms", Lines: all})
 		add("latency-by-offered", svg, fault)
 	}
 	return out, err
