--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -226,7 +226,7 @@
 				return err
 			}
 			return bounded(ctx, c, func(ctx context.Context, program string) error {
-				r, err := live.Play(ctx, program, d)
+				r, err := live.RunDay(ctx, program, d)
 				if err != nil {
 					return err
 				}
@@ -257,8 +257,8 @@
 						return err
 					}
 				}
-				calls, err := live.Clients(ctx, program, proxy, d, client.Protocol(c.String("protocol")))
-				live.WriteCalls(out, calls)
+				calls, err := live.RunClients(ctx, program, proxy, d, client.Protocol(c.String("protocol")))
+				live.WriteCallStats(out, calls)
 				return err
 			})
 		},
--- a/internal/emu/live/clients.go
+++ b/internal/emu/live/clients.go
@@ -19,16 +19,16 @@
 	"whinrudder/internal/vtime"
 )
 
-// Calls is what became of the calls of real clients against real nodes.
-type Calls struct {
-	Calls, Served, InTime int
-	Worth, Got            float64 // asked for, and got by the aim
-	Tries                 int
-	Reasons               map[string]int // of those that brought nothing
-	Runs                  int            // of writes, by the worker pools' book
-	Doubles               []string       // writes that ran more than once
-	Lied                  []string       // writes that were told not to have run, and did
-	Broken                []string       // rules that nodes broke
+// CallStats is what became of the calls of real clients against real nodes.
+type CallStats struct {
+	Calls, Served, InTime     int
+	OfferedWorth, EarnedWorth float64 // asked for, and got by the aim
+	Tries                     int
+	FailureReasons            map[string]int // of those that brought nothing
+	WriteRuns                 int            // of writes, by the worker pools' book
+	DuplicateWrites           []string       // writes that ran more than once
+	FalseNotRun               []string       // writes that were told not to have run, and did
+	Violations                []string       // rules that nodes broke
 }
 
 // book is what the worker pools run.
@@ -63,17 +63,17 @@
 	}
 }
 
-// Clients plays a day against processes of a program, whose callers are clients of the library over a protocol: as many as
+// RunClients plays a day against processes of a program, whose callers are clients of the library over a protocol: as many as
 // the day has callers. With a proxy, each is a process of that program, and who calls it is a plain client of HTTP. The day's own callers stay away. Its troubles of nodes and pools are played, those of callers, the network and
 // the ensemble are not.
-func Clients(ctx context.Context, program, proxy string, d fleet.Day, protocol client.Protocol) (c Calls, err error) {
+func RunClients(ctx context.Context, program, proxy string, d fleet.Day, protocol client.Protocol) (c CallStats, err error) {
 	if d.Nodes > maxNodes {
 		return c, fmt.Errorf("live: %d nodes, %d at most", d.Nodes, maxNodes)
 	}
 	if rate := d.Workload().Rate * 1000; rate > maxRate {
 		return c, fmt.Errorf("live: %.0f requests a second, %.0f at most", rate, maxRate)
 	}
-	c = Calls{Reasons: map[string]int{}}
+	c = CallStats{FailureReasons: map[string]int{}}
 	dir, err := os.MkdirTemp("", "live")
 	if err != nil {
 		return c, err
@@ -98,11 +98,11 @@
 		fault = h.drive(ctx, k, to, poke)
 	}, b.run)
 	load.Wait()
-	c.Broken = r.Violations
+	c.Violations = r.Violations
 	for no, n := range b.runs {
-		c.Runs += n
+		c.WriteRuns += n
 		if n > 1 {
-			c.Doubles = append(c.Doubles, fmt.Sprintf("request %s ran %d times", no, n))
+			c.DuplicateWrites = append(c.DuplicateWrites, fmt.Sprintf("request %s ran %d times", no, n))
 		}
 	}
 	return c, errors.Join(fault, loadFault)
@@ -122,7 +122,7 @@
 }
 
 // load makes the calls of the day.
-func (b *book) load(ctx context.Context, h *Host, proxy string, protocol client.Protocol, c *Calls) error {
+func (b *book) load(ctx context.Context, h *Host, proxy string, protocol client.Protocol, c *CallStats) error {
 	select {
 	case <-h.begun:
 	case <-ctx.Done():
@@ -176,7 +176,7 @@
 	Do(ctx context.Context, r client.Request) (*client.Response, error)
 }
 
-func (b *book) call(ctx context.Context, l caller, k fleet.Class, q workload.Request, at time.Time, c *Calls) {
+func (b *book) call(ctx context.Context, l caller, k fleet.Class, q workload.Request, at time.Time, c *CallStats) {
 	body := "r" + strconv.Itoa(q.Number)
 	if k.Write {
 		body = "w" + strconv.Itoa(q.Number)
@@ -191,45 +191,45 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c.Calls++
-	c.Worth += k.Worth
+	c.OfferedWorth += k.Worth
 	var fault *client.Error
 	switch {
 	case err == nil:
 		c.Served++
 		if took <= k.Aim {
 			c.InTime++
-			c.Got += k.Worth
+			c.EarnedWorth += k.Worth
 		} else {
-			c.Got += k.Worth * k.LateWorth
+			c.EarnedWorth += k.Worth * k.LateWorth
 		}
 	case errors.As(err, &fault):
-		c.Reasons[fault.Reason.String()]++
+		c.FailureReasons[fault.Reason.String()]++
 		if k.Write && !fault.MayHaveRun() && b.runs[body] > 0 {
-			c.Lied = append(c.Lied, fmt.Sprintf("%s ran, and %v", body, err))
+			c.FalseNotRun = append(c.FalseNotRun, fmt.Sprintf("%s ran, and %v", body, err))
 		}
 	default:
 		var said *proxyError
 		if !errors.As(err, &said) {
-			c.Reasons["other"]++
+			c.FailureReasons["other"]++
 			return
 		}
-		c.Reasons[said.reason]++
+		c.FailureReasons[said.reason]++
 		if k.Write && said.status == http.StatusServiceUnavailable && b.runs[body] > 0 {
-			c.Lied = append(c.Lied, fmt.Sprintf("%s ran, and the proxy said %s", body, said.reason))
+			c.FalseNotRun = append(c.FalseNotRun, fmt.Sprintf("%s ran, and the proxy said %s", body, said.reason))
 		}
 	}
 }
 
-// WriteCalls writes what became of calls as people read it.
-func WriteCalls(w io.Writer, c Calls) {
+// WriteCallStats writes what became of calls as people read it.
+func WriteCallStats(w io.Writer, c CallStats) {
 	tries := ""
 	if c.Tries > 0 { // proxies keep theirs to themselves
 		tries = fmt.Sprintf("%.3f tries a call, ", float64(c.Tries)/float64(max(1, c.Calls)))
 	}
-	fmt.Fprintf(w, "%d calls, %d served, %d in time, worth in time %.3f, %snone: %v\n", c.Calls, c.Served, c.InTime, c.Got/max(1e-9, c.Worth), tries, c.Reasons)
-	fmt.Fprintf(w, "writes: %d runs by the worker pools' book, %d ran twice, %d ran though they were told not to have; rules broken by nodes: %d\n", c.Runs,
-		len(c.Doubles), len(c.Lied), len(c.Broken))
-	for _, x := range append(append(c.Doubles, c.Lied...), c.Broken...) {
+	fmt.Fprintf(w, "%d calls, %d served, %d in time, worth in time %.3f, %snone: %v\n", c.Calls, c.Served, c.InTime, c.EarnedWorth/max(1e-9, c.OfferedWorth), tries, c.FailureReasons)
+	fmt.Fprintf(w, "writes: %d runs by the worker pools' book, %d ran twice, %d ran though they were told not to have; rules broken by nodes: %d\n", c.WriteRuns,
+		len(c.DuplicateWrites), len(c.FalseNotRun), len(c.Violations))
+	for _, x := range append(append(c.DuplicateWrites, c.FalseNotRun...), c.Violations...) {
 		fmt.Fprintln(w, "   ", x)
 	}
 }
--- a/internal/emu/live/live.go
+++ b/internal/emu/live/live.go
@@ -54,8 +54,8 @@
 	fault error // the first process that could not be started
 }
 
-// Play plays a day against processes of a program, in real time. Its folder and processes are gone when it returns.
-func Play(ctx context.Context, program string, d fleet.Day) (r fleet.Result, err error) {
+// RunDay plays a day against processes of a program, in real time. Its folder and processes are gone when it returns.
+func RunDay(ctx context.Context, program string, d fleet.Day) (r fleet.Result, err error) {
 	if d.Nodes > maxNodes {
 		return r, fmt.Errorf("live: %d nodes, %d at most", d.Nodes, maxNodes)
 	}
--- a/internal/emu/live/live_test.go
+++ b/internal/emu/live/live_test.go
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 	defer cancel()
-	r, err := Play(ctx, program, d)
+	r, err := RunDay(ctx, program, d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,10 +60,10 @@
 		t.Log(b) // on a machine that stands still for seconds an answer is late
 	}
 	d.Nodes = maxNodes + 1
-	if _, err := Play(ctx, program, d); err == nil {
+	if _, err := RunDay(ctx, program, d); err == nil {
 		t.Error("too many nodes are played")
 	}
-	if _, err := Play(ctx, filepath.Join(t.TempDir(), "none"), fleet.Day{Nodes: 1, Cores: 1, Classes: d.Classes, Callers: d.Callers, DurationMs: 1000, Load: 0.1}); err == nil {
+	if _, err := RunDay(ctx, filepath.Join(t.TempDir(), "none"), fleet.Day{Nodes: 1, Cores: 1, Classes: d.Classes, Callers: d.Callers, DurationMs: 1000, Load: 0.1}); err == nil {
 		t.Error("a program that is not there is played")
 	}
 }
