--- a/cmd/whinrudder-kit/days.go
+++ b/cmd/whinrudder-kit/days.go
@@ -21,7 +21,7 @@
 
 // load reads an experiment: a file, or one that ships with the kit by its name.
 func load(name string) (*experiment.Experiment, error) {
-	text, ok := experiment.Text(name)
+	text, ok := experiment.FamilySource(name)
 	if !ok {
 		var err error
 		if text, err = os.ReadFile(name); err != nil {
@@ -48,21 +48,21 @@
 			}
 		}
 		if c.IsSet("first-seed") {
-			e.First = vtime.Seed(c.Uint64("first-seed"))
+			e.FirstSeed = vtime.Seed(c.Uint64("first-seed"))
 		}
 		if c.IsSet("effect") {
-			e.Effect, e.Stop = c.Float("effect"), true
+			e.MinEffect, e.StopEarly = c.Float("effect"), true
 		}
 		if m := c.StringSlice("measure"); len(m) > 0 {
 			for _, name := range m {
-				if experiment.MeasureOf(name) == nil {
+				if experiment.MeasureByName(name) == nil {
 					return nil, fmt.Errorf("lab: measure %q is none of %s", name, strings.Join(experiment.MeasureNames(), ", "))
 				}
 			}
-			e.Measure = m
+			e.Measures = m
 		}
 		if p := c.StringSlice("policy"); len(p) > 0 {
-			if err := e.Compare(p); err != nil {
+			if err := e.SetPolicies(p); err != nil {
 				return nil, err
 			}
 		}
@@ -100,8 +100,8 @@
 // finish writes what was played: a table, and files where they are wanted.
 func finish(out io.Writer, c *cli.Command, all []*study.Study) error {
 	fmt.Fprintln(os.Stderr)
-	study.Write(out, all)
-	if err := output(c, "json", func(w io.Writer) error { return study.WriteLines(w, all) }); err != nil {
+	study.WriteTable(out, all)
+	if err := output(c, "json", func(w io.Writer) error { return study.WriteJSONLines(w, all) }); err != nil {
 		return err
 	}
 	if dir := c.String("plots"); dir != "" {
@@ -114,20 +114,20 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	var drawn []report.Named
+	var drawn []report.Plot
 	for _, s := range all {
-		p, err := report.Study(s)
+		p, err := report.DrawStudy(s)
 		if err != nil {
 			return err
 		}
 		drawn = append(drawn, p...)
 	}
 	if len(all) > 1 && len(all[0].Variants) > 1 {
-		svg, err := report.Families(all)
+		svg, err := report.DrawFamilies(all)
 		if err != nil {
 			return err
 		}
-		drawn = append(drawn, report.Named{Name: "families", SVG: svg})
+		drawn = append(drawn, report.Plot{Name: "families", SVG: svg})
 	}
 	for _, p := range drawn {
 		path := filepath.Join(dir, p.Name+".svg")
@@ -140,7 +140,7 @@
 }
 
 // plays plays one day with all variants of its experiment.
-func plays(e *experiment.Experiment, x float64, seed vtime.Seed) (d fleet.Day, out []report.Play, err error) {
+func plays(e *experiment.Experiment, x float64, seed vtime.Seed) (d fleet.Day, out []report.VariantResult, err error) {
 	for i, v := range e.Variants {
 		w, err := e.Day(i, x, seed, nil)
 		if err != nil {
@@ -149,15 +149,15 @@
 		if i == 0 {
 			d = w
 		}
-		out = append(out, report.Play{Name: v.Name, Result: fleet.Play(w, v.Policy.Make())})
+		out = append(out, report.VariantResult{Name: v.Name, Result: fleet.Simulate(w, v.Policy.NodeFactory())})
 	}
 	return d, out, nil
 }
 
 // variant returns what plays a day as the first variant of an experiment does.
 func variant(e *experiment.Experiment) func(fleet.Day) fleet.Result {
-	make := e.Variants[0].Policy.Make()
-	return func(d fleet.Day) fleet.Result { return fleet.Play(d, make) }
+	make := e.Variants[0].Policy.NodeFactory()
+	return func(d fleet.Day) fleet.Result { return fleet.Simulate(d, make) }
 }
 
 // dayCommands play the days of the emulator.
@@ -195,13 +195,13 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.NArg() == 0 {
 				for _, f := range experiment.Families() {
-					text, _ := experiment.Text(f)
+					text, _ := experiment.FamilySource(f)
 					first, _, _ := strings.Cut(string(text), "\n")
 					fmt.Fprintf(out, "%-10s %s\n", f, strings.TrimPrefix(first, "// "))
 				}
 				return nil
 			}
-			text, ok := experiment.Text(c.Args().First())
+			text, ok := experiment.FamilySource(c.Args().First())
 			if !ok {
 				return fmt.Errorf("lab: no day %q ships", c.Args().First())
 			}
@@ -217,7 +217,7 @@
 			if c.IsSet("policy") || len(e.Variants) > 1 {
 				return nil
 			}
-			return e.Compare(experiment.Policies)
+			return e.SetPolicies(experiment.PolicyNames)
 		}),
 	}, {
 		Name: "sweep", Usage: "play a day over the values of one of its figures", ArgsUsage: "EXPERIMENT...",
@@ -225,7 +225,7 @@
 			&cli.FloatFlag{Name: "to", Value: 1.5}, &cli.IntFlag{Name: "steps", Value: 9}),
 		Action: run(func(c *cli.Command, e *experiment.Experiment) error {
 			if len(c.StringSlice("measure")) == 0 {
-				e.Measure = []string{"goal", "offered", "goodput", "p50", "p99", "waste", "tries"}
+				e.Measures = []string{"goal", "offered", "goodput", "p50", "p99", "waste", "tries"}
 			}
 			if e.Sweep.Key != "" && !c.IsSet("key") {
 				return nil
@@ -249,9 +249,9 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprint(out, report.Text(d, all))
+			fmt.Fprint(out, report.FormatResults(d, all))
 			if err := output(c, "day", func(w io.Writer) error {
-				_, err := w.Write(experiment.Write(d, e.Variants[0].Policy.Name))
+				_, err := w.Write(experiment.MarshalDay(d, e.Variants[0].Policy.Name))
 				return err
 			}); err != nil {
 				return err
@@ -285,7 +285,7 @@
 			if s := c.Float("seconds"); !(s >= 1 && s <= 3600) {
 				return fmt.Errorf("lab speed: --seconds is %v, want 1 to 3600", s)
 			}
-			study.WriteSpeed(out, study.Speed(c.IntSlice("nodes"), c.Float("seconds")))
+			study.WriteSpeed(out, study.MeasureSpeed(c.IntSlice("nodes"), c.Float("seconds")))
 			return nil
 		},
 	}, huntCommand(out), shrinkCommand(out), collapseCommand(out), liveCommand(out), clientsCommand(out)}
@@ -297,7 +297,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	all, err := study.ReadLines(f)
+	all, err := study.ReadJSONLines(f)
 	if err == nil && len(all) == 0 {
 		err = fmt.Errorf("results: %s holds none", c.Args().First())
 	}
@@ -319,16 +319,16 @@
 	}
 	var sections []report.Section
 	if len(all) > 1 && len(all[0].Variants) > 1 {
-		svg, err := report.Families(all)
+		svg, err := report.DrawFamilies(all)
 		if err != nil {
 			return err
 		}
-		sections = append(sections, report.Section{Title: "all", Plots: []report.Named{{Name: "differences", SVG: svg}}})
+		sections = append(sections, report.Section{Title: "all", Plots: []report.Plot{{Name: "differences", SVG: svg}}})
 	}
 	for _, s := range all {
 		var text strings.Builder
-		study.Write(&text, []*study.Study{s})
-		p, err := report.Study(s)
+		study.WriteTable(&text, []*study.Study{s})
+		p, err := report.DrawStudy(s)
 		if err != nil {
 			return err
 		}
@@ -339,27 +339,27 @@
 		}
 		worst := cells[0]
 		for _, w := range cells {
-			if w.Variant == s.Variants[0] && w.Measured[0].Mean < worst.Measured[0].Mean {
+			if w.Variant == s.Variants[0] && w.Estimates[0].Mean < worst.Estimates[0].Mean {
 				worst = w
 			}
 		}
 		if s.Sweep != "" {
-			if err := e.SetSweep(experiment.Sweep{Key: s.Sweep, Values: s.Xs()}); err != nil {
+			if err := e.SetSweep(experiment.Sweep{Key: s.Sweep, Values: s.SweepValues()}); err != nil {
 				return err
 			}
 		}
-		if e.CompareLike(s.Variants) != nil {
+		if e.MatchVariants(s.Variants) != nil {
 			continue // the file has changed since: its days are not those of the results
 		}
-		d, plays, err := plays(e, worst.X, vtime.Seed(worst.Worst))
+		d, plays, err := plays(e, worst.SweepValue, vtime.Seed(worst.WorstSeed))
 		if err != nil {
 			return err
 		}
-		svg, err := report.Day(fmt.Sprintf("%s, seed %d", s.Name, worst.Worst), d, plays)
+		svg, err := report.DrawDay(fmt.Sprintf("%s, seed %d", s.Name, worst.WorstSeed), d, plays)
 		if err != nil {
 			return err
 		}
-		sections = append(sections, report.Section{Title: "worst " + s.Name, Text: report.Text(d, plays), Plots: []report.Named{{Name: "the day", SVG: svg}}})
+		sections = append(sections, report.Section{Title: "worst " + s.Name, Text: report.FormatResults(d, plays), Plots: []report.Plot{{Name: "the day", SVG: svg}}})
 	}
-	return output(c, "out", func(w io.Writer) error { return report.Write(w, "Rehearsal", sections) })
+	return output(c, "out", func(w io.Writer) error { return report.WritePage(w, "Rehearsal", sections) })
 }
--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -33,9 +33,9 @@
 }
 
 // drawDay writes the plot of a day, if one is wanted.
-func drawDay(c *cli.Command, title string, d fleet.Day, all []report.Play) error {
+func drawDay(c *cli.Command, title string, d fleet.Day, all []report.VariantResult) error {
 	return output(c, "plot", func(w io.Writer) error {
-		svg, err := report.Day(title, d, all)
+		svg, err := report.DrawDay(title, d, all)
 		if err != nil {
 			return err
 		}
@@ -55,8 +55,8 @@
 			if err != nil {
 				return err
 			}
-			dims := e.Dims()
-			p := hunt.Params{Random: c.Int("random"), Keep: c.Int("keep"), Rounds: c.Int("rounds"), Tries: c.Int("tries"), Seed: e.First}
+			dims := e.Dimensions()
+			p := hunt.Params{Random: c.Int("random"), Keep: c.Int("keep"), Rounds: c.Int("rounds"), Tries: c.Int("tries"), Seed: e.FirstSeed}
 			if p.Random < 1 || p.Random > 100000 || p.Keep < 1 || p.Rounds < 0 || p.Rounds > 1000 || p.Tries < 1 || p.Tries > 1000 {
 				return errors.New("lab hunt: want --random 1 to 100000, --keep and --tries from 1, --rounds from 0")
 			}
@@ -76,26 +76,26 @@
 				if err != nil {
 					return 2
 				}
-				return play(d).Goal
+				return play(d).GoalScore
 			}, tell)
 			fmt.Fprintln(os.Stderr)
 			for i, f := range found {
-				d, err := day(f.Place, f.Seed)
+				d, err := day(f.Point, f.Seed)
 				if err != nil {
 					return err
 				}
-				r, causes := hunt.Causes(d, play)
-				fmt.Fprintf(out, "%d. goal %.3f (drawn %.3f), worst 10 s %.3f from %.0f s on, %d broken, seed %d\n", i+1, f.Score, f.From, r.WorstWindow, r.WorstAt/1000,
-					len(r.Broken), uint64(f.Seed))
+				r, causes := hunt.FindCauses(d, play)
+				fmt.Fprintf(out, "%d. goal %.3f (drawn %.3f), worst 10 s %.3f from %.0f s on, %d broken, seed %d\n", i+1, f.Score, f.InitialScore, r.WorstWindow, r.WorstWindowStart/1000,
+					len(r.Violations), uint64(f.Seed))
 				for j, dim := range dims {
-					fmt.Fprintf(out, "     %s %.3g\n", dim.Path, vtime.Range{Low: dim.Low, High: dim.High}.At(f.Place[j]))
+					fmt.Fprintf(out, "     %s %.3g\n", dim.Path, vtime.Range{Low: dim.Low, High: dim.High}.At(f.Point[j]))
 				}
 				for _, w := range causes {
-					fmt.Fprintf(out, "   without %-28s worst 10 s %+.3f, goal %+.3f\n", w.What, w.At, w.Goal)
+					fmt.Fprintf(out, "   without %-28s worst 10 s %+.3f, goal %+.3f\n", w.Name, w.WorstWindowGain, w.GoalGain)
 				}
 				if dir := c.String("days"); dir != "" {
 					path := filepath.Join(dir, fmt.Sprintf("%s-%d.json", e.Name, i+1))
-					if err := errors.Join(os.MkdirAll(dir, 0o755), os.WriteFile(path, experiment.Write(d, e.Variants[0].Policy.Name), 0o644)); err != nil {
+					if err := errors.Join(os.MkdirAll(dir, 0o755), os.WriteFile(path, experiment.MarshalDay(d, e.Variants[0].Policy.Name), 0o644)); err != nil {
 						return err
 					}
 				}
@@ -117,18 +117,18 @@
 			}
 			play := variant(e)
 			for s := range e.Seeds {
-				d, err := e.Day(0, 0, e.First+vtime.Seed(s), nil)
+				d, err := e.Day(0, 0, e.FirstSeed+vtime.Seed(s), nil)
 				if err != nil {
 					return err
 				}
 				r := play(d)
-				if len(r.Broken) == 0 {
+				if len(r.Violations) == 0 {
 					continue
 				}
-				rule := shrink.Rule(r.Broken[0])
+				rule := shrink.RuleName(r.Violations[0])
 				small, steps := shrink.Day(d, func(d fleet.Day) bool {
-					for _, b := range play(d).Broken {
-						if shrink.Rule(b) == rule {
+					for _, b := range play(d).Violations {
+						if shrink.RuleName(b) == rule {
 							return true
 						}
 					}
@@ -136,10 +136,10 @@
 				}, func(d fleet.Day) int { return play(d).Requests }, c.Int("plays"))
 				left := play(small)
 				fmt.Fprintf(out, "seed %d breaks %q: %s\n%d cuts: %d nodes, %d callers, %d troubles, %.1f s, %d requests; before %d, %d, %d, %.1f s, %d\n%s\n",
-					uint64(e.First)+uint64(s), rule, r.Broken[0], len(steps), small.Nodes, len(small.Callers), len(small.Troubles), small.Ms/1000,
-					left.Requests, d.Nodes, len(d.Callers), len(d.Troubles), d.Ms/1000, r.Requests, strings.Join(left.Broken, "\n"))
+					uint64(e.FirstSeed)+uint64(s), rule, r.Violations[0], len(steps), small.Nodes, len(small.Callers), len(small.Faults), small.DurationMs/1000,
+					left.Requests, d.Nodes, len(d.Callers), len(d.Faults), d.DurationMs/1000, r.Requests, strings.Join(left.Violations, "\n"))
 				return output(c, "out", func(w io.Writer) error {
-					_, err := w.Write(experiment.Write(small, e.Variants[0].Policy.Name))
+					_, err := w.Write(experiment.MarshalDay(small, e.Variants[0].Policy.Name))
 					return err
 				})
 			}
@@ -161,28 +161,28 @@
 			}
 			drawn := false
 			for i, v := range e.Variants {
-				make := v.Policy.Make()
-				play := func(d fleet.Day) fleet.Result { return fleet.Play(d, make) }
+				make := v.Policy.NodeFactory()
+				play := func(d fleet.Day) fleet.Result { return fleet.Simulate(d, make) }
 				n, with := 0, 0.0
 				ends := map[string]int{}
 				var names []string
 				for s := range e.Seeds {
-					d, err := e.Day(i, 0, e.First+vtime.Seed(s), nil)
+					d, err := e.Day(i, 0, e.FirstSeed+vtime.Seed(s), nil)
 					if err != nil {
 						return err
 					}
-					f := collapse.Look(d, play)
-					if with += f.With / float64(e.Seeds); !f.Collapse {
+					f := collapse.Detect(d, play)
+					if with += f.WorthWithTrigger / float64(e.Seeds); !f.Collapse {
 						continue
 					}
 					if n++; n == 1 {
-						for _, x := range f.Ends {
-							names = append(names, x.What)
+						for _, x := range f.Remedies {
+							names = append(names, x.Name)
 						}
 					}
-					for _, x := range f.Ends {
-						if x.Ends {
-							ends[x.What]++
+					for _, x := range f.Remedies {
+						if x.Recovers {
+							ends[x.Name]++
 						}
 					}
 					if !drawn && c.String("plot") != "" {
@@ -204,11 +204,11 @@
 
 // drawCollapse draws a collapse and the first measure that ends it.
 func drawCollapse(c *cli.Command, title string, d fleet.Day, f collapse.Finding, play func(fleet.Day) fleet.Result) error {
-	all := []report.Play{{Name: "as it is", Result: f.Result}}
-	for _, e := range f.Ends {
-		if e.Ends {
+	all := []report.VariantResult{{Name: "as it is", Result: f.Result}}
+	for _, e := range f.Remedies {
+		if e.Recovers {
 			d = e.Day
-			all = append(all, report.Play{Name: e.What, Result: play(e.Day)})
+			all = append(all, report.VariantResult{Name: e.Name, Result: play(e.Day)})
 			break
 		}
 	}
@@ -226,13 +226,13 @@
 				return err
 			}
 			return bounded(ctx, c, func(ctx context.Context, program string) error {
-				r, err := live.Play(ctx, program, d)
+				r, err := live.RunDay(ctx, program, d)
 				if err != nil {
 					return err
 				}
-				all := []report.Play{{Name: "emulated", Result: fleet.Play(d, fleet.Module)}, {Name: "real", Result: r}}
-				fmt.Fprint(out, report.Text(d, all))
-				fmt.Fprint(out, report.Errors(all[0].Result, r))
+				all := []report.VariantResult{{Name: "emulated", Result: fleet.Simulate(d, fleet.NewModuleNode)}, {Name: "real", Result: r}}
+				fmt.Fprint(out, report.FormatResults(d, all))
+				fmt.Fprint(out, report.FormatModelErrors(all[0].Result, r))
 				return drawDay(c, fmt.Sprintf("%s, seed %d", e.Name, uint64(d.Seed)), d, all)
 			})
 		},
@@ -257,8 +257,8 @@
 						return err
 					}
 				}
-				calls, err := live.Clients(ctx, program, proxy, d, client.Protocol(c.String("protocol")))
-				live.WriteCalls(out, calls)
+				calls, err := live.RunClients(ctx, program, proxy, d, client.Protocol(c.String("protocol")))
+				live.WriteCallStats(out, calls)
 				return err
 			})
 		},
--- a/internal/emu/experiment/experiment_test.go
+++ b/internal/emu/experiment/experiment_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"whinrudder/internal/emu/clients"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/fleet"
-	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/template"
 	"whinrudder/internal/vtime"
 )
@@ -55,13 +55,13 @@
 // The days that ship can be read and drawn, each figure within its range, and by the seed alone.
 func TestFamilies(t *testing.T) {
 	for _, f := range Families() {
-		text, _ := Text(f)
+		text, _ := FamilySource(f)
 		e, err := Parse(text, f, template.Evaluate)
 		if err != nil || e.Name != f {
 			t.Fatalf("%s: %q %v", f, e.Name, err)
 		}
-		if len(e.Dims()) < 2 {
-			t.Errorf("%s: draws %v", f, e.Dims())
+		if len(e.Dimensions()) < 2 {
+			t.Errorf("%s: draws %v", f, e.Dimensions())
 		}
 		for seed := range vtime.Seed(20) {
 			for v := range e.Variants {
@@ -85,13 +85,13 @@
 	if diff := cmp.Diff([]float64{2, 5, 8}, e.Sweep.Values); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]Dim{{"nodes", 3, 5}, {"load", 0.2, 0.4}, {"troubles.0.at", 1, 3}}, e.Dims()); diff != "" {
+	if diff := cmp.Diff([]Dimension{{"nodes", 3, 5}, {"load", 0.2, 0.4}, {"troubles.0.at", 1, 3}}, e.Dimensions()); diff != "" {
 		t.Error(diff)
 	}
 	nodes := map[int]int{}
 	for s := range vtime.Seed(300) {
 		d, err := e.Day(0, 5, s, nil)
-		if err != nil || d.Load < 0.2 || d.Load > 0.4 || d.Troubles[0].Factor != 5 || d.Troubles[0].At < 1000 || d.Troubles[0].At > 3000 {
+		if err != nil || d.Load < 0.2 || d.Load > 0.4 || d.Faults[0].Factor != 5 || d.Faults[0].At < 1000 || d.Faults[0].At > 3000 {
 			t.Fatalf("%+v %v", d, err)
 		}
 		nodes[d.Nodes]++
@@ -117,30 +117,30 @@
 			low := n(name, most)
 			return vtime.Range{Low: float64(low), High: float64(low + n(name, most))}
 		}
-		d := fleet.Usual(vtime.Seed(rapid.Uint64().Draw(t, "seed")))
-		d.Nodes, d.Ms, d.Load, d.Cores = n("nodes", 2000), 1000*float64(n("seconds", 3600)), float64(n("load", 200))/64, n("cores", 64)
-		d.Ramp, d.Delay, d.Fast = vtime.Range{Low: 1000, High: 1000 * float64(n("ramp", 60))}, span("delay", 50), span("fast", 4)
-		d.Repeats = clients.Repeats{Share: float64(n("share", 64)) / 64, After: vtime.Range{Low: 1000, High: 8000}, Most: n("most", 9)}
-		d.ColdFleet, d.Session = rapid.Bool().Draw(t, "cold"), 500*float64(n("session", 20))
+		d := fleet.DefaultDay(vtime.Seed(rapid.Uint64().Draw(t, "seed")))
+		d.Nodes, d.DurationMs, d.Load, d.Cores = n("nodes", 2000), 1000*float64(n("seconds", 3600)), float64(n("load", 200))/64, n("cores", 64)
+		d.RampTime, d.NetworkDelay, d.FastSpeed = vtime.Range{Low: 1000, High: 1000 * float64(n("ramp", 60))}, span("delay", 50), span("fast", 4)
+		d.ClientRetries = workload.ClientRetries{Share: float64(n("share", 64)) / 64, Delay: vtime.Range{Low: 1000, High: 8000}, Max: n("most", 9)}
+		d.ColdFleet, d.SessionTimeout = rapid.Bool().Draw(t, "cold"), 500*float64(n("session", 20))
 		d.Callers = nil
 		for range n("callers", 5) {
-			d.Callers = append(d.Callers, habits.Habit{Choice: habits.Choice(n("choice", len(habits.Choices)) - 1), Tries: n("tries", 9), Heeds: rapid.Bool().Draw(t, "heeds"),
-				Wait: float64(n("wait", 64)) / 64, Hedge: float64(n("hedge", 900)), Copies: n("copies", 4), Budget: float64(n("budget", 64)) / 64,
-				Throttle: rapid.Bool().Draw(t, "throttle"), Subset: n("subset", 9), Blind: rapid.Bool().Draw(t, "blind"), Pause: float64(n("pause", 99))})
+			d.Callers = append(d.Callers, callermodel.Behavior{Strategy: callermodel.Strategy(n("choice", len(callermodel.StrategyNames)) - 1), MaxTries: n("tries", 9), HonorsCredit: rapid.Bool().Draw(t, "heeds"),
+				TryTimeoutRatio: float64(n("wait", 64)) / 64, HedgeDelay: float64(n("hedge", 900)), ParallelTries: n("copies", 4), RetryBudget: float64(n("budget", 64)) / 64,
+				Throttle: rapid.Bool().Draw(t, "throttle"), SubsetSize: n("subset", 9), RetriesInDoubtWrites: rapid.Bool().Draw(t, "blind"), BackoffBase: float64(n("pause", 99))})
 		}
 		for range n("troubles", 4) {
-			d.Troubles = append(d.Troubles, fleet.Trouble{Kind: fleet.Kind(n("kind", len(fleet.Kinds)) - 1), At: 250 * float64(n("at", 99)), For: 250 * float64(n("for", 99)),
+			d.Faults = append(d.Faults, fleet.Fault{Kind: fleet.FaultKind(n("kind", len(fleet.FaultKindNames)) - 1), At: 250 * float64(n("at", 99)), Duration: 250 * float64(n("for", 99)),
 				Share: float64(n("hit", 64)) / 64, Factor: float64(n("factor", 9))})
 		}
 		if rapid.Bool().Draw(t, "some") {
-			d.Only = []int{n("first", 10), 10 + n("second", 1000)}
+			d.OnlyRequests = []int{n("first", 10), 10 + n("second", 1000)}
 		}
-		e, err := Parse(Write(d, "aimd"), "", nil)
+		e, err := Parse(MarshalDay(d, "aimd"), "", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := e.Day(0, 0, 99, nil)
-		if diff := cmp.Diff(d, got); err != nil || diff != "" || e.Variants[0].Policy.Name != "aimd" || len(e.Dims()) > 0 {
+		if diff := cmp.Diff(d, got); err != nil || diff != "" || e.Variants[0].Policy.Name != "aimd" || len(e.Dimensions()) > 0 {
 			t.Fatal(err, diff)
 		}
 	})
@@ -148,15 +148,15 @@
 
 // Every policy makes a node, and every measure can be taken of a day.
 func TestPoliciesAndMeasures(t *testing.T) {
-	d := fleet.Usual(1)
-	d.Nodes, d.Ms, d.Load = 2, 3000, 0.3
-	for _, p := range Policies {
-		r := fleet.Play(d, NewPolicy(p).Make())
-		if r.Requests < 20 || len(r.Broken) > 0 {
-			t.Errorf("%s: %d requests, %v", p, r.Requests, r.Broken)
+	d := fleet.DefaultDay(1)
+	d.Nodes, d.DurationMs, d.Load = 2, 3000, 0.3
+	for _, p := range PolicyNames {
+		r := fleet.Simulate(d, NewPolicy(p).NodeFactory())
+		if r.Requests < 20 || len(r.Violations) > 0 {
+			t.Errorf("%s: %d requests, %v", p, r.Requests, r.Violations)
 		}
 		for _, m := range Measures {
-			if v := m.Of(&r); math.IsNaN(v) || v < 0 {
+			if v := m.Value(&r); math.IsNaN(v) || v < 0 {
 				t.Errorf("%s: %s is %v", p, m.Name, v)
 			}
 		}
--- a/internal/emu/fleet/troubles.go
+++ b/internal/emu/fleet/faults.go
@@ -5,7 +5,7 @@
 )
 
 // trouble sets up what goes wrong. Bursts are the clients' own.
-func (p *play) trouble(i int, t Trouble) {
+func (p *play) trouble(i int, t Fault) {
 	hit := p.day.some(i, t.Share, p.day.Nodes, "trouble")
 	each := func(at float64, do func(s *server)) {
 		p.k.After(at, func(float64) {
@@ -17,52 +17,52 @@
 	switch t.Kind {
 	case Crash:
 		each(t.At, func(s *server) { s.die("crashed") })
-		each(t.At+t.For, func(s *server) {
+		each(t.At+t.Duration, func(s *server) {
 			if !s.up {
 				s.start(true)
 			}
 		})
-	case Crawl:
+	case Slowdown:
 		slow := func(by float64) func(*server) {
 			return func(s *server) {
 				if s.crawl = by; s.pool != nil {
-					s.pool.Crawl(by)
+					s.pool.SetSlowdown(by)
 				}
 			}
 		}
 		each(t.At, slow(t.Factor))
-		each(t.At+t.For, slow(1))
-	case Pause:
+		each(t.At+t.Duration, slow(1))
+	case PoolPause:
 		hold := func(on bool) func(*server) {
 			return func(s *server) {
 				if s.pool != nil {
-					s.pool.Pause(on)
+					s.pool.SetPaused(on)
 				}
 			}
 		}
 		each(t.At, hold(true))
-		each(t.At+t.For, hold(false))
+		each(t.At+t.Duration, hold(false))
 	case Deploy:
 		for j, n := range hit {
-			p.k.After(t.At+t.For*float64(j)/float64(len(hit)), func(float64) { p.servers[n].leave() })
+			p.k.After(t.At+t.Duration*float64(j)/float64(len(hit)), func(float64) { p.servers[n].leave() })
 		}
-	case Storm, Tame, Heed:
+	case RetryStorm, LimitRetries, HonorCredit:
 		for _, n := range p.day.some(i, t.Share, len(p.callers), t.Kind.String()) {
 			c := p.callers[n]
 			p.k.After(t.At, func(float64) {
 				switch t.Kind {
-				case Storm:
-					c.Tries, c.Heeds, c.Budget, c.Pause = 0, false, 0, 0
-				case Tame:
-					c.Tries, c.Budget = 3, t.Factor
-				case Heed:
-					c.Heeds = true
+				case RetryStorm:
+					c.MaxTries, c.HonorsCredit, c.RetryBudget, c.BackoffBase = 0, false, 0, 0
+				case LimitRetries:
+					c.MaxTries, c.RetryBudget = 3, t.Factor
+				case HonorCredit:
+					c.HonorsCredit = true
 				}
 			})
-			p.k.After(t.At+t.For, func(float64) { c.Habit = p.day.Callers[n] })
+			p.k.After(t.At+t.Duration, func(float64) { c.Behavior = p.day.Callers[n] })
 		}
 	case Partition:
-		cut := network.Cut{From: t.At, To: t.At + t.For, Nodes: make([]bool, p.day.Nodes)}
+		cut := network.Partition{From: t.At, To: t.At + t.Duration, Nodes: make([]bool, p.day.Nodes)}
 		for _, n := range hit {
 			cut.Nodes[n] = true
 		}
@@ -71,40 +71,40 @@
 			for _, n := range p.day.some(i, t.Factor, len(p.callers), "cut") {
 				cut.Callers[n] = true
 			}
-			p.net.Part(cut)
+			p.net.AddPartition(cut)
 			return
 		}
-		p.net.Part(cut)
+		p.net.AddPartition(cut)
 		each(t.At, func(s *server) { p.silent(s, true) })
-		each(t.At+t.For, func(s *server) { p.silent(s, false) })
-	case Stall:
-		each(t.At, func(s *server) { s.stall(t.At + t.For) })
-	case Clock:
+		each(t.At+t.Duration, func(s *server) { p.silent(s, false) })
+	case ProcessStall:
+		each(t.At, func(s *server) { s.stall(t.At + t.Duration) })
+	case ClockSkew:
 		each(t.At, func(s *server) { s.clock += t.Factor })
-		each(t.At+t.For, func(s *server) { s.clock -= t.Factor })
-	case Hole:
+		each(t.At+t.Duration, func(s *server) { s.clock -= t.Factor })
+	case BlackHole:
 		each(t.At, func(s *server) { s.hole = true })
-		each(t.At+t.For, func(s *server) { s.hole = false })
-	case Absurd:
+		each(t.At+t.Duration, func(s *server) { s.hole = false })
+	case BogusCredit:
 		each(t.At, func(s *server) { s.absurd = t.Factor })
-		each(t.At+t.For, func(s *server) { s.absurd = 0 })
+		each(t.At+t.Duration, func(s *server) { s.absurd = 0 })
 	case Flap:
-		for at, on := t.At, false; at < t.At+t.For; at, on = at+1000*t.Factor, !on {
+		for at, on := t.At, false; at < t.At+t.Duration; at, on = at+1000*t.Factor, !on {
 			each(at, func(s *server) { p.flap(s, on) })
 		}
-		each(t.At+t.For, func(s *server) { p.flap(s, true) })
-	case Loss:
-		p.net.Lose(network.Lossy{From: t.At, To: t.At + t.For, Share: t.Share})
-	case Outage:
-		p.k.After(t.At, func(now float64) { p.list.Down(now); p.watch() })
-		p.k.After(t.At+t.For, func(now float64) { p.list.Up(now); p.watch() })
+		each(t.At+t.Duration, func(s *server) { p.flap(s, true) })
+	case MessageLoss:
+		p.net.AddLoss(network.LossPeriod{From: t.At, To: t.At + t.Duration, Rate: t.Share})
+	case EnsembleOutage:
+		p.k.After(t.At, func(now float64) { p.list.BeginOutage(now); p.watch() })
+		p.k.After(t.At+t.Duration, func(now float64) { p.list.EndOutage(now); p.watch() })
 	}
 }
 
 // silent keeps the ensemble from hearing of a node, or lets it hear of it again.
 func (p *play) silent(s *server, on bool) {
 	if on {
-		p.list.Silent(p.k.Now(), s.no)
+		p.list.Disconnect(p.k.Now(), s.no)
 	} else if s.up && !s.draining {
 		p.list.Join(p.k.Now(), s.no)
 	}
@@ -125,7 +125,7 @@
 func (p *play) watch() {
 	changes := p.list.Step(p.k.Now())
 	for _, c := range changes {
-		p.listed[c.Node] = c.On
+		p.listed[c.Node] = c.Listed
 	}
 	for _, l := range p.libs {
 		if l != nil && len(changes) > 0 {
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -21,8 +21,8 @@
 	classes []attempt.Class
 }
 
-func newLibrary(p *play, h Habit, seed vtime.Seed) *library {
-	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.Subset), router: route.New(),
+func newLibrary(p *play, h Behavior, seed vtime.Seed) *library {
+	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.SubsetSize), router: route.New(),
 		shared: &attempt.Shared{Budget: attempt.NewBudget(), Waits: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Usual: attempt.NewUsual(len(p.day.Classes))}}
 	for _, c := range p.day.Classes {
 		l.classes = append(l.classes, attempt.Class{Write: c.Write, Hedge: false})
@@ -46,7 +46,7 @@
 // draw is a number from 0 to 1 for a request. It goes by the request, so that no other is shifted.
 func (l *library) draw(q *ask) float64 {
 	l.draws++
-	return l.seed.Split("draw", q.No).Split("", l.draws).Part()
+	return l.seed.Split("draw", q.Number).Split("", l.draws).Uniform()
 }
 
 func (l *library) begin(q *ask) {
@@ -63,7 +63,7 @@
 		switch do.What {
 		case attempt.Done:
 			if q.tries == 0 {
-				l.p.res.Withheld++
+				l.p.res.Unsent++
 			}
 			l.p.lose(q)
 			return
@@ -72,7 +72,7 @@
 			return
 		}
 		use := l.members.Use(now)
-		w := route.Want{Draws: [3]float64{l.draw(q), l.draw(q), q.Coin}, Last: !do.Hedge}
+		w := route.Want{Draws: [3]float64{l.draw(q), l.draw(q), q.Draw}, Last: !do.Hedge}
 		for _, n := range q.tried {
 			w.Exclude = append(w.Exclude, strconv.Itoa(n))
 		}
@@ -123,7 +123,7 @@
 		l.p.score.bin(now).Refused++
 	case attempt.Unsent, attempt.Broken:
 		a.Failed, a.NoAnswer = true, true
-		l.p.res.Lost++
+		l.p.res.Disconnected++
 	default:
 		a.Failed = true
 		l.p.res.Failed++
--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -7,17 +7,17 @@
 
 	"whinrudder/internal/client/attempt"
 	"whinrudder/internal/core"
-	"whinrudder/internal/emu/clients"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/ensemble"
-	"whinrudder/internal/emu/habits"
 	"whinrudder/internal/emu/network"
 	"whinrudder/internal/emu/workers"
+	"whinrudder/internal/emu/workload"
 	"whinrudder/internal/vtime"
 )
 
 // ask is a request with what became of it.
 type ask struct {
-	clients.Request
+	workload.Request
 	write    bool
 	tries    int
 	pending  int // tries that are held back
@@ -45,21 +45,21 @@
 // play is a day under way.
 type play struct {
 	day      Day
-	make     Make
+	make     NodeFactory
 	k        vtime.Kernel
 	until    float64
 	messages vtime.Seed
 	net      network.Network
-	list     *ensemble.Machine
+	list     *ensemble.Model
 	lists    vtime.Timer
 	listed   []bool // what callers know of the list
 	servers  []*server
-	callers  []*habits.Caller
+	callers  []*callermodel.Caller
 	libs     []*library // by caller; nil: a plain one
-	crowd    *clients.Crowd
+	crowd    *workload.Generator
 	all      map[int]*try // that are not over for all sides
 	tries    int
-	outside  Outside
+	outside  ExternalWork
 	others   int // runs from outside, so far
 
 	res     Result
@@ -68,28 +68,28 @@
 	useful  float64
 }
 
-// Drive lets a day go on until a time. Poke lets all nodes tell what they have to tell by themselves.
-type Drive func(k *vtime.Kernel, to float64, poke func())
+// Driver lets a day go on until a time. Poke lets all nodes tell what they have to tell by themselves.
+type Driver func(k *vtime.Kernel, to float64, poke func())
 
-// Play plays a day in virtual time.
-func Play(d Day, make Make) Result {
-	return PlayBy(d, make, func(k *vtime.Kernel, to float64, _ func()) { k.Run(to) }, nil)
+// Simulate plays a day in virtual time.
+func Simulate(d Day, make NodeFactory) Result {
+	return SimulateWith(d, make, func(k *vtime.Kernel, to float64, _ func()) { k.Run(to) }, nil)
 }
 
-// Outside tells the work of a run that none of the day's callers asked for; it is called when the run starts. Nodes that are more
+// ExternalWork tells the work of a run that none of the day's callers asked for; it is called when the run starts. Nodes that are more
 // than their core may have other callers.
-type Outside func(run core.Spawn) workers.Work
+type ExternalWork func(run core.Spawn) workers.Work
 
-// PlayBy plays a day by whatever time Drive goes by.
-func PlayBy(d Day, make_ Make, drive Drive, outside Outside) Result {
+// SimulateWith plays a day by whatever time Driver goes by.
+func SimulateWith(d Day, make_ NodeFactory, drive Driver, outside ExternalWork) Result {
 	p := &play{day: d, make: make_, outside: outside, all: map[int]*try{}, messages: d.Seed.Split("network", 0),
-		net: network.Network{Delay: d.Delay, Share: d.Loss}, listed: slices.Repeat([]bool{true}, d.Nodes),
-		list: ensemble.New(ensemble.Params{Session: d.Session, Lag: d.ListLag}, d.Nodes, true)}
+		net: network.Network{Delay: d.NetworkDelay, LossRate: d.LossRate}, listed: slices.Repeat([]bool{true}, d.Nodes),
+		list: ensemble.New(ensemble.Params{SessionTimeout: d.SessionTimeout, WatchDelay: d.ListLag}, d.Nodes, true)}
 	longest := 0.0
 	for _, c := range d.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	p.until = d.Ms + longest + 1000
+	p.until = d.DurationMs + longest + 1000
 	p.lists.Do = func(float64) { p.watch() }
 	p.score = newScore(&p.day, &p.res)
 	var weights []float64
@@ -100,13 +100,13 @@
 		s.start(d.ColdFleet)
 	}
 	for i, h := range d.Callers {
-		p.callers = append(p.callers, habits.New(h, weights, heardFor, d.Seed.Split("caller", i)))
+		p.callers = append(p.callers, callermodel.New(h, weights, heardFor, d.Seed.Split("caller", i)))
 		p.libs = append(p.libs, nil)
-		if h.Library {
+		if h.UsesLibrary {
 			p.libs[i] = newLibrary(p, h, d.Seed.Split("library", i))
 		}
 	}
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		p.trouble(i, t)
 	}
 	p.arrivals()
@@ -122,33 +122,33 @@
 		}
 	}
 	for _, s := range p.servers {
-		if e, ok := s.node.(Ender); ok && s.up {
-			e.End(true)
+		if e, ok := s.node.(Terminator); ok && s.up {
+			e.Terminate(true)
 		}
 	}
 	p.score.end()
-	p.res.Fired = p.k.Fired()
+	p.res.TimersFired = p.k.Fired()
 	if p.started > 0 {
-		p.res.Waste = max(0, p.started-p.useful) / p.started
+		p.res.WastedWorkRatio = max(0, p.started-p.useful) / p.started
 	}
 	return p.res
 }
 
 // arrivals lets the requests of the clients come, one after the other.
 func (p *play) arrivals() {
-	p.crowd = clients.New(p.day.Clients(), p.day.Seed)
+	p.crowd = workload.New(p.day.Workload(), p.day.Seed)
 	var next vtime.Timer
-	var q clients.Request
+	var q workload.Request
 	draw := func() {
 		for {
 			var ok bool
 			if q, ok = p.crowd.Next(); !ok {
 				return
 			}
-			if p.day.Only == nil {
+			if p.day.OnlyRequests == nil {
 				break
 			}
-			if _, is := slices.BinarySearch(p.day.Only, q.No); is {
+			if _, is := slices.BinarySearch(p.day.OnlyRequests, q.Number); is {
 				break
 			}
 		}
@@ -167,14 +167,14 @@
 	var next vtime.Timer
 	i := 0
 	next.Do = func(now float64) {
-		b := &p.res.Bins[i]
+		b := &p.res.Buckets[i]
 		for _, s := range p.servers {
 			if s.up {
-				b.Up, b.Running, b.Unread = b.Up+1, b.Running+s.pool.Running(), b.Unread+s.pool.Unread()
+				b.NodesUp, b.Running, b.Unread = b.NodesUp+1, b.Running+s.pool.Running(), b.Unread+s.pool.Unread()
 			}
 		}
 		p.res.PeakTimers = max(p.res.PeakTimers, p.k.Len())
-		if i++; i < len(p.res.Bins) {
+		if i++; i < len(p.res.Buckets) {
 			p.k.Set(&next, now+binFor)
 		}
 	}
@@ -185,12 +185,12 @@
 // message, so that what one policy does shifts nothing for the other requests of a day.
 func (t *try) message() vtime.Seed {
 	t.messages++
-	return t.s.p.messages.Split("", t.q.No).Split("", t.nth*64+t.messages)
+	return t.s.p.messages.Split("", t.q.Number).Split("", t.nth*64+t.messages)
 }
 
 // reach lets a message of a try cross the network; what is done then may never be.
 func (p *play) reach(t *try, do func(now float64)) bool {
-	at := p.net.Arrives(p.k.Now(), t.message(), t.q.Caller, t.s.no)
+	at := p.net.ArrivalTime(p.k.Now(), t.message(), t.q.Caller, t.s.no)
 	if math.IsInf(at, 1) {
 		return false
 	}
@@ -199,13 +199,13 @@
 }
 
 func (p *play) broke(format string, args ...any) {
-	if len(p.res.Broken) < 20 {
-		p.res.Broken = append(p.res.Broken, fmt.Sprintf(format, args...))
+	if len(p.res.Violations) < 20 {
+		p.res.Violations = append(p.res.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // begin takes a request of a client.
-func (p *play) begin(r clients.Request) {
+func (p *play) begin(r workload.Request) {
 	q := &ask{Request: r, write: p.day.Classes[r.Class].Write}
 	p.score.ask(q)
 	q.deadline.Do = func(float64) { p.lose(q) }
@@ -217,18 +217,18 @@
 	c := p.callers[q.Caller]
 	copies := 1
 	if !q.write {
-		copies = max(1, c.Copies)
+		copies = max(1, c.ParallelTries)
 	}
 	for range copies {
 		p.send(q)
 	}
-	if c.Hedge > 0 && !q.write && !q.over {
+	if c.HedgeDelay > 0 && !q.write && !q.over {
 		q.hedge.Do = func(float64) {
 			if len(q.open) == 1 && q.pending == 0 {
 				p.send(q)
 			}
 		}
-		p.k.Set(&q.hedge, q.At+c.Hedge)
+		p.k.Set(&q.hedge, q.At+c.HedgeDelay)
 	}
 }
 
@@ -256,7 +256,7 @@
 		return
 	}
 	p.finish(q)
-	if next, ok := p.crowd.Again(q.Request, p.k.Now()); ok {
+	if next, ok := p.crowd.Retry(q.Request, p.k.Now()); ok {
 		p.k.After(next.At-p.k.Now(), func(float64) { p.begin(next) })
 	}
 }
@@ -267,12 +267,12 @@
 	if q.over {
 		return
 	}
-	coin := func(what string) float64 { return p.messages.Split(what, q.No).Split("", q.tries).Part() }
-	if !c.Sends(p.k.Now(), q.tries, coin("throttle")) {
+	coin := func(what string) float64 { return p.messages.Split(what, q.Number).Split("", q.tries).Uniform() }
+	if !c.AllowTry(p.k.Now(), q.tries, coin("throttle")) {
 		p.none(q)
 		return
 	}
-	if wait := c.Before(q.tries, coin("pause")); wait > 0 {
+	if wait := c.RetryDelay(q.tries, coin("pause")); wait > 0 {
 		q.pending++
 		p.k.After(wait, func(float64) {
 			if q.pending--; !q.over {
@@ -290,7 +290,7 @@
 		return
 	}
 	if q.tries == 0 {
-		p.res.Withheld++
+		p.res.Unsent++
 	}
 	p.lose(q)
 }
@@ -298,14 +298,14 @@
 // try sends a request to a node.
 func (p *play) try(q *ask) {
 	c, now := p.callers[q.Caller], p.k.Now()
-	n := c.Pick(now, p.listed, habits.Want{Subject: q.Subject, Coin: q.Coin, Tried: q.tried})
+	n := c.Pick(now, p.listed, callermodel.PickParams{Subject: q.Subject, Draw: q.Draw, Tried: q.tried})
 	if n < 0 {
 		p.none(q)
 		return
 	}
 	deadline := p.day.Classes[q.Class].Deadline
-	c.Sent(n)
-	p.launch(q, n, min(now+deadline*c.Wait, q.At+deadline))
+	c.RecordSend(n)
+	p.launch(q, n, min(now+deadline*c.TryTimeoutRatio, q.At+deadline))
 }
 
 // launch sends a try to a node; its caller waits until it is due.
@@ -337,12 +337,12 @@
 		l.ended(t, attempt.Late, reply{load: -1})
 		return
 	}
-	p.after(t, habits.Late)
+	p.after(t, callermodel.TimedOut)
 }
 
 // after does what a caller does after a try that brought nothing.
-func (p *play) after(t *try, e habits.End) {
-	if p.callers[t.q.Caller].Repeats(e, t.q.write) {
+func (p *play) after(t *try, e callermodel.Outcome) {
+	if p.callers[t.q.Caller].MayRetry(e, t.q.write) {
 		p.send(t.q)
 	} else {
 		p.none(t.q)
@@ -353,7 +353,7 @@
 	t.closed = true
 	p.k.Cancel(&t.wait)
 	if p.libs[t.q.Caller] == nil {
-		p.callers[t.q.Caller].Closed(t.s.no)
+		p.callers[t.q.Caller].RecordClose(t.s.no)
 	}
 	t.q.open = slices.DeleteFunc(t.q.open, func(o *try) bool { return o == t })
 	p.settle(t)
@@ -387,28 +387,28 @@
 	}
 	now, c := p.k.Now(), p.callers[t.q.Caller]
 	if r.refused || r.lost {
-		p.res.Lost++
-		c.Broken(now, t.s.no)
+		p.res.Disconnected++
+		c.RecordConnectionFailure(now, t.s.no)
 		if r.refused {
-			p.after(t, habits.Unconnected)
+			p.after(t, callermodel.ConnectFailed)
 		} else {
-			p.after(t, habits.Reset)
+			p.after(t, callermodel.ConnectionReset)
 		}
 		return
 	}
-	end := habits.Failed
+	end := callermodel.Failed
 	switch r.outcome {
 	case core.Served:
-		end = habits.Served
+		end = callermodel.Served
 	case core.Refused:
-		end = habits.Refused
+		end = callermodel.Refused
 	}
-	c.Heard(now, t.s.no, end, now-t.sent, r.load, r.wait)
+	c.RecordAnswer(now, t.s.no, end, now-t.sent, r.load, r.wait)
 	switch end {
-	case habits.Served:
+	case callermodel.Served:
 		p.serve(t.q)
 		return
-	case habits.Refused:
+	case callermodel.Refused:
 		p.res.Refused++
 		p.score.bin(now).Refused++
 	default:
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -10,7 +10,7 @@
 
 	"whinrudder"
 	"whinrudder/internal/core"
-	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/workers"
 	"whinrudder/internal/eventlog"
 	"whinrudder/internal/vtime"
@@ -36,8 +36,8 @@
 	stepping bool
 	heeds    []bool
 	in       []core.Input
-	credit   []habits.Credit // by caller
-	lines    []string        // of the core's log that tell of a prior or a fault
+	credit   []callermodel.Credit // by caller
+	lines    []string             // of the core's log that tell of a prior or a fault
 	// By arrival: when it was answered in time with a result, 0 if never.
 	served []float64
 	fell   bool
@@ -49,12 +49,12 @@
 
 // newHost returns a node that starts now.
 func newHost(p workers.Params, t traffic, arrivals []arrival, now float64) (*host, error) {
-	cold := p.ColdFrom < 1
+	cold := p.ColdSpeedRatio < 1
 	c, err := core.New(nodeSettings(cold), 1)
 	if err != nil {
 		return nil, err
 	}
-	h := &host{core: c, arrivals: arrivals, heeds: t.heeds, credit: make([]habits.Credit, callers), served: make([]float64, len(arrivals))}
+	h := &host{core: c, arrivals: arrivals, heeds: t.heeds, credit: make([]callermodel.Credit, callers), served: make([]float64, len(arrivals))}
 	h.k.Run(now)
 	h.pool = workers.New(&h.k, p, h.happened)
 	for i := range h.credit {
@@ -88,8 +88,8 @@
 	if h.fell || h.heeds[a.caller] && !c.Allows(h.k.Now(), heardFor, a.coin) {
 		return // it goes elsewhere
 	}
-	c.Out++
-	h.pool.Arrive(n, a.work)
+	c.Outstanding++
+	h.pool.Enqueue(n, a.work)
 }
 
 // tell hands something to the core.
@@ -128,7 +128,7 @@
 		h.tell(core.Finished{ID: name(e.ID), End: core.EndOK, Took: e.Took})
 	case workers.Stopped:
 		h.tell(core.Finished{ID: name(e.ID), End: core.EndStopped, Took: e.Took})
-	case workers.Fell:
+	case workers.Crashed:
 		h.fell = true
 		h.k.Cancel(&h.tick)
 	}
@@ -140,9 +140,9 @@
 	case core.Reply:
 		s := o.To.(sink)
 		c, a := &h.credit[s.caller], h.arrivals[s.n]
-		c.Out--
+		c.Outstanding--
 		if o.Load >= 0 {
-			c.Value, c.Heard = o.Load, h.k.Now()
+			c.Value, c.UpdatedAt = o.Load, h.k.Now()
 		}
 		if o.Outcome == core.Served && h.k.Now() <= a.at+classes[a.class].aim {
 			h.served[s.n] = h.k.Now()
@@ -154,7 +154,7 @@
 		h.pool.Stop(number(o.ID))
 	case core.Poll:
 		h.k.After(gaugeAfter, func(float64) {
-			h.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: h.pool.Busy(), Runnable: float64(h.pool.On()), Memory: 0.1, Conns: callers}})
+			h.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: h.pool.Utilization(), Runnable: float64(h.pool.Runnable()), Memory: 0.1, Conns: callers}})
 		})
 	case core.Line:
 		h.lines = append(h.lines, string(eventlog.AppendText(nil, time.UnixMilli(int64(h.k.Now())), o.Word, o.Pairs)))
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -17,7 +17,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"whinrudder/internal/emu/habits"
+	"whinrudder/internal/emu/callermodel"
 	"whinrudder/internal/emu/workers"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/node"
@@ -100,7 +100,7 @@
 	link   net.Conn
 	serial int
 	read   chan int // requests that the pool has read
-	credit []habits.Credit
+	credit []callermodel.Credit
 	served []bool
 }
 
@@ -120,7 +120,7 @@
 	defer reports.Close()
 	cfg := settings.Config{Name: "successor", Listen: "127.0.0.1:0", Pool: poolL.Addr().String(),
 		Announce: reports.LocalAddr().String(), Seed: 1, StopMs: 1000, Cores: 1, MemoryMB: 192, Sockets: 512,
-		Settings: settings.Settings{Policy: nodeSettings(s.machine.ColdFrom < 1), Classes: Classes(),
+		Settings: settings.Settings{Policy: nodeSettings(s.machine.ColdSpeedRatio < 1), Classes: Classes(),
 			Gauges: []string{"cpu_busy", "runnable", "mem_used", "sockets"}}}
 	var op settings.Operator
 	if s.report != nil {
@@ -140,7 +140,7 @@
 	if err := n.Listen(); err != nil {
 		return nil, err
 	}
-	s.read, s.served, s.credit = make(chan int, len(s.day)), make([]bool, len(s.day)), make([]habits.Credit, callers)
+	s.read, s.served, s.credit = make(chan int, len(s.day)), make([]bool, len(s.day)), make([]callermodel.Credit, callers)
 	for i := range s.credit {
 		s.credit[i].Value = -1
 	}
@@ -177,9 +177,9 @@
 			if s.traffic.heeds[a.caller] && !c.Allows(now, heardFor, a.coin) {
 				continue
 			}
-			c.Out++
+			c.Outstanding++
 			s.k.Run(a.at)
-			s.pool.Arrive(next, a.work)
+			s.pool.Enqueue(next, a.work)
 		}
 		s.k.Run(now)
 		s.mu.Unlock()
@@ -220,14 +220,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &s.credit[a.caller]
-	c.Out--
+	c.Outstanding--
 	if err != nil {
 		return
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if v, err := strconv.ParseFloat(resp.Header.Get("Srv-Load"), 64); err == nil {
-		c.Value, c.Heard = v, s.now()
+		c.Value, c.UpdatedAt = v, s.now()
 	}
 	s.served[i] = resp.StatusCode == 200 && s.now() <= a.at+classes[a.class].aim
 }
@@ -260,7 +260,7 @@
 	switch string(v.GetStringBytes("msg")) {
 	case "bind":
 		how := "WARM"
-		if s.machine.ColdFrom < 1 {
+		if s.machine.ColdSpeedRatio < 1 {
 			how = "COLD"
 		}
 		fmt.Fprintf(c, `{"msg":"bound","how":%q,"duration":%.0f}`+"\n", how, s.now())
@@ -271,8 +271,8 @@
 	case "suspend":
 		s.pool.Stop(number(call))
 	case "poll":
-		fmt.Fprintf(c, `{"msg":"polled","cookie":%q,"stats":[%.4f,%d,0.1,%d]}`+"\n", v.GetStringBytes("cookie"), s.pool.Busy(),
-			s.pool.On(), callers)
+		fmt.Fprintf(c, `{"msg":"polled","cookie":%q,"stats":[%.4f,%d,0.1,%d]}`+"\n", v.GetStringBytes("cookie"), s.pool.Utilization(),
+			s.pool.Runnable(), callers)
 	}
 }
 
