--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -13,8 +13,8 @@
 	"whinrudder/internal/core"
 )
 
-// MaxBody is the largest body of a request.
-const MaxBody = 2 << 10
+// MaxBodyBytes is the largest body of a request.
+const MaxBodyBytes = 2 << 10
 
 // Fault is a request that is turned away unread: the module hears nothing of it. Code is the reason that the
 // log gives for the end of the connection.
@@ -25,10 +25,10 @@
 
 // Message is what a peer said: a request, a health check or a fault.
 type Message struct {
-	Request *core.Request // nil for a check
-	Deep    bool          // a check that wants to know whether work gets done
-	Last    bool          // the peer sends nothing more on the connection
-	Fault   *Fault
+	Request   *core.Request // nil for a check
+	DeepCheck bool          // a check that wants to know whether work gets done
+	Close     bool          // the peer sends nothing more on the connection
+	Fault     *Fault
 }
 
 // A Parser takes the bytes of a connection with one message at a time. Next returns the next whole message, or false if more bytes are
@@ -39,35 +39,37 @@
 	Buffered() int // bytes taken that belong to no message yet
 }
 
-// Bad returns a message that is a fault.
-func Bad(status int, code string) Message { return Message{Fault: &Fault{status, code}} }
+// FaultMessage returns a message that is a fault.
+func FaultMessage(status int, code string) Message { return Message{Fault: &Fault{status, code}} }
 
-// Terms are what a front must know to check a request.
-type Terms struct {
-	Classes map[string]int // places of the classes by their names
-	Policy  whinrudder.Settings
-	Kept    map[int]string // classes whose requests may have a token; those of others are passed over
+// ValidatorConfig is what a front must know to check a request.
+type ValidatorConfig struct {
+	ClassIndex  map[string]int // places of the classes by their names
+	Policy      whinrudder.Settings
+	KeptClasses map[int]string // classes whose requests may have a token; those of others are passed over
 }
 
-// Site holds the present terms for all connections. They change when new settings come.
-type Site struct{ terms atomic.Pointer[Terms] }
+// Validator checks requests for all connections by the present configuration, which changes when new settings come.
+type Validator struct {
+	terms atomic.Pointer[ValidatorConfig]
+}
 
-// NewSite names the classes in their order.
-func NewSite(names []string, s whinrudder.Settings) *Site {
-	t := Terms{Classes: map[string]int{}, Policy: s}
+// NewValidator returns a validator for classes named in the order of the settings.
+func NewValidator(names []string, s whinrudder.Settings) *Validator {
+	t := ValidatorConfig{ClassIndex: map[string]int{}, Policy: s}
 	for i, n := range names {
-		t.Classes[n] = i
+		t.ClassIndex[n] = i
 	}
-	site := &Site{}
-	site.Set(t)
+	site := &Validator{}
+	site.SetConfig(t)
 	return site
 }
 
-// Terms returns the present terms. What reads them must not change them.
-func (t *Site) Terms() *Terms { return t.terms.Load() }
+// Config returns the present configuration. The caller must not change it.
+func (t *Validator) Config() *ValidatorConfig { return t.terms.Load() }
 
-// Set changes the terms for whatever is checked from now on.
-func (t *Site) Set(terms Terms) { t.terms.Store(&terms) }
+// SetConfig replaces the configuration for all later checks.
+func (t *Validator) SetConfig(terms ValidatorConfig) { t.terms.Store(&terms) }
 
 // Fields are the values of a request by their names on the platform's protocol, as they came.
 type Fields struct{ ID, Time, From, Wait, KB, Rank, Key, Token string }
@@ -114,24 +116,24 @@
 
 const (
 	maxKey = 256
-	// MaxToken bounds the name of an operation, which lasts.
-	MaxToken = 64
-	maxWait  = 3600e3 // milliseconds: timers are kept for as long as a caller says that it waits
+	// MaxTokenBytes bounds the name of an operation, which lasts.
+	MaxTokenBytes = 64
+	maxWait       = 3600e3 // milliseconds: timers are kept for as long as a caller says that it waits
 )
 
-// Request checks the fields and makes a request of them.
-func (s *Site) Request(class string, f Fields, body []byte) Message {
-	t := s.Terms()
-	n, ok := t.Classes[class]
+// BuildMessage checks the fields and returns a message with the request or with the fault.
+func (s *Validator) BuildMessage(class string, f Fields, body []byte) Message {
+	t := s.Config()
+	n, ok := t.ClassIndex[class]
 	if !ok {
-		return Bad(404, "bad-class")
+		return FaultMessage(404, "bad-class")
 	}
 	if len(f.ID) != 16 || strings.Trim(f.ID, "0123456789abcdefABCDEF") != "" {
-		return Bad(400, "bad-id")
+		return FaultMessage(400, "bad-id")
 	}
 	from, err := strconv.ParseUint(f.From, 10, 31)
 	if err != nil {
-		return Bad(400, "bad-from")
+		return FaultMessage(400, "bad-from")
 	}
 	r := &core.Request{ID: f.ID, Class: n, Caller: int(from), Key: f.Key, Body: body}
 	wait := 0.0
@@ -151,16 +153,16 @@
 		}
 		x, err := strconv.ParseFloat(v.text, 64)
 		if err != nil || math.IsNaN(x) || !v.ok(x) {
-			return Bad(400, v.code)
+			return FaultMessage(400, v.code)
 		}
 		*v.to = x
 	}
 	if len(f.Key) > maxKey {
-		return Bad(400, "bad-key")
+		return FaultMessage(400, "bad-key")
 	}
-	if f.Token != "" && t.Kept[n] != "" {
+	if f.Token != "" && t.KeptClasses[n] != "" {
 		if !ValidToken(f.Token) {
-			return Bad(400, "bad-token")
+			return FaultMessage(400, "bad-token")
 		}
 		r.Token = f.Token
 	}
@@ -168,9 +170,9 @@
 	return Message{Request: r}
 }
 
-// ValidToken tells whether a text can name an operation: up to MaxToken visible characters of ASCII.
+// ValidToken tells whether a text can name an operation: up to MaxTokenBytes visible characters of ASCII.
 func ValidToken(s string) bool {
-	return s != "" && len(s) <= MaxToken && strings.IndexFunc(s, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
+	return s != "" && len(s) <= MaxTokenBytes && strings.IndexFunc(s, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
 var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
@@ -178,8 +180,8 @@
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// Status returns the status that tells the outcome of an answer.
-func Status(a core.Answer) int {
+// AnswerStatus returns the status that tells the outcome of an answer.
+func AnswerStatus(a core.Answer) int {
 	if a.ID == "" && a.Outcome != core.Served {
 		return 503 // a check that is bad
 	}
@@ -199,7 +201,7 @@
 // appendAnswer appends an answer in the form of HTTP/1.1, which uwsgi shares. Last says that the connection
 // ends after it.
 func appendAnswer(b []byte, a core.Answer, last bool) []byte {
-	b = appendHead(b, Status(a))
+	b = appendHead(b, AnswerStatus(a))
 	if a.Load >= 0 {
 		b = append(b, "Srv-Load: "...)
 		b = AppendLoad(b, a)
@@ -253,7 +255,7 @@
 	switch {
 	case path == "/health" && method == "GET":
 		for pair := range strings.SplitSeq(query, "&") {
-			check.Deep = check.Deep || pair == "real=1"
+			check.DeepCheck = check.DeepCheck || pair == "real=1"
 		}
 		return check, "", nil
 	case path == "/health", strings.HasPrefix(path, "/rpc/") && method != "POST":
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -12,20 +12,20 @@
 	Next(now float64) (Event, bool)
 	// Answer takes the final answer to the message of a tag. One that is not in hand any more is passed over.
 	Answer(now float64, tag uint32, a core.Answer)
-	// Out appends what is to be written now.
-	Out(now float64, b []byte) []byte
-	// Leave tells that the node wants no more requests.
-	Leave(now float64)
-	// Wake returns when the machine must be looked at again if nothing comes, or 0 if it need not. A connection at rest
+	// AppendOutput appends what is to be written now.
+	AppendOutput(now float64, b []byte) []byte
+	// StartDrain tells that the node wants no more requests.
+	StartDrain(now float64)
+	// NextDeadline returns when the machine must be looked at again if nothing comes, or 0 if it need not. A connection at rest
 	// may be idle for so long.
-	Wake(idle float64) float64
-	// Due is called at that time.
-	Due(now, idle float64)
-	// End returns the code of why the connection is to end once all of Out is written, or an empty one. After a linger the
+	NextDeadline(idle float64) float64
+	// HandleDeadline is called at that time.
+	HandleDeadline(now, idle float64)
+	// CloseReason returns the code of why the connection is to end once all of AppendOutput is written, or an empty one. After a linger the
 	// peer's bytes are read on for a moment, lest they reset what it was told.
-	End() (code string, linger bool)
-	// Lost returns the code of a connection that the peer closed (eof) or broke.
-	Lost(eof bool) string
+	CloseReason() (code string, linger bool)
+	// PeerCloseReason returns the code of a connection that the peer closed (eof) or broke.
+	PeerCloseReason(eof bool) string
 	// Served tells how many answers that are no faults were given, and when the last was, or the connection began.
 	Served() (n int, at float64)
 }
@@ -33,8 +33,8 @@
 // Event is something that a peer said or did.
 type Event struct {
 	Message
-	Tag  uint32
-	Gone bool // the message of the tag, in hand until now, is given up by its caller
+	Tag       uint32
+	Cancelled bool // the message of the tag, in hand until now, is given up by its caller
 	// Code tells of a message of the tag that could not be read, on a connection that goes on: it leaves a line in the
 	// log, and that is all.
 	Code string
@@ -51,8 +51,8 @@
 // maxAhead bounds what a peer may send while its request is in hand.
 const maxAhead = 16 << 10
 
-// Single is the protocol of a connection that carries one message at a time, read by a Parser.
-type Single struct {
+// SerialConn is the protocol of a connection that carries one message at a time, read by a Parser.
+type SerialConn struct {
 	parser Parser
 	since  float64 // when the last message ended, or the first byte of a part came
 	served int
@@ -65,21 +65,21 @@
 	linger bool
 }
 
-// NewSingle returns the protocol of a connection that was accepted at a time.
-func NewSingle(p Parser, now float64) *Single { return &Single{parser: p, since: now} }
+// NewSerialConn returns the protocol of a connection that was accepted at a time.
+func NewSerialConn(p Parser, now float64) *SerialConn { return &SerialConn{parser: p, since: now} }
 
-// Resume returns the protocol of a connection on which so many answers were given before, the last at a time.
-func Resume(p Parser, served int, since float64) *Single {
-	return &Single{parser: p, since: since, served: served}
+// ResumeSerialConn returns the protocol of a connection on which so many answers were given before, the last at a time.
+func ResumeSerialConn(p Parser, served int, since float64) *SerialConn {
+	return &SerialConn{parser: p, since: since, served: served}
 }
 
-// Rests tells whether nothing is in hand, half read or to be written: another process may go on with the connection.
-func (s *Single) Rests() bool {
+// Idle tells whether nothing is in hand, half read or to be written: another process may go on with the connection.
+func (s *SerialConn) Idle() bool {
 	return !s.busy && s.code == "" && len(s.out) == 0 && s.parser.Buffered() == 0
 }
 
 // Feed takes bytes that were read.
-func (s *Single) Feed(now float64, b []byte) {
+func (s *SerialConn) Feed(now float64, b []byte) {
 	if !s.busy && s.parser.Buffered() == 0 && s.served > 0 {
 		s.since = now
 	}
@@ -90,7 +90,7 @@
 }
 
 // Next returns the next message once the one before it is answered.
-func (s *Single) Next(float64) (Event, bool) {
+func (s *SerialConn) Next(float64) (Event, bool) {
 	if s.busy || s.code != "" {
 		return Event{}, false
 	}
@@ -104,12 +104,12 @@
 		return Event{}, false
 	}
 	s.tag++
-	s.busy, s.owed, s.last = true, m.Request != nil, m.Last
+	s.busy, s.owed, s.last = true, m.Request != nil, m.Close
 	return Event{Message: m, Tag: s.tag}, true
 }
 
 // Answer writes the final answer to what is in hand.
-func (s *Single) Answer(now float64, tag uint32, a core.Answer) {
+func (s *SerialConn) Answer(now float64, tag uint32, a core.Answer) {
 	if !s.busy || tag != s.tag {
 		return
 	}
@@ -127,18 +127,18 @@
 	}
 }
 
-// Out appends what is to be written.
-func (s *Single) Out(_ float64, b []byte) []byte {
+// AppendOutput appends what is to be written.
+func (s *SerialConn) AppendOutput(_ float64, b []byte) []byte {
 	b = append(b, s.out...)
 	s.out = s.out[:0]
 	return b
 }
 
-// Leave does nothing: an answer tells the peer when the node wants no more requests.
-func (s *Single) Leave(float64) {}
+// StartDrain does nothing: an answer tells the peer when the node wants no more requests.
+func (s *SerialConn) StartDrain(float64) {}
 
-// Wake returns when the connection ends if nothing comes: never while an answer is owed.
-func (s *Single) Wake(idle float64) float64 {
+// NextDeadline returns when the connection ends if nothing comes: never while an answer is owed.
+func (s *SerialConn) NextDeadline(idle float64) float64 {
 	switch {
 	case s.busy:
 		return 0
@@ -150,9 +150,9 @@
 	return s.since + idle
 }
 
-// Due ends a connection whose time is over.
-func (s *Single) Due(now, idle float64) {
-	at := s.Wake(idle)
+// HandleDeadline ends a connection whose time is over.
+func (s *SerialConn) HandleDeadline(now, idle float64) {
+	at := s.NextDeadline(idle)
 	switch {
 	case at == 0 || now < at || s.code != "":
 	case s.parser.Buffered() > 0:
@@ -164,11 +164,11 @@
 	}
 }
 
-// End returns the code of the end.
-func (s *Single) End() (string, bool) { return s.code, s.linger }
+// CloseReason returns the code of the end.
+func (s *SerialConn) CloseReason() (string, bool) { return s.code, s.linger }
 
-// Lost returns the code of an end by the peer.
-func (s *Single) Lost(eof bool) string {
+// PeerCloseReason returns the code of an end by the peer.
+func (s *SerialConn) PeerCloseReason(eof bool) string {
 	switch {
 	case s.owed:
 		return "gone"
@@ -181,4 +181,4 @@
 }
 
 // Served tells how many answers were given.
-func (s *Single) Served() (int, float64) { return s.served, s.since }
+func (s *SerialConn) Served() (int, float64) { return s.served, s.since }
--- a/internal/fronttest/fronttest.go
+++ b/internal/fronttest/fronttest.go
@@ -9,8 +9,8 @@
 )
 
 // Site is one with a single class, status.
-func Site() *front.Site {
-	return front.NewSite([]string{"status"}, whinrudder.Settings{PassesDeadline: true,
+func Site() *front.Validator {
+	return front.NewValidator([]string{"status"}, whinrudder.Settings{PassesDeadline: true,
 		Classes: []whinrudder.Class{{Aim: 1000, Deadline: 3000, Repeat: whinrudder.Safe}}})
 }
 
@@ -30,7 +30,7 @@
 					break
 				}
 				all = append(all, m)
-				if m.Fault != nil || m.Last {
+				if m.Fault != nil || m.Close {
 					return all
 				}
 			}
@@ -46,7 +46,7 @@
 		t.Fatalf("all at once: %+v, byte by byte: %+v", whole, bytes)
 	}
 	for _, m := range whole {
-		if r := m.Request; r != nil && (len(r.Body) > front.MaxBody || len(r.ID) != 16) {
+		if r := m.Request; r != nil && (len(r.Body) > front.MaxBodyBytes || len(r.ID) != 16) {
 			t.Fatalf("out of bounds: %+v", r)
 		}
 	}
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -54,7 +54,7 @@
 
 // Conn is the state machine of one connection: a front.Protocol. Create it with New.
 type Conn struct {
-	site *front.Site
+	site *front.Validator
 	now  float64
 	in   []byte
 
@@ -100,7 +100,7 @@
 }
 
 // New returns the machine of a connection that was accepted at a time.
-func New(site *front.Site, now float64) *Conn {
+func New(site *front.Validator, now float64) *Conn {
 	c := &Conn{site: site, now: now, since: now, servedAt: now, streams: map[uint32]*stream{}, closed: map[uint32]closing{},
 		peerFrame: minFrame, peerWindow: initialWindow, send: initialWindow, receive: initialWindow, limit: math.MaxUint32,
 		want: firstStreams}
@@ -166,7 +166,7 @@
 			return
 		}
 	}
-	c.events = append(c.events, front.Event{Tag: id, Gone: true})
+	c.events = append(c.events, front.Event{Tag: id, Cancelled: true})
 }
 
 // spend takes one of a budget, or ends the connection.
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -63,7 +63,7 @@
 }
 
 func (p *peer) heard() (out []string) {
-	r := http2.NewFramer(nil, bytes.NewReader(p.c.Out(p.now, nil)))
+	r := http2.NewFramer(nil, bytes.NewReader(p.c.AppendOutput(p.now, nil)))
 	r.ReadMetaHeaders = p.dec
 	for {
 		f, err := r.ReadFrame()
@@ -206,7 +206,7 @@
 			if diff := cmp.Diff(c.want, p.feed()); diff != "" {
 				t.Error(diff)
 			}
-			if code, _ := p.c.End(); code != c.code {
+			if code, _ := p.c.CloseReason(); code != c.code {
 				t.Errorf("want code %q, got %q", c.code, code)
 			}
 		})
@@ -307,8 +307,8 @@
 	if diff := cmp.Diff([]string{"data 5 1 end=false"}, p.feed()); diff != "" {
 		t.Error(diff)
 	}
-	p.now = p.c.Wake(30000)
-	p.c.Due(p.now, 30000)
+	p.now = p.c.NextDeadline(30000)
+	p.c.HandleDeadline(p.now, 30000)
 	if diff := cmp.Diff([]string{"rst 3 CANCEL", "rst 5 CANCEL"}, p.heard()); diff != "" || p.now != 3000+answerGrace+1 {
 		t.Error(diff, p.now)
 	}
@@ -328,7 +328,7 @@
 	p.take()
 	p.fr.WriteRSTStream(3, http2.ErrCodeCancel)
 	p.feed()
-	if got := p.take(); len(got) != 1 || !got[0].Gone || got[0].Tag != 3 {
+	if got := p.take(); len(got) != 1 || !got[0].Cancelled || got[0].Tag != 3 {
 		t.Errorf("want stream 3 gone, got %v", got)
 	}
 	p.c.Answer(p.now, 3, core.Answer{ID: "x", Load: 1})
@@ -366,18 +366,18 @@
 				if !ok {
 					break
 				}
-				if e.Code == "" && !e.Gone {
+				if e.Code == "" && !e.Cancelled {
 					c.Answer(1000, e.Tag, core.Answer{Load: 4, Result: make([]byte, 3000)})
 				}
 			}
-			c.Out(1000, nil)
-			c.Due(c.Wake(100), 100)
-			c.Leave(5000)
-			c.Out(5000, nil)
+			c.AppendOutput(1000, nil)
+			c.HandleDeadline(c.NextDeadline(100), 100)
+			c.StartDrain(5000)
+			c.AppendOutput(5000, nil)
 			if len(c.streams) > MaxStreams || len(c.in) > minFrame+headSize+4096 || len(c.closedIDs) > keptClosed {
 				t.Fatalf("%d streams, %d bytes, %d closed", len(c.streams), len(c.in), len(c.closedIDs))
 			}
-			code, _ := c.End()
+			code, _ := c.CloseReason()
 			codes[code] = true
 		}
 		if len(codes) > 1 && !codes["close"] {
--- a/internal/h2/header.go
+++ b/internal/h2/header.go
@@ -129,7 +129,7 @@
 }
 
 // message makes a message of a whole request.
-func (r *request) message(site *front.Site, body []byte) front.Message {
+func (r *request) message(site *front.Validator, body []byte) front.Message {
 	if r.fault != nil {
 		return front.Message{Fault: r.fault}
 	}
@@ -139,7 +139,7 @@
 	case fault != nil:
 		return front.Message{Fault: fault}
 	case class != "":
-		return site.Request(class, r.fields, body)
+		return site.BuildMessage(class, r.fields, body)
 	}
 	return check
 }
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -54,7 +54,7 @@
 		c.reset(s.id, ProtocolError)
 		return
 	}
-	if s.length > front.MaxBody {
+	if s.length > front.MaxBodyBytes {
 		c.tell(s, &front.Fault{Status: 413, Code: "long-body"})
 		return
 	}
@@ -206,7 +206,7 @@
 		return
 	}
 	if m.Request != nil {
-		s.due = min(max(m.Request.Due, c.now), c.now+c.site.Terms().Policy.Classes[m.Request.Class].Deadline)
+		s.due = min(max(m.Request.Due, c.now), c.now+c.site.Config().Policy.Classes[m.Request.Class].Deadline)
 	}
 	s.inHand = true
 	c.events = append(c.events, front.Event{Message: m, Tag: s.id})
--- a/internal/h2/write.go
+++ b/internal/h2/write.go
@@ -44,7 +44,7 @@
 	if a.Outcome == core.Doubled {
 		c.events = append(c.events, front.Event{Tag: tag, Code: "twice-id"})
 	}
-	s.status, s.answer, s.rest = front.Status(a), &a, a.Result
+	s.status, s.answer, s.rest = front.AnswerStatus(a), &a, a.Result
 	c.ready = append(c.ready, s)
 }
 
@@ -82,8 +82,8 @@
 	c.blocked = waiting
 }
 
-// Out appends what is to be written: control frames first, then the answers that are ready, a quantum each in turn.
-func (c *Conn) Out(now float64, b []byte) []byte {
+// AppendOutput appends what is to be written: control frames first, then the answers that are ready, a quantum each in turn.
+func (c *Conn) AppendOutput(now float64, b []byte) []byte {
 	c.now = max(c.now, now)
 	b = append(b, c.control...)
 	c.control = c.control[:0]
@@ -182,9 +182,9 @@
 	return append(appendHead(b, c.encoded.Len(), frameHeaders, flagEndHeaders, id), c.encoded.Bytes()...)
 }
 
-// Leave begins the drain: the highest id that there can be first, so that what is on its way still counts, and once a
+// StartDrain begins the drain: the highest id that there can be first, so that what is on its way still counts, and once a
 // ping has come back the last that was taken on.
-func (c *Conn) Leave(now float64) {
+func (c *Conn) StartDrain(now float64) {
 	c.now = max(c.now, now)
 	if c.leaving || c.code != "" {
 		return
@@ -201,8 +201,8 @@
 	}
 }
 
-// Wake returns when the machine must be looked at again.
-func (c *Conn) Wake(idle float64) float64 {
+// NextDeadline returns when the machine must be looked at again.
+func (c *Conn) NextDeadline(idle float64) float64 {
 	next := 0.0
 	sooner := func(at float64) {
 		if next == 0 || at < next {
@@ -240,8 +240,8 @@
 // restBy is when a connection without streams has rested for long enough. A new one has the time for its first request.
 func (c *Conn) restBy(idle float64) float64 { return max(c.servedAt+idle, c.since+firstFor) }
 
-// Due does what falls due.
-func (c *Conn) Due(now, idle float64) {
+// HandleDeadline does what falls due.
+func (c *Conn) HandleDeadline(now, idle float64) {
 	c.now = max(c.now, now)
 	switch {
 	case c.code != "":
@@ -275,11 +275,11 @@
 	}
 }
 
-// End returns the code of the end.
-func (c *Conn) End() (string, bool) { return c.code, c.linger }
+// CloseReason returns the code of the end.
+func (c *Conn) CloseReason() (string, bool) { return c.code, c.linger }
 
-// Lost returns the code of an end by the peer.
-func (c *Conn) Lost(eof bool) string {
+// PeerCloseReason returns the code of an end by the peer.
+func (c *Conn) PeerCloseReason(eof bool) string {
 	for _, s := range c.streams {
 		if s.inHand {
 			return "gone"
--- a/internal/httpfront/httpfront.go
+++ b/internal/httpfront/httpfront.go
@@ -14,7 +14,7 @@
 
 // Parser is the state machine of one connection.
 type Parser struct {
-	site *front.Site
+	site *front.Validator
 	buf  []byte
 
 	head   bool // the head of a message was read; what follows is its body
@@ -26,7 +26,7 @@
 }
 
 // New returns the parser of a new connection.
-func New(site *front.Site) *Parser { return &Parser{site: site} }
+func New(site *front.Validator) *Parser { return &Parser{site: site} }
 
 // Feed takes bytes that were read.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
@@ -39,7 +39,7 @@
 	if !p.head {
 		end := bytes.Index(p.buf, []byte("\r\n\r\n"))
 		if end > maxHead || end < 0 && len(p.buf) > maxHead {
-			return front.Bad(431, "long-head"), true
+			return front.FaultMessage(431, "long-head"), true
 		}
 		if end < 0 {
 			return front.Message{}, false
@@ -56,9 +56,9 @@
 	p.head = false
 	m := p.msg
 	if p.class != "" {
-		m = p.site.Request(p.class, p.fields, append([]byte{}, p.buf[:p.length]...))
+		m = p.site.BuildMessage(p.class, p.fields, append([]byte{}, p.buf[:p.length]...))
 	}
-	m.Last = p.last
+	m.Close = p.last
 	p.take(p.length)
 	return m, true
 }
@@ -105,7 +105,7 @@
 			p.last = p.last || strings.EqualFold(value, "close")
 		}
 	}
-	if p.length > front.MaxBody {
+	if p.length > front.MaxBodyBytes {
 		return &front.Fault{Status: 413, Code: "long-body"}
 	}
 	path, query, _ := strings.Cut(target, "?")
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -146,7 +146,7 @@
 	k.mu.Unlock()
 	if leaving {
 		k.left = true
-		k.proto.Leave(t)
+		k.proto.StartDrain(t)
 	}
 	for i, l := range k.letters {
 		if k.writeBy == 0 || l.answer.WriteBy < k.writeBy {
@@ -212,8 +212,8 @@
 				return "room"
 			}
 		}
-		if k.out = k.proto.Out(t, k.out[:0]); len(k.out) > 0 {
-			code, linger := k.proto.End()
+		if k.out = k.proto.AppendOutput(t, k.out[:0]); len(k.out) > 0 {
+			code, linger := k.proto.CloseReason()
 			if code != "" && linger {
 				k.node.conns.rest(k, place{}) // a fault was told: the connection may give its place
 			}
@@ -226,11 +226,11 @@
 				continue // what was written may have made room for more
 			}
 		}
-		if code, _ := k.proto.End(); code != "" {
+		if code, _ := k.proto.CloseReason(); code != "" {
 			return code
 		}
 		idle := float64(k.node.idle.Load())
-		if wake := k.proto.Wake(idle); k.woken() || wake != k.wake {
+		if wake := k.proto.NextDeadline(idle); k.woken() || wake != k.wake {
 			k.wake = wake
 			k.c.SetReadDeadline(at(wake))
 		}
@@ -255,11 +255,11 @@
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			k.wake = -1 // the deadline is over: it is to be set anew, whoever set it
-			k.proto.Due(now(), float64(k.node.idle.Load()))
+			k.proto.HandleDeadline(now(), float64(k.node.idle.Load()))
 		case errors.Is(err, net.ErrClosed):
 			return "drain"
 		default:
-			return k.proto.Lost(errors.Is(err, io.EOF))
+			return k.proto.PeerCloseReason(errors.Is(err, io.EOF))
 		}
 	}
 }
@@ -270,7 +270,7 @@
 		k.node.log("stream", "front", k.front, "peer", k.c.RemoteAddr(), "stream", int(e.Tag), "code", e.Code)
 		return true
 	}
-	if e.Gone {
+	if e.Cancelled {
 		if p, ok := k.close(e.Tag); ok && p.id != "" {
 			k.node.tell(core.Left{ID: p.id})
 		}
@@ -286,7 +286,7 @@
 	to := ticket{k, e.Tag}
 	if e.Request == nil {
 		k.open = append(k.open, pending{tag: e.Tag})
-		k.node.tell(core.Checked{Deep: e.Deep, To: to})
+		k.node.tell(core.Checked{Deep: e.DeepCheck, To: to})
 		return true
 	}
 	k.open = append(k.open, pending{e.Tag, e.Request.ID})
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -29,7 +29,7 @@
 	n := &Node{cfg: settings.Config{}, out: newLogger(log, false), in: make(chan core.Input, 8), over: make(chan struct{})}
 	n.conns.most = 8
 	n.idle.Store(30000)
-	n.site = front.NewSite(nil, n.cfg.Settings.Policy)
+	n.site = front.NewValidator(nil, n.cfg.Settings.Policy)
 	return n
 }
 
@@ -40,7 +40,7 @@
 	n := testNode(log)
 	here, there := net.Pipe()
 	defer there.Close()
-	k := &conn{node: n, c: here, front: "http", proto: front.NewSingle(httpfront.New(n.site), now())}
+	k := &conn{node: n, c: here, front: "http", proto: front.NewSerialConn(httpfront.New(n.site), now())}
 	go k.serve()
 	if _, err := there.Write([]byte("GET /health HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	n := testNode(log)
 	here, there := net.Pipe()
 	defer there.Close()
-	k := &conn{node: n, c: here, front: "http", proto: front.NewSingle(httpfront.New(n.site), now())}
+	k := &conn{node: n, c: here, front: "http", proto: front.NewSerialConn(httpfront.New(n.site), now())}
 	n.conns.add(k)
 	go k.serve()
 	if _, err := there.Write([]byte("GET /health HTTP/1.1\r\n\r\n")); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,7 +57,7 @@
 type Node struct {
 	cfg  settings.Config
 	op   settings.Operator
-	site *front.Site
+	site *front.Validator
 	out  *logger
 
 	in   chan core.Input
@@ -105,11 +105,11 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, op: op, site: front.NewSite(cfg.Settings.Classes, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
+	n := &Node{cfg: cfg, op: op, site: front.NewValidator(cfg.Settings.Classes, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
 		addrs: map[string]string{}, sockets: map[string]net.Listener{}, in: make(chan core.Input, 4096), quit: make(chan struct{}), over: make(chan struct{})}
 	n.folderAt, n.catalog = folder.At, catalog.New(cfg.Settings)
 	n.view = n.catalog.View(cfg.Settings.Policy)
-	n.site.Set(n.terms(n.view, kept))
+	n.site.SetConfig(n.terms(n.view, kept))
 	c.Count(n.figures.Classes(n.view.Names))
 	n.granted = cfg
 	n.conns.most = n.mostConns(cfg, false)
@@ -205,7 +205,7 @@
 
 // single makes the protocol of connections with one message at a time.
 func single(parser func() front.Parser) func(float64) front.Protocol {
-	return func(now float64) front.Protocol { return front.NewSingle(parser(), now) }
+	return func(now float64) front.Protocol { return front.NewSerialConn(parser(), now) }
 }
 
 // Addr returns the address of a front that listens: http, uwsgi or h2c.
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return fmt.Errorf("kept: %w", err)
 	}
-	n.core.Keep(t, n.site.Terms().Kept)
+	n.core.Keep(t, n.site.Config().KeptClasses)
 	n.holder, n.parts = h, append(n.parts, h)
 	return nil
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -88,13 +88,13 @@
 		names[v.Serves[k]] = k
 	}
 	t := n.terms(v, names)
-	n.tell(core.Retune{Settings: v.Settings, Fresh: v.Fresh, Counts: n.figures.Classes(v.Names), Kept: t.Kept})
-	n.site.Set(t)
+	n.tell(core.Retune{Settings: v.Settings, Fresh: v.Fresh, Counts: n.figures.Classes(v.Names), Kept: t.KeptClasses})
+	n.site.SetConfig(t)
 }
 
 // terms are what the fronts must know of a view, with the classes whose results are kept.
-func (n *Node) terms(v catalog.View, kept map[int]string) front.Terms {
-	return front.Terms{Classes: v.Serves, Policy: v.Settings, Kept: kept}
+func (n *Node) terms(v catalog.View, kept map[int]string) front.ValidatorConfig {
+	return front.ValidatorConfig{ClassIndex: v.Serves, Policy: v.Settings, KeptClasses: kept}
 }
 
 // present returns the present settings and the names of the classes, by their places.
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -159,8 +159,8 @@
 
 // moves hands a connection at rest to a successor. It tells true if the connection is the successor's now.
 func (k *conn) moves() bool {
-	s, ok := k.proto.(*front.Single)
-	if !ok || k.front != "http" || len(k.open) > 0 || !s.Rests() {
+	s, ok := k.proto.(*front.SerialConn)
+	if !ok || k.front != "http" || len(k.open) > 0 || !s.Idle() {
 		return false
 	}
 	served, since := s.Served()
@@ -172,7 +172,7 @@
 	if how.Front != "http" {
 		return false
 	}
-	k := &conn{node: n, c: c, front: how.Front, proto: front.Resume(httpfront.New(n.site), how.Served, min(how.Since, now()))}
+	k := &conn{node: n, c: c, front: how.Front, proto: front.ResumeSerialConn(httpfront.New(n.site), how.Served, min(how.Since, now()))}
 	if !n.conns.add(k) {
 		return false
 	}
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -18,13 +18,13 @@
 
 // Parser is the state machine of one connection.
 type Parser struct {
-	site *front.Site
+	site *front.Validator
 	buf  []byte
 	done bool
 }
 
 // New returns the parser of a new connection.
-func New(site *front.Site) *Parser { return &Parser{site: site} }
+func New(site *front.Validator) *Parser { return &Parser{site: site} }
 
 // Feed takes bytes that were read.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
@@ -40,9 +40,9 @@
 	size := int(binary.LittleEndian.Uint16(p.buf[1:]))
 	switch {
 	case p.buf[0] != 0 || p.buf[3] != 0:
-		return front.Bad(501, "bad-modifier"), true // only plain requests are served
+		return front.FaultMessage(501, "bad-modifier"), true // only plain requests are served
 	case size > maxVars:
-		return front.Bad(431, "long-head"), true
+		return front.FaultMessage(431, "long-head"), true
 	case len(p.buf) < headSize+size:
 		return front.Message{}, false
 	}
@@ -59,9 +59,9 @@
 	case f != nil:
 		m.Fault = f
 	case class != "":
-		m = p.site.Request(class, v.fields, append([]byte{}, body[:v.length]...))
+		m = p.site.BuildMessage(class, v.fields, append([]byte{}, body[:v.length]...))
 	}
-	p.done, m.Last = true, true
+	p.done, m.Close = true, true
 	p.buf = p.buf[:0]
 	return m, true
 }
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	if v.length > front.MaxBody {
+	if v.length > front.MaxBodyBytes {
 		return v, &front.Fault{Status: 413, Code: "long-body"}
 	}
 	return v, nil
