--- a/internal/fronttest/fronttest.go
+++ b/internal/fronttest/fronttest.go
@@ -8,8 +8,8 @@
 	"whinrudder/internal/front"
 )
 
-// Site is one with a single class, status.
-func Site() *front.Validator {
+// NewValidator returns a validator with a single class, status.
+func NewValidator() *front.Validator {
 	return front.NewValidator([]string{"status"}, whinrudder.Settings{PassesDeadline: true,
 		Classes: []whinrudder.Class{{Aim: 1000, Deadline: 3000, Repeat: whinrudder.Safe}}})
 }
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -15,7 +15,7 @@
 	"whinrudder/internal/fronttest"
 )
 
-var site = fronttest.Site()
+var site = fronttest.NewValidator()
 
 // peer is a client whose frames go straight into a machine.
 type peer struct {
--- a/internal/uwsgi/fuzz_test.go
+++ b/internal/uwsgi/fuzz_test.go
@@ -10,7 +10,7 @@
 
 // Whatever comes, in pieces of whatever size, the message is the same, and a whole request is within its bounds.
 func FuzzParser(f *testing.F) {
-	site := fronttest.Site()
+	site := fronttest.NewValidator()
 	var vars []byte
 	for _, s := range []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/rpc/status", "CONTENT_LENGTH", "2", "HTTP_REQ_ID",
 		"00000000000000a1", "HTTP_REQ_TIME", "1000", "HTTP_REQ_FROM", "1", "HTTP_REQ_WAIT_MS", "20", "HTTP_REQ_KB", "1",
