--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -137,7 +137,7 @@
 				w.check(a, o.Answer)
 			}
 		case core.Spawn, core.Suspend, core.Poll, core.Verify:
-			w.link.Push(o)
+			w.link.Enqueue(o)
 		case core.Append:
 			w.writes = append(w.writes, o.Write)
 		case core.Fetch:
@@ -147,7 +147,7 @@
 		}
 	}
 	if w.linked {
-		w.inbox = w.link.Out(w.inbox)
+		w.inbox = w.link.AppendCommands(w.inbox)
 	}
 }
 
@@ -251,7 +251,7 @@
 func (w *world) relink() {
 	w.unlink()
 	w.linked = true
-	w.inbox = append(w.inbox, w.link.Opened()...)
+	w.inbox = append(w.inbox, w.link.StartConnection()...)
 	w.read()
 }
 
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -33,7 +33,7 @@
 
 func (l *link) push(o core.Output) {
 	l.mu.Lock()
-	l.machine.Push(o)
+	l.machine.Enqueue(o)
 	l.pushed = true
 	l.mu.Unlock()
 }
@@ -125,7 +125,7 @@
 	buf, out := make([]byte, 32<<10), []byte(nil)
 	l.mu.Lock()
 	l.c = c
-	out = append(out, l.machine.Opened()...)
+	out = append(out, l.machine.StartConnection()...)
 	l.mu.Unlock()
 	again, leaveBy := 0.0, 0.0 // when to connect to the other address again, and how long the leave may take
 	for {
@@ -134,7 +134,7 @@
 			if next = l.dial(); next != nil {
 				leaveBy = now() + linkLeave
 				l.mu.Lock()
-				out = append(out, l.machine.Leave()...)
+				out = append(out, l.machine.Detach()...)
 				l.mu.Unlock()
 			}
 		}
@@ -147,8 +147,8 @@
 		}
 		c.SetReadDeadline(at(max(again, leaveBy)))
 		l.mu.Lock() // after the deadline was set: commands that come later set it anew
-		out = l.machine.Out(out)
-		left, moved := l.machine.Left(), next == nil && l.addr != c.addr
+		out = l.machine.AppendCommands(out)
+		left, moved := l.machine.Detached(), next == nil && l.addr != c.addr
 		l.mu.Unlock()
 		switch {
 		case next != nil && (left || now() >= leaveBy):
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -81,7 +81,7 @@
 	n.view = v
 	n.mu.Unlock()
 	n.link.mu.Lock()
-	n.link.machine.Retune(v.Names, gauges)
+	n.link.machine.SetNames(v.Names, gauges)
 	n.link.mu.Unlock()
 	names := map[int]string{}
 	for _, k := range n.op.Kept.Classes {
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -22,8 +22,8 @@
 		}
 		read := func(piece int) (all []core.Input, bad bool) {
 			l := New([]string{"status"}, []string{"cpu_busy", "runnable", "mem_used", "sockets"})
-			l.Opened()
-			l.Push(core.Spawn{ID: "a"})
+			l.StartConnection()
+			l.Enqueue(core.Spawn{ID: "a"})
 			for rest := b; len(rest) > 0; {
 				n := min(piece, len(rest))
 				tell, _, err := l.Feed(rest[:n])
@@ -35,7 +35,7 @@
 				if len(l.in) > maxLine {
 					t.Fatalf("%d bytes are kept", len(l.in))
 				}
-				l.Out(nil)
+				l.AppendCommands(nil)
 			}
 			return all, false
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -55,31 +55,31 @@
 	return &Link{classes: classes, gauges: gauges, fence: notBound}
 }
 
-// Retune takes over the names of the classes, by their places, and of the gauges.
-func (l *Link) Retune(classes, gauges []string) { l.classes, l.gauges = classes, gauges }
+// SetNames takes over the names of the classes, by their places, and of the gauges.
+func (l *Link) SetNames(classes, gauges []string) { l.classes, l.gauges = classes, gauges }
 
 // notBound stands in the place of a fence until the worker pool says that it is up.
 const notBound = "not bound"
 
-// Opened starts the talk on a new connection and returns the first bytes for it.
-func (l *Link) Opened() []byte {
+// StartConnection starts the talk on a new connection and returns the first bytes for it.
+func (l *Link) StartConnection() []byte {
 	l.in = l.in[:0]
 	l.fence, l.left = notBound, false
 	return fmt.Appendf(nil, `{"msg":"bind","serial":%d}`+"\n", l.serial)
 }
 
-// Leave ends the talk on a connection that another will replace. It returns a last poll: its answer proves that the
+// Detach ends the talk on a connection that another will replace. It returns a last poll: its answer proves that the
 // worker pool has read all that was handed over, and commands wait for the next connection. On a link that was not
 // in step nothing is owed.
-func (l *Link) Leave() []byte {
+func (l *Link) Detach() []byte {
 	if l.left = l.fence != ""; l.left {
 		return nil
 	}
 	return l.poll("leave")
 }
 
-// Left tells that the connection may be closed.
-func (l *Link) Left() bool { return l.left }
+// Detached tells that the connection may be closed.
+func (l *Link) Detached() bool { return l.left }
 
 // poll asks for an answer under a new tag, which is waited for.
 func (l *Link) poll(word string) []byte {
@@ -88,8 +88,8 @@
 	return fmt.Appendf(nil, `{"msg":"poll","cookie":"%s"}`+"\n", l.fence)
 }
 
-// Push queues a command of the core. Gauges and checks are worth asking for only on a link in step.
-func (l *Link) Push(o core.Output) {
+// Enqueue queues a command of the core. Gauges and checks are worth asking for only on a link in step.
+func (l *Link) Enqueue(o core.Output) {
 	switch o := o.(type) {
 	case core.Spawn:
 		b := append([]byte(`{"msg":"spawn","call":"`), o.ID...)
@@ -111,9 +111,9 @@
 	}
 }
 
-// Out appends the commands that may go out now. From here on they count as handed to the connection: they are in
+// AppendCommands appends the commands that may go out now. From here on they count as handed to the connection: they are in
 // doubt if it breaks, even if no byte arrived, until the worker pool answers a later poll.
-func (l *Link) Out(to []byte) []byte {
+func (l *Link) AppendCommands(to []byte) []byte {
 	if l.fence != "" {
 		return to
 	}
@@ -124,8 +124,8 @@
 	return to
 }
 
-// ErrLine is a line that is too long to be a notice.
-var ErrLine = errors.New("notice too long")
+// ErrLineTooLong is a line that is too long to be a notice.
+var ErrLineTooLong = errors.New("notice too long")
 
 // Feed takes bytes that were read. It returns what they tell the core and bytes to be written at once. An error
 // means that the connection is of no use any more.
@@ -147,7 +147,7 @@
 		l.in = l.in[:copy(l.in, rest)]
 	}
 	if len(l.in) > maxLine {
-		return tell, reply, ErrLine
+		return tell, reply, ErrLineTooLong
 	}
 	return tell, reply, nil
 }
