--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -53,7 +53,7 @@
 
 const (
 	idSize    = 16  // characters of an id
-	idsAFrame = 900 // so that a frame stays within peer.MaxPayload
+	idsAFrame = 900 // so that a frame stays within peer.MaxPayloadBytes
 	maxFronts = 8
 	maxLoad   = 1e9
 )
@@ -64,10 +64,10 @@
 }
 
 type welcome struct {
-	Node   string    `cbor:"node"`
-	Fronts []string  `cbor:"fronts"`
-	Away   bool      `cbor:"away"` // operators have sent the clients away
-	Head   peer.Head `cbor:"head"`
+	Node   string       `cbor:"node"`
+	Fronts []string     `cbor:"fronts"`
+	Away   bool         `cbor:"away"` // operators have sent the clients away
+	Head   peer.Summary `cbor:"head"`
 }
 
 type load struct {
@@ -158,7 +158,7 @@
 
 func loaded(f peer.Frame) (Loaded, *peer.Fault) {
 	var l load
-	if err := peer.Value(f, &l); err != nil {
+	if err := peer.DecodeValue(f, &l); err != nil {
 		return Loaded{}, err
 	}
 	if l.Live < 0 || l.Live > maxLoad || !(l.KB >= 0 && l.KB <= maxLoad*1e3) || len(l.IDs)%idSize != 0 {
@@ -226,7 +226,7 @@
 		g.heard = now
 		switch {
 		case f.Kind == kindHello && g.phase == unknown:
-			if bad := peer.Value(f, &g.asked); bad != nil {
+			if bad := peer.DecodeValue(f, &g.asked); bad != nil {
 				return events, bad
 			}
 			if g.asked.Node != g.node {
@@ -258,7 +258,7 @@
 		return
 	}
 	g.phase, g.by = given, now+serveFor
-	w := welcome{Node: g.node, Away: away, Head: peer.HeadOf(r)}
+	w := welcome{Node: g.node, Away: away, Head: peer.SummaryOf(r)}
 	for _, name := range fronts {
 		if a := g.asked.Addrs[name]; a != "" && a == g.addrs[name] {
 			w.Fronts = append(w.Fronts, name)
@@ -299,7 +299,7 @@
 	side
 	node   string
 	addrs  map[string]string
-	gather *peer.Gatherer // nil until the welcome came
+	gather *peer.ReportAssembler // nil until the welcome came
 	whole  bool
 	serves bool
 }
@@ -335,7 +335,7 @@
 	switch {
 	case f.Kind == kindWelcome && t.gather == nil:
 		var w welcome
-		if bad := peer.Value(f, &w); bad != nil {
+		if bad := peer.DecodeValue(f, &w); bad != nil {
 			return nil, bad
 		}
 		if w.Node != t.node || len(w.Fronts) > maxFronts {
@@ -346,12 +346,12 @@
 				return nil, peer.NewFault("other-front", "%q was not asked for", name)
 			}
 		}
-		t.gather = peer.NewGatherer(w.Head)
+		t.gather = peer.NewReportAssembler(w.Head)
 		return Offered{w.Fronts, w.Away}, nil
 	case f.Kind == peer.KindRefuse:
-		return nil, peer.NewFault("refused", "%s", peer.Describe(f))
+		return nil, peer.NewFault("refused", "%s", peer.DescribeFrame(f))
 	case (f.Kind == peer.KindSection || f.Kind == peer.KindEnd) && t.gather != nil && !t.whole:
-		if bad := t.gather.Take(f); bad != nil {
+		if bad := t.gather.Add(f); bad != nil {
 			return nil, bad
 		}
 		r, whole := t.gather.Report()
@@ -370,7 +370,7 @@
 		return Yielded{}, nil
 	case f.Kind == kindConn && t.serves:
 		var c Conn
-		if bad := peer.Value(f, &c); bad != nil {
+		if bad := peer.DecodeValue(f, &c); bad != nil {
 			return nil, bad
 		}
 		if c.Served < 0 || c.Front == "" || !(c.Since >= 0 && !math.IsInf(c.Since, 0)) {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -48,7 +48,7 @@
 	case "hello":
 		return peer.AppendValue(nil, kindHello, hello{rest[0], addrs(rest[1])})
 	case "welcome":
-		return peer.AppendValue(nil, kindWelcome, welcome{Node: rest[0], Fronts: strings.Split(rest[1], ","), Away: len(rest) > 2, Head: peer.HeadOf(sample)})
+		return peer.AppendValue(nil, kindWelcome, welcome{Node: rest[0], Fronts: strings.Split(rest[1], ","), Away: len(rest) > 2, Head: peer.SummaryOf(sample)})
 	case "sections":
 		return peer.AppendSections(nil, sample)
 	case "serving":
@@ -102,11 +102,11 @@
 			if bad != nil {
 				t.Fatal(bad)
 			}
-			line := "out " + peer.Describe(f)
+			line := "out " + peer.DescribeFrame(f)
 			switch f.Kind {
 			case kindHello:
 				var h hello
-				peer.Value(f, &h)
+				peer.DecodeValue(f, &h)
 				var pairs []string
 				for _, k := range slices.Sorted(maps.Keys(h.Addrs)) {
 					pairs = append(pairs, k+"="+h.Addrs[k])
@@ -114,7 +114,7 @@
 				line = "out hello " + h.Node + " " + strings.Join(pairs, ",")
 			case kindWelcome:
 				var w welcome
-				peer.Value(f, &w)
+				peer.DecodeValue(f, &w)
 				line = "out welcome " + strings.Join(w.Fronts, ",")
 			case kindServing:
 				line = "out serving"
@@ -125,19 +125,19 @@
 				line = "out load " + told(e.Beside, e.IDs)
 			case kindConn:
 				var c Conn
-				peer.Value(f, &c)
+				peer.DecodeValue(f, &c)
 				line = fmt.Sprintf("out conn %s served=%d", c.Front, c.Served)
 			case peer.KindSection:
 				var s struct {
 					Class string `cbor:"class"`
 				}
-				peer.Value(f, &s)
+				peer.DecodeValue(f, &s)
 				line = strings.TrimSpace("out section " + s.Class)
 			case peer.KindEnd:
 				var e struct {
 					Sections int `cbor:"sections"`
 				}
-				peer.Value(f, &e)
+				peer.DecodeValue(f, &e)
 				line = fmt.Sprint("out end ", e.Sections)
 			}
 			if len(m.Fronts) > 0 {
@@ -301,7 +301,7 @@
 
 func FuzzSides(f *testing.F) {
 	f.Add(true, peer.AppendValue(nil, kindHello, hello{"n1", addrs("http=a:1")}))
-	f.Add(false, append(peer.AppendValue(nil, kindWelcome, welcome{Node: "n1", Fronts: []string{"http"}, Head: peer.HeadOf(sample)}), peer.AppendSections(nil, sample)...))
+	f.Add(false, append(peer.AppendValue(nil, kindWelcome, welcome{Node: "n1", Fronts: []string{"http"}, Head: peer.SummaryOf(sample)}), peer.AppendSections(nil, sample)...))
 	f.Add(false, peer.AppendValue(nil, kindConn, Conn{Front: "http"}))
 	f.Fuzz(func(t *testing.T, give bool, b []byte) {
 		m := newSide(map[bool]string{true: "give", false: "take"}[give])
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -286,19 +286,19 @@
 		go func() {
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(5 * time.Second))
-			g := peer.NewGiver(0)
+			g := peer.NewSourceConn(0)
 			buf := make([]byte, 4096)
 			for {
 				n, err := c.Read(buf)
 				step, out, bad := g.Feed(buf[:n])
 				switch step {
-				case peer.StepWelcome:
-					_, out, bad = g.Welcome(peer.HeadOf(r))
-				case peer.StepGive:
-					_, out, bad = g.Give(r)
+				case peer.StepSendWelcome:
+					_, out, bad = g.SendWelcome(peer.SummaryOf(r))
+				case peer.StepSendReport:
+					_, out, bad = g.SendReport(r)
 				}
 				c.Write(out)
-				if err != nil || bad != nil || step == peer.StepGive {
+				if err != nil || bad != nil || step == peer.StepSendReport {
 					return
 				}
 			}
--- a/internal/peer/exchange_test.go
+++ b/internal/peer/exchange_test.go
@@ -42,7 +42,7 @@
 	case "take":
 		return AppendFrame(nil, Frame{KindTake, nil})
 	case "welcome":
-		return frame(nil, KindWelcome, HeadOf(sample()))
+		return frame(nil, KindWelcome, SummaryOf(sample()))
 	case "sections":
 		return AppendSections(nil, sample())
 	case "busy":
@@ -63,7 +63,7 @@
 
 // playGiver and playTaker play the lines that come and return the whole transcript.
 func playGiver(t *testing.T, lines []string) (out []string) {
-	g := NewGiver(1000)
+	g := NewSourceConn(1000)
 	tell := func(step Step, b []byte, bad *Fault) {
 		if len(b) > 0 {
 			out = append(out, "out "+hex.EncodeToString(b))
@@ -83,11 +83,11 @@
 			out = append(out, l)
 			switch words[1] {
 			case "welcome":
-				tell(g.Welcome(HeadOf(sample())))
+				tell(g.SendWelcome(SummaryOf(sample())))
 			case "give":
-				tell(g.Give(sample()))
+				tell(g.SendReport(sample()))
 			case "busy":
-				tell(g.Busy("busy", 1500))
+				tell(g.SendBusy("busy", 1500))
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 }
 
 func playTaker(t *testing.T, lines []string) (out []string) {
-	k, b := NewTaker("n9")
+	k, b := NewReceiverConn("n9")
 	out = append(out, "out "+hex.EncodeToString(b))
 	for _, l := range lines {
 		words := strings.Fields(l)
@@ -109,7 +109,7 @@
 				out = append(out, "fault "+bad.Code)
 			}
 		case "do":
-			out = append(out, l, "out "+hex.EncodeToString(k.Take()))
+			out = append(out, l, "out "+hex.EncodeToString(k.RequestSections()))
 		}
 	}
 	return out
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -33,9 +33,9 @@
 
 const (
 	headSize = 16
-	// MaxPayload bounds the payload of a frame. What announces more is refused before a byte of it is read.
-	MaxPayload = 16 << 10
-	// MaxSections bounds the sections of a transfer, and with MaxPayload its size.
+	// MaxPayloadBytes bounds the payload of a frame. What announces more is refused before a byte of it is read.
+	MaxPayloadBytes = 16 << 10
+	// MaxSections bounds the sections of a transfer, and with MaxPayloadBytes its size.
 	MaxSections = 80
 	magic       = 0x574b // "WK", the first two bytes of each frame
 )
@@ -96,8 +96,8 @@
 		return Frame{}, false, nil
 	}
 	size := binary.BigEndian.Uint32(r.buf[4:])
-	if size > MaxPayload {
-		return Frame{}, false, fault("long-frame", "announces %d bytes, %d at most", size, MaxPayload)
+	if size > MaxPayloadBytes {
+		return Frame{}, false, fault("long-frame", "announces %d bytes, %d at most", size, MaxPayloadBytes)
 	}
 	whole := headSize + int(size)
 	if len(r.buf) < whole {
@@ -135,8 +135,8 @@
 // AppendValue appends a frame whose payload is a plain value in CBOR, for protocols that share the frames.
 func AppendValue(b []byte, k Kind, v any) []byte { return frame(b, k, v) }
 
-// Value decodes the payload of a frame into v.
-func Value(f Frame, v any) *Fault { return read(f, v) }
+// DecodeValue decodes the payload of a frame into v.
+func DecodeValue(f Frame, v any) *Fault { return read(f, v) }
 
 // NewFault returns a fault with a code.
 func NewFault(code, format string, args ...any) *Fault { return fault(code, format, args...) }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -37,7 +37,7 @@
 // However the bytes come, the frames and the fault are the same; a frame that was taken is byte for byte what its kind
 // and payload make; and nothing is kept beyond one frame.
 func FuzzReader(f *testing.F) {
-	whole := AppendSections(frame(frame(nil, KindHello, hello{"a", []uint64{1}}), KindWelcome, HeadOf(sample())), sample())
+	whole := AppendSections(frame(frame(nil, KindHello, hello{"a", []uint64{1}}), KindWelcome, SummaryOf(sample())), sample())
 	f.Add(whole)
 	f.Add(whole[:len(whole)-3])
 	f.Add([]byte("\x57\x4b\x01\x01\xff\xff\xff\xff00000000"))
@@ -51,7 +51,7 @@
 		}
 		var again []byte
 		for _, f := range all {
-			if len(f.Payload) > MaxPayload {
+			if len(f.Payload) > MaxPayloadBytes {
 				t.Fatalf("a payload of %d bytes", len(f.Payload))
 			}
 			again = AppendFrame(again, f)
@@ -59,10 +59,10 @@
 		if !bytes.HasPrefix(b, again) {
 			t.Fatal("frames that were taken are not those that came")
 		}
-		NewGiver(0).Feed(b)
-		k, _ := NewTaker("t")
+		NewSourceConn(0).Feed(b)
+		k, _ := NewReceiverConn("t")
 		k.Feed(b)
-		k.Take()
+		k.RequestSections()
 		k.Feed(b)
 		ReadSnapshot(b, "n3", 1e12)
 	})
@@ -92,9 +92,9 @@
 		b := AppendSections(nil, r)
 		cut := rapid.IntRange(0, len(b)).Draw(t, "cut")
 		frames, bad := drain(b[:cut], rapid.IntRange(1, 99).Draw(t, "piece"))
-		g := NewGatherer(HeadOf(r))
+		g := NewReportAssembler(SummaryOf(r))
 		for _, f := range frames {
-			if bad := g.Take(f); bad != nil {
+			if bad := g.Add(f); bad != nil {
 				t.Fatal(bad)
 			}
 		}
@@ -170,9 +170,9 @@
 func TestFiguresThatNoNodeCanHaveEndTheTransfer(t *testing.T) {
 	r := sample()
 	r.Classes[1].Cost.Time = 1e9
-	k, _ := NewTaker("n9")
-	k.Feed(frame(nil, KindWelcome, HeadOf(r)))
-	k.Take()
+	k, _ := NewReceiverConn("n9")
+	k.Feed(frame(nil, KindWelcome, SummaryOf(r)))
+	k.RequestSections()
 	_, bad := k.Feed(AppendSections(nil, r))
 	got, whole := k.Report()
 	if bad == nil || bad.Code != "bad-figure" || !strings.Contains(bad.Text, "payout-book cost.time") || whole || len(got.Classes) != 0 {
@@ -185,12 +185,12 @@
 		b := NewBudget(0)
 		given, last, waits := 0, 0.0, map[float64]bool{}
 		for range 20 {
-			ok, retry := b.Begin(0, full)
+			ok, retry := b.Acquire(0, full)
 			if ok {
 				given++
 				continue
 			}
-			if retry <= last || retry > MaxRetry {
+			if retry <= last || retry > MaxRetryMs {
 				t.Errorf("full=%t: told to come back after %v, the one before after %v", full, retry, last)
 			}
 			last, waits[retry] = retry, true
@@ -203,9 +203,9 @@
 	given := 0
 	for now := 0.0; now < 60000; now += 10 { // twenty that never heed
 		for range 20 {
-			if ok, _ := b.Begin(now, false); ok {
+			if ok, _ := b.Acquire(now, false); ok {
 				given++
-				b.End()
+				b.Release()
 			}
 		}
 	}
@@ -218,14 +218,14 @@
 	for _, c := range []struct {
 		name string
 		step Step
-		p    Present
+		p    SourceState
 		code string
 	}{
-		{"not up", StepWelcome, Present{}, "not-ready"},
-		{"drains", StepWelcome, Present{Known: true, Draining: true}, "draining"},
-		{"began to drain since the welcome", StepGive, Present{Known: true, Draining: true}, "draining"},
-		{"a welcome costs nothing", StepWelcome, Present{Known: true, Full: true}, ""},
-		{"first", StepGive, Present{Known: true}, ""},
+		{"not up", StepSendWelcome, SourceState{}, "not-ready"},
+		{"drains", StepSendWelcome, SourceState{HasKnowledge: true, Draining: true}, "draining"},
+		{"began to drain since the welcome", StepSendReport, SourceState{HasKnowledge: true, Draining: true}, "draining"},
+		{"a welcome costs nothing", StepSendWelcome, SourceState{HasKnowledge: true, AtLimit: true}, ""},
+		{"first", StepSendReport, SourceState{HasKnowledge: true}, ""},
 	} {
 		if code, _ := NewBudget(0).Admit(0, c.step, c.p); code != c.code {
 			t.Errorf("%s: want %q, got %q", c.name, c.code, code)
@@ -233,7 +233,7 @@
 	}
 	b, taken := NewBudget(0), 0
 	for now := 0.0; now < 10000; now++ { // a thousand connections a second
-		if b.Connect(now) {
+		if b.AllowConnection(now) {
 			taken++
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // play plays a round: a script of what donors do, by the time at which the round has been stepped.
-func play(r *Round, donors map[string]func(now float64, what What) []func()) (log []string, ended float64) {
+func play(r *SourceSelection, donors map[string]func(now float64, what ActionKind) []func()) (log []string, ended float64) {
 	type event struct {
 		at float64
 		do func()
@@ -259,9 +259,9 @@
 		}
 		todo, over := r.Step(now)
 		for _, d := range todo {
-			log = append(log, fmt.Sprintf("%.0f %s %s", now, []string{"connect", "take", "drop"}[d.What], d.Donor))
-			if f := donors[d.Donor]; f != nil {
-				for i, do := range f(now, d.What) {
+			log = append(log, fmt.Sprintf("%.0f %s %s", now, []string{"connect", "take", "drop"}[d.Kind], d.Addr))
+			if f := donors[d.Addr]; f != nil {
+				for i, do := range f(now, d.Kind) {
 					queue = append(queue, event{now + 50*float64(i+1), do})
 				}
 			}
@@ -304,14 +304,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var addrs []string
-			donors := map[string]func(float64, What) []func(){}
-			r := (*Round)(nil)
+			donors := map[string]func(float64, ActionKind) []func(){}
+			r := (*SourceSelection)(nil)
 			for _, d := range c.donors {
 				name, how, _ := strings.Cut(d, " ")
 				addrs = append(addrs, name)
 				tries := 0
-				donors[name] = func(now float64, what What) []func() {
-					h := Head{Node: name, Warm: how != "cold", Draining: how == "draining", Runs: 100}
+				donors[name] = func(now float64, what ActionKind) []func() {
+					h := Summary{Node: name, Warm: how != "cold", Draining: how == "draining", Runs: 100}
 					fmt.Sscanf(how, "%f", &h.Runs)
 					if how == "empty" {
 						h.Runs = 0
@@ -319,22 +319,22 @@
 					whole := sample()
 					whole.Node = name
 					switch {
-					case what == DoDrop || how == "silent":
+					case what == ActionClose || how == "silent":
 						return nil
-					case what == DoConnect && how == "busy" && tries == 0:
+					case what == ActionConnect && how == "busy" && tries == 0:
 						tries++
-						return []func(){func() { r.Busy(now+50, name, 700) }}
-					case what == DoConnect:
-						return []func(){func() { r.Welcomed(now+50, name, h) }}
+						return []func(){func() { r.HandleBusy(now+50, name, 700) }}
+					case what == ActionConnect:
+						return []func(){func() { r.HandleWelcome(now+50, name, h) }}
 					case how == "hangs":
 						return nil
 					case how == "dies":
-						return []func(){func() { r.Failed(name, knowledge.Report{}) }}
+						return []func(){func() { r.HandleFailure(name, knowledge.Report{}) }}
 					}
-					return []func(){func() { r.Whole(name, whole) }}
+					return []func(){func() { r.HandleReport(name, whole) }}
 				}
 			}
-			r = NewRound(addrs, 5000)
+			r = NewSourceSelection(addrs, 5000)
 			log, ended := play(r, donors)
 			if diff := cmp.Diff(c.log, log); diff != "" {
 				t.Error(diff)
@@ -355,17 +355,17 @@
 	part := sample()
 	part.Classes = part.Classes[:1]
 	for _, whole := range []bool{false, true} {
-		r := NewRound([]string{"a", "b"}, 5000)
+		r := NewSourceSelection([]string{"a", "b"}, 5000)
 		r.Step(0)
 		for _, n := range []string{"a", "b"} {
-			r.Welcomed(10, n, Head{Warm: true, Runs: 1})
+			r.HandleWelcome(10, n, Summary{Warm: true, Runs: 1})
 		}
 		r.Step(20)
-		r.Failed("a", part)
+		r.HandleFailure("a", part)
 		if whole {
-			r.Whole("b", sample())
+			r.HandleReport("b", sample())
 		} else {
-			r.Failed("b", knowledge.Report{})
+			r.HandleFailure("b", knowledge.Report{})
 		}
 		got := r.Reports()
 		if len(got) != 1 || len(got[0].Classes) != map[bool]int{false: 1, true: 2}[whole] {
--- a/internal/peer/round.go
+++ b/internal/peer/round.go
@@ -10,27 +10,27 @@
 
 // Limits of a round.
 const (
-	MaxDonors  = 64  // donors that are considered
+	MaxSources = 64  // donors that are considered
 	wantDonors = 3   // reports that are wanted: with three, one that is wrong is outvoted
 	askAtOnce  = 6   // connections at a time
 	headsFor   = 400 // donors are compared once so long has passed since the first welcome, or all have spoken
 	slowAfter  = 500 // a donor that has not given all by then gets a second beside it
 )
 
-// Do is what a round wants of its driver, about one donor.
-type Do struct {
-	What  What
-	Donor string
+// Action is what a round wants of its driver, about one donor.
+type Action struct {
+	Kind ActionKind
+	Addr string
 }
 
-// What is a word of a round.
-type What uint8
+// ActionKind is a word of a round.
+type ActionKind uint8
 
 // The words.
 const (
-	DoConnect What = iota // connect and say hello
-	DoTake                // ask for the sections
-	DoDrop                // take leave and close
+	ActionConnect ActionKind = iota // connect and say hello
+	ActionRequest                   // ask for the sections
+	ActionClose                     // take leave and close
 )
 
 type donorState uint8
@@ -47,27 +47,27 @@
 type donor struct {
 	addr   string
 	state  donorState
-	head   Head
+	head   Summary
 	at     float64 // when it may be asked, or when it was taken from
 	second bool    // another was asked beside it, as it was slow
 	report knowledge.Report
 	whole  bool
 }
 
-// Round is the choice of donors of one start: whom to ask, whom to take from, and when it is enough. It prefers donors
+// SourceSelection is the choice of donors of one start: whom to ask, whom to take from, and when it is enough. It prefers donors
 // that are not draining and warm, then those whose knowledge rests on most runs, then the longest observed.
-type Round struct {
+type SourceSelection struct {
 	by     float64
 	first  float64 // when the first welcome came; 0: none yet
 	donors []*donor
 	over   bool
 }
 
-// NewRound returns a round over some donors, in the order in which they are to be asked, that ends at an absolute time.
-func NewRound(addrs []string, by float64) *Round {
-	r := &Round{by: by}
+// NewSourceSelection returns a round over some donors, in the order in which they are to be asked, that ends at an absolute time.
+func NewSourceSelection(addrs []string, by float64) *SourceSelection {
+	r := &SourceSelection{by: by}
 	for _, a := range addrs {
-		if len(r.donors) < MaxDonors && !slices.ContainsFunc(r.donors, func(d *donor) bool { return d.addr == a }) {
+		if len(r.donors) < MaxSources && !slices.ContainsFunc(r.donors, func(d *donor) bool { return d.addr == a }) {
 			r.donors = append(r.donors, &donor{addr: a})
 		}
 	}
@@ -75,9 +75,9 @@
 }
 
 // Deadline returns the absolute time at which the round ends.
-func (r *Round) Deadline() float64 { return r.by }
+func (r *SourceSelection) Deadline() float64 { return r.by }
 
-func (r *Round) find(addr string) *donor {
+func (r *SourceSelection) find(addr string) *donor {
 	for _, d := range r.donors {
 		if d.addr == addr {
 			return d
@@ -86,8 +86,8 @@
 	return &donor{state: failed}
 }
 
-// Welcomed notes the head of a donor.
-func (r *Round) Welcomed(now float64, addr string, h Head) {
+// HandleWelcome notes the head of a donor.
+func (r *SourceSelection) HandleWelcome(now float64, addr string, h Summary) {
 	if d := r.find(addr); d.state == asked {
 		d.state, d.head = welcomed, h
 		if r.first == 0 {
@@ -96,28 +96,28 @@
 	}
 }
 
-// Busy notes that a donor wants to be asked again after so long.
-func (r *Round) Busy(now float64, addr string, retry float64) {
+// HandleBusy notes that a donor wants to be asked again after so long.
+func (r *SourceSelection) HandleBusy(now float64, addr string, retry float64) {
 	if d := r.find(addr); d.state == asked || d.state == welcomed || d.state == taking {
 		d.state, d.at = waiting, now+math.Max(1, retry)
 	}
 }
 
-// Failed notes that a donor is of no use any more. What came whole of it before may count.
-func (r *Round) Failed(addr string, part knowledge.Report) {
+// HandleFailure notes that a donor is of no use any more. What came whole of it before may count.
+func (r *SourceSelection) HandleFailure(addr string, part knowledge.Report) {
 	if d := r.find(addr); d.state != done {
 		d.state, d.report = failed, part
 	}
 }
 
-// Whole notes all that a donor has to give, aged to the present.
-func (r *Round) Whole(addr string, all knowledge.Report) {
+// HandleReport notes all that a donor has to give, aged to the present.
+func (r *SourceSelection) HandleReport(addr string, all knowledge.Report) {
 	if d := r.find(addr); d.state == taking {
 		d.state, d.report, d.whole = done, all, true
 	}
 }
 
-func (r *Round) count(in ...donorState) (n int) {
+func (r *SourceSelection) count(in ...donorState) (n int) {
 	for _, d := range r.donors {
 		if slices.Contains(in, d.state) {
 			n++
@@ -127,18 +127,18 @@
 }
 
 // usable tells whether a welcomed donor is worth taking from.
-func usable(h Head) bool { return !h.Draining && h.Warm && h.Runs > 0 }
+func usable(h Summary) bool { return !h.Draining && h.Warm && h.Runs > 0 }
 
 // Step decides what is to be done now. It returns true once the round is over: by time, with enough reports, or with
 // nobody left to ask.
-func (r *Round) Step(now float64) (todo []Do, over bool) {
+func (r *SourceSelection) Step(now float64) (todo []Action, over bool) {
 	if r.over {
 		return nil, true
 	}
 	for _, d := range r.donors {
 		if d.state == welcomed && !usable(d.head) {
 			d.state = failed
-			todo = append(todo, Do{DoDrop, d.addr})
+			todo = append(todo, Action{ActionClose, d.addr})
 		}
 		if d.state == taking && !d.second && now >= d.at+slowAfter {
 			d.second = true
@@ -153,7 +153,7 @@
 		r.over = true
 		for _, d := range r.donors {
 			if d.state == asked || d.state == welcomed || d.state == taking {
-				todo = append(todo, Do{DoDrop, d.addr})
+				todo = append(todo, Action{ActionClose, d.addr})
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // take chooses the best of the welcomed donors until enough are at work; one that is slow does not count as one.
-func (r *Round) take(now float64) (todo []Do) {
+func (r *SourceSelection) take(now float64) (todo []Action) {
 	var ready []*donor
 	busy := r.count(done)
 	for _, d := range r.donors {
@@ -173,31 +173,31 @@
 		}
 	}
 	slices.SortStableFunc(ready, func(a, b *donor) int {
-		return cmp.Or(cmp.Compare(b.head.Runs, a.head.Runs), cmp.Compare(b.head.Life, a.head.Life))
+		return cmp.Or(cmp.Compare(b.head.Runs, a.head.Runs), cmp.Compare(b.head.UptimeMs, a.head.UptimeMs))
 	})
 	for _, d := range ready[:min(len(ready), max(0, wantDonors-busy))] {
 		d.state, d.at = taking, now
-		todo = append(todo, Do{DoTake, d.addr})
+		todo = append(todo, Action{ActionRequest, d.addr})
 	}
 	return todo
 }
 
 // ask connects to donors that were not asked yet, as long as enough are not at hand.
-func (r *Round) ask(now float64) (todo []Do) {
+func (r *SourceSelection) ask(now float64) (todo []Action) {
 	for _, d := range r.donors {
 		if r.count(asked, welcomed, taking) >= askAtOnce || r.count(done)+r.count(welcomed) >= askAtOnce {
 			break
 		}
 		if d.state == waiting && now >= d.at {
 			d.state = asked
-			todo = append(todo, Do{DoConnect, d.addr})
+			todo = append(todo, Action{ActionConnect, d.addr})
 		}
 	}
 	return todo
 }
 
 // idle tells that nothing more can come of the round before its end.
-func (r *Round) idle(now float64) bool {
+func (r *SourceSelection) idle(now float64) bool {
 	for _, d := range r.donors {
 		if d.state == waiting && d.at < r.by || d.state == asked || d.state == welcomed || d.state == taking {
 			return false
@@ -206,8 +206,8 @@
 	return true
 }
 
-// Next returns when Step must be called again at the latest.
-func (r *Round) Next(now float64) float64 {
+// NextDeadline returns when Step must be called again at the latest.
+func (r *SourceSelection) NextDeadline(now float64) float64 {
 	next := r.by
 	for _, d := range r.donors {
 		switch {
@@ -223,7 +223,7 @@
 }
 
 // Reports returns what is to be merged: all whole reports, or, if there is none, what came whole of the others.
-func (r *Round) Reports() (out []knowledge.Report) {
+func (r *SourceSelection) Reports() (out []knowledge.Report) {
 	for _, whole := range []bool{true, false} {
 		for _, d := range r.donors {
 			if d.whole == whole && len(d.report.Classes) > 0 {
--- a/internal/peer/section.go
+++ b/internal/peer/section.go
@@ -11,19 +11,19 @@
 	Versions []uint64 `cbor:"versions"`
 }
 
-// Head is what a giver says of itself before it gives.
-type Head struct {
+// Summary is what a giver says of itself before it gives.
+type Summary struct {
 	Node     string  `cbor:"node"`
-	Life     float64 `cbor:"life_ms"`
+	UptimeMs float64 `cbor:"life_ms"`
 	Cores    int     `cbor:"cores"`
 	Warm     bool    `cbor:"warm"`
 	Draining bool    `cbor:"draining"`
 	Runs     float64 `cbor:"runs"`
 }
 
-// HeadOf returns the head of a report.
-func HeadOf(r knowledge.Report) Head {
-	return Head{r.Node, r.Life, r.Cores, r.Warm, r.Draining, r.Runs()}
+// SummaryOf returns the head of a report.
+func SummaryOf(r knowledge.Report) Summary {
+	return Summary{r.Node, r.Life, r.Cores, r.Warm, r.Draining, r.Runs()}
 }
 
 type end struct {
@@ -81,21 +81,21 @@
 	return map[string]*whinrudder.Figure{"limit": &r.Limit, "pace": &r.Pace, "slow": &r.Slow, "call_base": &r.CallBase}
 }
 
-// Gatherer puts the sections of one report together. A section counts once it is whole.
-type Gatherer struct {
+// ReportAssembler puts the sections of one report together. A section counts once it is whole.
+type ReportAssembler struct {
 	report   knowledge.Report
 	sections int
 	whole    bool
 }
 
-// NewGatherer returns the gatherer of what a giver with that head gives.
-func NewGatherer(h Head) *Gatherer {
-	return &Gatherer{report: knowledge.Report{Node: h.Node, Life: h.Life, Cores: h.Cores, Warm: h.Warm,
+// NewReportAssembler returns the gatherer of what a giver with that head gives.
+func NewReportAssembler(h Summary) *ReportAssembler {
+	return &ReportAssembler{report: knowledge.Report{Node: h.Node, Life: h.UptimeMs, Cores: h.Cores, Warm: h.Warm,
 		Draining: h.Draining}}
 }
 
-// Take takes a Section or an End.
-func (g *Gatherer) Take(f Frame) *Fault {
+// Add takes a Section or an End.
+func (g *ReportAssembler) Add(f Frame) *Fault {
 	switch {
 	case g.whole:
 		return fault("bad-order", "a frame of kind %d after the end", f.Kind)
@@ -140,13 +140,13 @@
 }
 
 // Report returns what has come whole so far, and whether that is all.
-func (g *Gatherer) Report() (r knowledge.Report, whole bool) { return g.report, g.whole }
+func (g *ReportAssembler) Report() (r knowledge.Report, whole bool) { return g.report, g.whole }
 
 // AppendRefuse appends the frame that ends a connection with a code.
 func AppendRefuse(b []byte, code string) []byte { return frame(b, KindRefuse, refuse{code}) }
 
-// Describe names a frame, with its code if it has one, for transcripts.
-func Describe(f Frame) string {
+// DescribeFrame names a frame, with its code if it has one, for transcripts.
+func DescribeFrame(f Frame) string {
 	name := map[Kind]string{KindHello: "hello", KindWelcome: "welcome", KindTake: "take", KindSection: "section",
 		KindEnd: "end", KindBusy: "busy", KindRefuse: "refuse", KindSnapshot: "snapshot"}[f.Kind]
 	var code refuse
--- a/internal/peer/snapshot.go
+++ b/internal/peer/snapshot.go
@@ -16,7 +16,7 @@
 // AppendSnapshot appends the report of a node as a file that was written at a Unix time in milliseconds.
 func AppendSnapshot(b []byte, r knowledge.Report, at float64) []byte {
 	b = frame(b, KindSnapshot, written{r.Node, at})
-	b = frame(b, KindWelcome, HeadOf(r))
+	b = frame(b, KindWelcome, SummaryOf(r))
 	return AppendSections(b, r)
 }
 
@@ -39,7 +39,7 @@
 	if bad := next(KindSnapshot, &w); bad != nil {
 		return knowledge.Report{}, bad
 	}
-	var h Head
+	var h Summary
 	if bad := next(KindWelcome, &h); bad != nil {
 		return knowledge.Report{}, bad
 	}
@@ -51,7 +51,7 @@
 	case !(w.At > 0):
 		return knowledge.Report{}, fault("bad-figure", "written_ms is %v", w.At)
 	}
-	g := NewGatherer(h)
+	g := NewReportAssembler(h)
 	for !g.whole {
 		f, ok, bad := r.Next()
 		switch {
@@ -60,7 +60,7 @@
 		case !ok:
 			return knowledge.Report{}, fault("torn", "it ends after %d sections", g.sections)
 		}
-		if bad := g.Take(f); bad != nil {
+		if bad := g.Add(f); bad != nil {
 			return knowledge.Report{}, bad
 		}
 	}
--- a/internal/rehearse/peers.go
+++ b/internal/rehearse/peers.go
@@ -81,7 +81,7 @@
 func (d *donorStandIn) serve(c net.Conn) {
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patience))
-	g := peer.NewGiver(0)
+	g := peer.NewSourceConn(0)
 	buf := make([]byte, 4096)
 	for {
 		n, err := c.Read(buf)
@@ -93,19 +93,19 @@
 		}
 		step, out, bad := g.Feed(buf[:n])
 		switch {
-		case step == peer.StepWelcome && d.f["garbage"] != "":
+		case step == peer.StepSendWelcome && d.f["garbage"] != "":
 			out, bad = []byte("HTTP/1.1 400 Bad Request\r\n\r\n"), &peer.Fault{}
-		case step == peer.StepWelcome && d.f["busy"] != "" && !d.busied:
+		case step == peer.StepSendWelcome && d.f["busy"] != "" && !d.busied:
 			d.busied = true
-			_, out, bad = g.Busy("busy", d.num("busy"))
-		case step == peer.StepWelcome:
-			_, out, bad = g.Welcome(peer.HeadOf(d.report()))
-		case step == peer.StepGive:
-			_, out, _ = g.Give(d.report())
+			_, out, bad = g.SendBusy("busy", d.num("busy"))
+		case step == peer.StepSendWelcome:
+			_, out, bad = g.SendWelcome(peer.SummaryOf(d.report()))
+		case step == peer.StepSendReport:
+			_, out, _ = g.SendReport(d.report())
 			out, bad = d.spoil(out), &peer.Fault{}
 		}
 		c.Write(out)
-		if d.f["half"] != "" && step == peer.StepGive {
+		if d.f["half"] != "" && step == peer.StepSendReport {
 			time.Sleep(patience) // the taker closes long before
 			return
 		}
@@ -223,7 +223,7 @@
 			if !ok {
 				break
 			}
-			out = append(out, peer.Describe(f))
+			out = append(out, peer.DescribeFrame(f))
 		}
 		if err != nil {
 			return heard{text: strings.Join(append(out, plain(err)), " "), last: true}
--- a/internal/warmup/give.go
+++ b/internal/warmup/give.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		w.mu.Lock()
-		room := !w.ended && len(w.takers) < maxTakers && w.budget.Connect(now())
+		room := !w.ended && len(w.takers) < maxTakers && w.budget.AllowConnection(now())
 		if room {
 			w.takers[c] = true
 		}
@@ -42,7 +42,7 @@
 
 // give drives one taker's connection and leaves its one line.
 func (w *WarmUp) give(c net.Conn) {
-	g := peer.NewGiver(now())
+	g := peer.NewSourceConn(now())
 	c.SetDeadline(at(g.Deadline()))
 	var bad *peer.Fault
 	if w.ring == nil {
@@ -67,11 +67,11 @@
 	if bad == nil {
 		bad = &peer.Fault{Code: "given"}
 	}
-	w.h.Log("peer", "side", "give", "peer", c.RemoteAddr(), "taker", g.Taker, "code", bad.Code, "error", bad.Text)
+	w.h.Log("peer", "side", "give", "peer", c.RemoteAddr(), "taker", g.ReceiverName, "code", bad.Code, "error", bad.Text)
 }
 
 // broken is the code of a connection that ended by an error of reading or writing.
-func (w *WarmUp) broken(g *peer.Giver, err error) string {
+func (w *WarmUp) broken(g *peer.SourceConn, err error) string {
 	select {
 	case <-w.over:
 		return "end"
@@ -81,27 +81,27 @@
 	switch {
 	case errors.As(err, &ne) && ne.Timeout():
 		return "slow"
-	case g.Part():
+	case g.HasPartialFrame():
 		return "part"
 	}
 	return "eof"
 }
 
 // talk feeds the giver and does what it wants until the connection is to end.
-func (w *WarmUp) talk(g *peer.Giver, c net.Conn) *peer.Fault {
+func (w *WarmUp) talk(g *peer.SourceConn, c net.Conn) *peer.Fault {
 	buf := make([]byte, 4096)
 	begun := false
 	defer func() {
 		if begun {
 			w.mu.Lock()
-			w.budget.End()
+			w.budget.Release()
 			w.mu.Unlock()
 		}
 	}()
 	for {
 		n, err := c.Read(buf)
 		step, out, bad := g.Feed(buf[:n])
-		for n > 0 && (step == peer.StepWelcome || step == peer.StepGive) {
+		for n > 0 && (step == peer.StepSendWelcome || step == peer.StepSendReport) {
 			var more []byte
 			step, more, bad = w.want(g, step, &begun)
 			out = append(out, more...)
@@ -114,7 +114,7 @@
 		switch {
 		case bad != nil:
 			return bad
-		case step == peer.StepEnd:
+		case step == peer.StepClose:
 			return nil
 		case err != nil:
 			code := keys.Code(err)
@@ -127,18 +127,18 @@
 }
 
 // want answers what a giver's state machine wants.
-func (w *WarmUp) want(g *peer.Giver, step peer.Step, begun *bool) (peer.Step, []byte, *peer.Fault) {
+func (w *WarmUp) want(g *peer.SourceConn, step peer.Step, begun *bool) (peer.Step, []byte, *peer.Fault) {
 	r, ok := w.known()
 	full := w.full()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	code, retry := w.budget.Admit(now(), step, peer.Present{Known: ok, Draining: r.Draining, Full: full})
+	code, retry := w.budget.Admit(now(), step, peer.SourceState{HasKnowledge: ok, Draining: r.Draining, AtLimit: full})
 	switch {
 	case code != "":
-		return g.Busy(code, retry)
-	case step == peer.StepWelcome:
-		return g.Welcome(peer.HeadOf(r))
+		return g.SendBusy(code, retry)
+	case step == peer.StepSendWelcome:
+		return g.SendWelcome(peer.SummaryOf(r))
 	}
 	*begun = true
-	return g.Give(r)
+	return g.SendReport(r)
 }
--- a/internal/warmup/take.go
+++ b/internal/warmup/take.go
@@ -25,7 +25,7 @@
 	rng := rand.New(rand.NewPCG(w.h.Seed, 7))
 	// Successors that start together must not all ask the same donors first.
 	rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	found := w.round(peer.NewRound(addrs, by))
+	found := w.round(peer.NewSourceSelection(addrs, by))
 	w.h.Log("peer", "side", "take", "code", "over", "donors", len(found), "asked", len(addrs))
 	if len(found) > 0 {
 		w.teach(append(reports, found...))
@@ -54,15 +54,15 @@
 // heard is what a connection to a donor tells the round.
 type heard struct {
 	addr   string
-	news   peer.News
-	head   peer.Head
+	news   peer.Event
+	head   peer.Summary
 	retry  float64
 	report knowledge.Report
 	code   string // the connection ended
 }
 
 // round carries out what a round wants until it is over, and returns the reports of the donors.
-func (w *WarmUp) round(r *peer.Round) []knowledge.Report {
+func (w *WarmUp) round(r *peer.SourceSelection) []knowledge.Report {
 	events := make(chan heard)
 	quit := make(chan struct{})
 	links := map[string]*link{}
@@ -70,14 +70,14 @@
 	for {
 		todo, over := r.Step(now())
 		for _, d := range todo {
-			switch l := links[d.Donor]; d.What {
-			case peer.DoConnect:
-				l = &link{w: w, addr: d.Donor, by: r.Deadline(), events: events, quit: quit}
-				links[d.Donor] = l
+			switch l := links[d.Addr]; d.Kind {
+			case peer.ActionConnect:
+				l = &link{w: w, addr: d.Addr, by: r.Deadline(), events: events, quit: quit}
+				links[d.Addr] = l
 				w.wait.Go(l.run)
-			case peer.DoTake:
+			case peer.ActionRequest:
 				l.take()
-			case peer.DoDrop:
+			case peer.ActionClose:
 				code := "unwanted"
 				if now() >= r.Deadline() {
 					code = "slow"
@@ -92,21 +92,21 @@
 		case e := <-events:
 			t := now()
 			switch {
-			case e.news == peer.NewsWelcome:
-				r.Welcomed(t, e.addr, e.head)
-			case e.news == peer.NewsBusy:
-				r.Busy(t, e.addr, e.retry)
-			case e.news == peer.NewsWhole:
-				r.Whole(e.addr, e.report)
+			case e.news == peer.EventWelcome:
+				r.HandleWelcome(t, e.addr, e.head)
+			case e.news == peer.EventBusy:
+				r.HandleBusy(t, e.addr, e.retry)
+			case e.news == peer.EventComplete:
+				r.HandleReport(e.addr, e.report)
 			case e.code != "":
-				r.Failed(e.addr, e.report)
+				r.HandleFailure(e.addr, e.report)
 			}
 		case <-w.stop:
 			for _, l := range links {
 				l.drop("leaving")
 			}
 			return nil
-		case <-time.After(time.Until(at(r.Next(now())))):
+		case <-time.After(time.Until(at(r.NextDeadline(now())))):
 		}
 	}
 	for _, l := range links {
@@ -125,7 +125,7 @@
 
 	mu      sync.Mutex // of all below
 	c       net.Conn
-	taker   *peer.Taker
+	taker   *peer.ReceiverConn
 	asked   float64 // when the sections were asked for
 	dropped string  // the code of why it was given up
 }
@@ -136,7 +136,7 @@
 	defer l.mu.Unlock()
 	l.asked = now()
 	if l.c != nil && l.dropped == "" {
-		l.c.Write(l.taker.Take()) // an error shows at the next read
+		l.c.Write(l.taker.RequestSections()) // an error shows at the next read
 	}
 }
 
@@ -148,7 +148,7 @@
 		l.dropped = code
 		if l.c != nil {
 			l.c.SetWriteDeadline(at(now() + 50))
-			l.c.Write(l.taker.Leave())
+			l.c.Write(l.taker.Cancel())
 			l.c.SetDeadline(at(1))
 		}
 	}
@@ -200,7 +200,7 @@
 		}
 		c = t
 	}
-	taker, hello := peer.NewTaker(l.w.h.Name)
+	taker, hello := peer.NewReceiverConn(l.w.h.Name)
 	l.mu.Lock()
 	l.c, l.taker = c, taker
 	gone := l.dropped != ""
@@ -216,29 +216,29 @@
 		n, err := c.Read(buf)
 		l.mu.Lock()
 		news, bad := taker.Feed(buf[:n])
-		e := heard{news: news, retry: taker.Retry}
+		e := heard{news: news, retry: taker.RetryMs}
 		switch news {
-		case peer.NewsWelcome:
-			e.head = taker.Head()
+		case peer.EventWelcome:
+			e.head = taker.Summary()
 			if l.dropped == "" {
 				c.SetDeadline(at(l.by))
 			}
-		case peer.NewsWhole:
+		case peer.EventComplete:
 			// The request and its answer crossed the net: facts aged by no more than that.
 			e.report, _ = taker.Report()
 			e.report = e.report.Older(now() - l.asked)
 		}
 		l.mu.Unlock()
 		switch news {
-		case peer.NewsWelcome:
+		case peer.EventWelcome:
 			l.tell(e)
-		case peer.NewsWhole:
+		case peer.EventComplete:
 			l.tell(e)
 			return "taken", ""
-		case peer.NewsBusy:
+		case peer.EventBusy:
 			l.tell(e)
 			return "busy", taker.Code
-		case peer.NewsRefused:
+		case peer.EventRefused:
 			return "refused", taker.Code
 		}
 		if bad != nil {
@@ -285,7 +285,7 @@
 		}
 		c = t
 	}
-	taker, out := peer.NewTaker(name)
+	taker, out := peer.NewReceiverConn(name)
 	buf := make([]byte, 4096)
 	for {
 		if len(out) > 0 {
@@ -297,15 +297,15 @@
 		n, err := c.Read(buf)
 		news, bad := taker.Feed(buf[:n])
 		switch {
-		case news == peer.NewsWhole:
+		case news == peer.EventComplete:
 			r, _ := taker.Report()
 			return r, nil
-		case news == peer.NewsBusy, news == peer.NewsRefused:
+		case news == peer.EventBusy, news == peer.EventRefused:
 			return knowledge.Report{}, &peer.Fault{Code: taker.Code, Text: "refused by the node"}
 		case bad != nil:
 			return knowledge.Report{}, bad
-		case news == peer.NewsWelcome:
-			out = taker.Take()
+		case news == peer.EventWelcome:
+			out = taker.RequestSections()
 		case err != nil:
 			return fail(err)
 		}
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,5 +1,5 @@
 // Package warmup drives what a node learns from other nodes and gives to them: the peer port, the connections to
-// donors and the snapshot. It decides nothing: whom to take from is peer.Round's, what giving may cost peer.Budget's,
+// donors and the snapshot. It decides nothing: whom to take from is peer.SourceSelection's, what giving may cost peer.Budget's,
 // what the donors say together knowledge.Merge's, and what of it holds knowledge.Trial's in the core. It never keeps
 // the node from being ready.
 package warmup
@@ -286,7 +286,7 @@
 }
 
 // maxSnapshot is the most that a file of this format can hold.
-const maxSnapshot = (peer.MaxSections + 3) * (peer.MaxPayload + 16)
+const maxSnapshot = (peer.MaxSections + 3) * (peer.MaxPayloadBytes + 16)
 
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -217,10 +217,10 @@
 	}
 	defer raw.Close()
 	c := ring.Client(raw)
-	taker, hello := peer.NewTaker("half-way")
+	taker, hello := peer.NewReceiverConn("half-way")
 	c.Write(hello)
 	buf := make([]byte, 4096)
-	for news := peer.NewsNone; news != peer.NewsWelcome; {
+	for news := peer.EventNone; news != peer.EventWelcome; {
 		k, err := c.Read(buf)
 		if err != nil {
 			t.Fatal(err)
@@ -243,8 +243,8 @@
 	if _, code := ask(n, old); code != "cert-foreign" {
 		t.Errorf("want the new keys met, got %q", code)
 	}
-	c.Write(taker.Take())
-	for news := peer.NewsNone; news != peer.NewsWhole; {
+	c.Write(taker.RequestSections())
+	for news := peer.EventNone; news != peer.EventComplete; {
 		k, err := c.Read(buf)
 		if err != nil {
 			t.Fatalf("the open transfer was dropped: %v", err)
@@ -362,11 +362,11 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patience))
-	taker, hello := peer.NewTaker("late")
+	taker, hello := peer.NewReceiverConn("late")
 	c.Write(hello)
 	buf := make([]byte, 4096)
-	until := func(want peer.News) {
-		for news := peer.NewsNone; news != want; {
+	until := func(want peer.Event) {
+		for news := peer.EventNone; news != want; {
 			k, err := c.Read(buf)
 			if err != nil {
 				t.Fatal(err)
@@ -374,12 +374,12 @@
 			news, _ = taker.Feed(buf[:k])
 		}
 	}
-	until(peer.NewsWelcome)
+	until(peer.EventWelcome)
 	n.w.Leaving()
-	c.Write(taker.Take())
-	until(peer.NewsBusy)
-	if taker.Code != "draining" || taker.Retry != peer.MaxRetry {
-		t.Errorf("want draining, got %s for %v", taker.Code, taker.Retry)
+	c.Write(taker.RequestSections())
+	until(peer.EventBusy)
+	if taker.Code != "draining" || taker.RetryMs != peer.MaxRetryMs {
+		t.Errorf("want draining, got %s for %v", taker.Code, taker.RetryMs)
 	}
 	n.line("side=give", "code=draining")
 }
