--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -71,8 +71,8 @@
 	return f, nil
 }
 
-// Make makes an authority in a folder, and a certificate for each node, all good for so many days.
-func Make(dir string, nodes []string, name string, days int) error {
+// GenerateFiles makes an authority in a folder, and a certificate for each node, all good for so many days.
+func GenerateFiles(dir string, nodes []string, name string, days int) error {
 	if len(nodes) == 0 || days < 1 || days > 3650 {
 		return fmt.Errorf("keys: want at least one node and 1 to 3650 days, got %d nodes, %d days", len(nodes), days)
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -14,13 +14,13 @@
 )
 
 // Files are PEM files. Name is what the certificate of each peer must be made out to, whatever its address.
-type Files struct{ Cert, Key, Authority, Name string }
+type Files struct{ Cert, Key, Authority, PeerName string }
 
-// DefaultName is the name where an operator gives none.
-const DefaultName = "whinrudder-peer"
+// DefaultPeerName is the name where an operator gives none.
+const DefaultPeerName = "whinrudder-peer"
 
-// Ring holds the present keys. Connections that were made with earlier ones go on.
-type Ring struct {
+// Credentials holds the present keys. Connections that were made with earlier ones go on.
+type Credentials struct {
 	files Files
 	now   atomic.Pointer[pair]
 }
@@ -30,17 +30,17 @@
 	roots *x509.CertPool
 }
 
-// Open reads the files. The error names the file that is of no use.
-func Open(f Files) (*Ring, error) {
-	if f.Name == "" {
-		f.Name = DefaultName
+// Load reads the files. The error names the file that is of no use.
+func Load(f Files) (*Credentials, error) {
+	if f.PeerName == "" {
+		f.PeerName = DefaultPeerName
 	}
-	r := &Ring{files: f}
+	r := &Credentials{files: f}
 	return r, r.Reload()
 }
 
 // Reload reads the files again. If they are of no use, the keys stay as they were.
-func (r *Ring) Reload() error {
+func (r *Credentials) Reload() error {
 	cert, err := tls.LoadX509KeyPair(r.files.Cert, r.files.Key)
 	if err != nil {
 		return fmt.Errorf("keys: %s, %s: %w", r.files.Cert, r.files.Key, err)
@@ -53,7 +53,7 @@
 	if !roots.AppendCertsFromPEM(text) {
 		return fmt.Errorf("keys: %s holds no certificate", r.files.Authority)
 	}
-	if err := cert.Leaf.VerifyHostname(r.files.Name); err != nil {
+	if err := cert.Leaf.VerifyHostname(r.files.PeerName); err != nil {
 		return fmt.Errorf("keys: %s: %w", r.files.Cert, err)
 	}
 	r.now.Store(&pair{cert, roots})
@@ -61,22 +61,22 @@
 }
 
 // Server returns the side that accepts. Each handshake takes the keys that are present then.
-func (r *Ring) Server(c net.Conn) *tls.Conn {
+func (r *Credentials) Server(c net.Conn) *tls.Conn {
 	p := r.now.Load()
 	return tls.Server(c, &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.cert},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: p.roots, SessionTicketsDisabled: true,
-		VerifyConnection: func(s tls.ConnectionState) error { return s.PeerCertificates[0].VerifyHostname(r.files.Name) }})
+		VerifyConnection: func(s tls.ConnectionState) error { return s.PeerCertificates[0].VerifyHostname(r.files.PeerName) }})
 }
 
 // Client returns the side that connects.
-func (r *Ring) Client(c net.Conn) *tls.Conn {
+func (r *Credentials) Client(c net.Conn) *tls.Conn {
 	p := r.now.Load()
 	return tls.Client(c, &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.cert}, RootCAs: p.roots,
-		ServerName: r.files.Name})
+		ServerName: r.files.PeerName})
 }
 
-// Code returns the code of what ended a handshake, or an empty one if it was no matter of keys.
-func Code(err error) string {
+// ErrorCode returns the code of what ended a handshake, or an empty one if it was no matter of keys.
+func ErrorCode(err error) string {
 	var invalid x509.CertificateInvalidError
 	var foreign x509.UnknownAuthorityError
 	var name x509.HostnameError
--- a/internal/warmup/give.go
+++ b/internal/warmup/give.go
@@ -50,7 +50,7 @@
 	} else {
 		t := w.ring.Server(c)
 		if err := t.Handshake(); err != nil {
-			code := keys.Code(err)
+			code := keys.ErrorCode(err)
 			if code == "" {
 				code = w.broken(g, err)
 			}
@@ -117,7 +117,7 @@
 		case step == peer.StepClose:
 			return nil
 		case err != nil:
-			code := keys.Code(err)
+			code := keys.ErrorCode(err)
 			if code == "" {
 				code = w.broken(g, err)
 			}
--- a/internal/warmup/take.go
+++ b/internal/warmup/take.go
@@ -252,7 +252,7 @@
 
 // ended is the code of an error of reading or writing.
 func (l *link) ended(err error) (code, text string) {
-	if code := keys.Code(err); code != "" {
+	if code := keys.ErrorCode(err); code != "" {
 		return code, err.Error()
 	}
 	var ne net.Error
@@ -264,9 +264,9 @@
 
 // Ask takes the present knowledge of one running node by an absolute time in Unix milliseconds; without a ring, in plain
 // text. A peer.Fault tells by its code why there is none.
-func Ask(addr, name string, ring *keys.Ring, by float64) (knowledge.Report, error) {
+func Ask(addr, name string, ring *keys.Credentials, by float64) (knowledge.Report, error) {
 	fail := func(err error) (knowledge.Report, error) {
-		if code := keys.Code(err); code != "" {
+		if code := keys.ErrorCode(err); code != "" {
 			return knowledge.Report{}, &peer.Fault{Code: code, Text: err.Error()}
 		}
 		return knowledge.Report{}, &peer.Fault{Code: "unreached", Text: err.Error()}
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -51,7 +51,7 @@
 type WarmUp struct {
 	h     Host
 	cfg   settings.Peer
-	ring  *keys.Ring // nil where peers are met in plain text
+	ring  *keys.Credentials // nil where peers are met in plain text
 	l     net.Listener
 	over  chan struct{} // closed by Ended
 	stop  chan struct{} // closed by Leaving: nothing more is taken
@@ -79,7 +79,7 @@
 	w := &WarmUp{h: h, cfg: cfg, over: make(chan struct{}), stop: make(chan struct{}), write: make(chan struct{}, 1),
 		budget: peer.NewBudget(now()), takers: map[net.Conn]bool{}}
 	if cfg.Cert != "" {
-		ring, err := keys.Open(keys.Files{Cert: cfg.Cert, Key: cfg.Key, Authority: cfg.Authority, Name: cfg.Name})
+		ring, err := keys.Load(keys.Files{Cert: cfg.Cert, Key: cfg.Key, Authority: cfg.Authority, PeerName: cfg.Name})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -125,16 +125,16 @@
 }
 
 func with(f keys.Files, p settings.Peer) settings.Peer {
-	p.Cert, p.Key, p.Authority, p.Name = f.Cert, f.Key, f.Authority, f.Name
+	p.Cert, p.Key, p.Authority, p.Name = f.Cert, f.Key, f.Authority, f.PeerName
 	return p
 }
 
 func ask(n *toy, f keys.Files) (knowledge.Report, string) {
 	n.t.Helper()
-	var ring *keys.Ring
+	var ring *keys.Credentials
 	if f.Cert != "" {
 		var err error
-		if ring, err = keys.Open(f); err != nil {
+		if ring, err = keys.Load(f); err != nil {
 			n.t.Fatal(err)
 		}
 	}
@@ -207,7 +207,7 @@
 	}
 	old := lend(t, ours, "fleet", -time.Hour, time.Hour)
 	n := node(t, "giver", with(f, settings.Peer{Listen: "127.0.0.1:0"}))
-	ring, err := keys.Open(old)
+	ring, err := keys.Load(old)
 	if err != nil {
 		t.Fatal(err)
 	}
