--- a/cmd/whinrudder/peers.go
+++ b/cmd/whinrudder/peers.go
@@ -41,7 +41,7 @@
 					return err
 				}
 			}
-			r, err := warmup.Ask(addr, "operator", ring, float64(time.Now().Add(answerFor).UnixMilli()))
+			r, err := warmup.FetchReport(addr, "operator", ring, float64(time.Now().Add(answerFor).UnixMilli()))
 			if err != nil {
 				return fmt.Errorf("knowledge: %w", err)
 			}
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -42,10 +42,10 @@
 	}
 	peerAddr := ""
 	if n.op.Peer.On() {
-		h := warmup.Host{Name: n.cfg.Name, Terms: n.present, Seed: n.cfg.Seed,
-			Tell: n.tell, Log: n.log, InHand: n.InHand}
+		h := warmup.Host{Name: n.cfg.Name, CurrentSettings: n.present, Seed: n.cfg.Seed,
+			Submit: n.tell, Log: n.log, PendingRequests: n.InHand}
 		if len(n.op.Ensemble) > 0 {
-			h.Find = n.findDonors
+			h.DiscoverSources = n.findDonors
 		}
 		h.Listen = func(addr string) (net.Listener, error) { return n.listen("peer", addr) }
 		w, err := warmup.Start(h, n.op.Peer)
--- a/internal/rehearse/peers.go
+++ b/internal/rehearse/peers.go
@@ -175,7 +175,7 @@
 func (p *player) peerStep(line, word, name, more string) (string, error) {
 	switch word {
 	case "taker":
-		r, err := warmup.Ask(p.node.PeerAddr(), name, nil, float64(time.Now().Add(patience).UnixMilli()))
+		r, err := warmup.FetchReport(p.node.PeerAddr(), name, nil, float64(time.Now().Add(patience).UnixMilli()))
 		var bad *peer.Fault
 		if errors.As(err, &bad) {
 			return "taker " + name + " " + bad.Code, nil
--- a/internal/warmup/take.go
+++ b/internal/warmup/take.go
@@ -35,8 +35,8 @@
 // donors returns the addresses that are to be asked: those that the file names, and those of the znodes.
 func (w *WarmUp) donors(by float64) []string {
 	addrs := append([]string{}, w.cfg.Donors...)
-	if w.cfg.Discover && w.h.Find != nil {
-		found, err := w.h.Find(by)
+	if w.cfg.Discover && w.h.DiscoverSources != nil {
+		found, err := w.h.DiscoverSources(by)
 		if err != nil {
 			w.h.Log("peer", "side", "take", "code", "undiscovered", "error", err)
 		}
@@ -262,9 +262,9 @@
 	return "died", err.Error()
 }
 
-// Ask takes the present knowledge of one running node by an absolute time in Unix milliseconds; without a ring, in plain
+// FetchReport takes the present knowledge of one running node by an absolute time in Unix milliseconds; without a ring, in plain
 // text. A peer.Fault tells by its code why there is none.
-func Ask(addr, name string, ring *keys.Credentials, by float64) (knowledge.Report, error) {
+func FetchReport(addr, name string, ring *keys.Credentials, by float64) (knowledge.Report, error) {
 	fail := func(err error) (knowledge.Report, error) {
 		if code := keys.ErrorCode(err); code != "" {
 			return knowledge.Report{}, &peer.Fault{Code: code, Text: err.Error()}
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -36,15 +36,15 @@
 // Host is what the node is to this package.
 type Host struct {
 	Name string
-	// Terms returns the present settings and the names of the classes, by their places; a place whose class is no more
+	// CurrentSettings returns the present settings and the names of the classes, by their places; a place whose class is no more
 	// has no name.
-	Terms  func() (names []string, s whinrudder.Settings)
-	Seed   uint64
-	Tell   func(core.Input) // hands something to the core; must not be called from the core
-	Log    eventlog.Log
-	InHand func() int                              // requests that are owed an answer
-	Listen func(addr string) (net.Listener, error) // of the peer port; nil: the usual
-	Find   func(by float64) ([]string, error)      // addresses of donors among the znodes; nil without an ensemble
+	CurrentSettings func() (names []string, s whinrudder.Settings)
+	Seed            uint64
+	Submit          func(core.Input) // hands something to the core; must not be called from the core
+	Log             eventlog.Log
+	PendingRequests func() int                              // requests that are owed an answer
+	Listen          func(addr string) (net.Listener, error) // of the peer port; nil: the usual
+	DiscoverSources func(by float64) ([]string, error)      // addresses of donors among the znodes; nil without an ensemble
 }
 
 // WarmUp is this part of one node. Create it with Start.
@@ -120,7 +120,7 @@
 	w.ready = now()
 	w.warmAt = w.ready
 	if cold {
-		_, s := w.h.Terms()
+		_, s := w.h.CurrentSettings()
 		w.warmAt += s.Rules.RampTime
 	}
 }
@@ -198,13 +198,13 @@
 		known bool
 	}
 	heard := make(chan told, 1)
-	go w.h.Tell(core.Ask{To: func(k whinrudder.Knowledge, known bool) { heard <- told{k, known} }})
+	go w.h.Submit(core.Ask{To: func(k whinrudder.Knowledge, known bool) { heard <- told{k, known} }})
 	select {
 	case a := <-heard:
 		if !a.known {
 			return r, false
 		}
-		names, _ := w.h.Terms()
+		names, _ := w.h.CurrentSettings()
 		r = knowledge.NewReport(names, a.k)
 	case <-time.After(time.Until(at(t + askFor))):
 		return r, false
@@ -221,7 +221,7 @@
 func (w *WarmUp) dress(r knowledge.Report) knowledge.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, s := w.h.Terms()
+	_, s := w.h.CurrentSettings()
 	r.Node, r.Cores, r.Draining = w.h.Name, s.Cores, w.leaving
 	if w.ready > 0 {
 		r.Life, r.Warm = now()-w.ready, now() >= w.warmAt
@@ -233,9 +233,9 @@
 func (w *WarmUp) full() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, s := w.h.Terms()
+	_, s := w.h.CurrentSettings()
 	limit := w.report.Limit.Value * float64(s.Cores)
-	return w.reportAt > 0 && limit > 0 && float64(w.h.InHand()) >= limit
+	return w.reportAt > 0 && limit > 0 && float64(w.h.PendingRequests()) >= limit
 }
 
 // snapshots writes what the node knows to its file, now and then and once when it leaves.
@@ -311,7 +311,7 @@
 	if len(reports) == 0 {
 		return
 	}
-	names, s := w.h.Terms()
+	names, s := w.h.CurrentSettings()
 	prior, remarks := knowledge.Merge(w.trust(), knowledge.Need{Names: names, Settings: s}, reports)
 	for _, r := range remarks {
 		w.h.Log("prior", r.Pairs()...)
@@ -320,5 +320,5 @@
 		w.h.Log("prior", "code", "empty", "donors", strings.Join(prior.Donors, ","))
 		return
 	}
-	w.h.Tell(core.Teach{Prior: prior})
+	w.h.Submit(core.Teach{Prior: prior})
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -51,8 +51,8 @@
 		cfg.SnapshotMs = 3600e3
 	}
 	class := whinrudder.Class{Aim: 1000, Deadline: 3000, Repeat: whinrudder.Safe}
-	h := Host{Name: name, Tell: n.tell, Log: n.log, InHand: func() int { return n.inHand },
-		Terms: func() ([]string, whinrudder.Settings) {
+	h := Host{Name: name, Submit: n.tell, Log: n.log, PendingRequests: func() int { return n.inHand },
+		CurrentSettings: func() ([]string, whinrudder.Settings) {
 			return []string{"status", "book"}, whinrudder.Settings{Cores: 4, Classes: []whinrudder.Class{class, class}}
 		}}
 	w, err := Start(h, cfg)
@@ -138,7 +138,7 @@
 			n.t.Fatal(err)
 		}
 	}
-	r, err := Ask(n.w.Addr(), "taker", ring, now()+5000)
+	r, err := FetchReport(n.w.Addr(), "taker", ring, now()+5000)
 	var bad *peer.Fault
 	if errors.As(err, &bad) {
 		return r, bad.Code
