--- a/internal/door/call.go
+++ b/internal/door/call.go
@@ -1,6 +1,6 @@
 // Package door is the operators' door: a second address with HTTP/1.1, one call a connection, by which operators see
-// whether the node serves and what its figures are, and send its clients away or take them back. Call is the state
-// machine of a connection and knows no socket; Door drives it. What the node is behind the door it hears from a Node.
+// whether the node serves and what its figures are, and send its clients away or take them back. RequestParser is the
+// state machine of a connection and knows no socket; Server drives it. What the node is behind the door it hears from a Node.
 package door
 
 import (
@@ -20,17 +20,17 @@
 
 // The actions.
 const (
-	None    Action = iota
-	Ready          // whether the process can serve
-	Metrics        // the figures
-	Drain          // send the clients away
-	Undrain        // take them back
+	ActionNone    Action = iota
+	ActionReady          // whether the process can serve
+	ActionMetrics        // the figures
+	ActionDrain          // send the clients away
+	ActionUndrain        // take them back
 )
 
-var actions = map[string]Action{"GET /ready": Ready, "GET /metrics": Metrics, "POST /drain": Drain, "POST /undrain": Undrain}
+var actions = map[string]Action{"GET /ready": ActionReady, "GET /metrics": ActionMetrics, "POST /drain": ActionDrain, "POST /undrain": ActionUndrain}
 
-// Call reads the one call of a connection.
-type Call struct {
+// RequestParser reads the one call of a connection.
+type RequestParser struct {
 	buf    []byte
 	head   bool
 	length int
@@ -41,7 +41,7 @@
 }
 
 // Feed takes bytes that were read. What comes after the call is passed over.
-func (c *Call) Feed(b []byte) {
+func (c *RequestParser) Feed(b []byte) {
 	if c.done {
 		return
 	}
@@ -64,9 +64,9 @@
 	c.done = len(c.buf) >= c.length
 }
 
-func (c *Call) fault(status int, code string) { c.status, c.code, c.done = status, code, true }
+func (c *RequestParser) fault(status int, code string) { c.status, c.code, c.done = status, code, true }
 
-func (c *Call) readHead(head string) {
+func (c *RequestParser) readHead(head string) {
 	line, rest, _ := strings.Cut(head, "\r\n")
 	words := strings.Split(line, " ")
 	if len(words) != 3 || words[0] == "" || words[1] == "" {
@@ -102,7 +102,7 @@
 		return
 	}
 	path, _, _ := strings.Cut(words[1], "?")
-	if c.action = actions[words[0]+" "+path]; c.action != None {
+	if c.action = actions[words[0]+" "+path]; c.action != ActionNone {
 		return
 	}
 	for call := range actions {
@@ -115,20 +115,22 @@
 }
 
 // Done tells whether the call, or a fault, is whole.
-func (c *Call) Done() bool { return c.done }
+func (c *RequestParser) Done() bool { return c.done }
 
-// Begun tells whether anything has come.
-func (c *Call) Begun() bool { return c.head || len(c.buf) > 0 }
+// Started tells whether anything has come.
+func (c *RequestParser) Started() bool { return c.head || len(c.buf) > 0 }
 
 // Action returns what the call wants, or the status and the code of the fault.
-func (c *Call) Action() (a Action, status int, code string) { return c.action, c.status, c.code }
+func (c *RequestParser) Action() (a Action, status int, code string) {
+	return c.action, c.status, c.code
+}
 
 var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	413: "Content Too Large", 431: "Request Header Fields Too Large", 501: "Not Implemented", 503: "Service Unavailable",
 	505: "HTTP Version Not Supported"}
 
-// AppendAnswer appends an answer. The connection ends after it.
-func AppendAnswer(b []byte, status int, body []byte) []byte {
+// AppendResponse appends an answer. The connection ends after it.
+func AppendResponse(b []byte, status int, body []byte) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(b, ' '), reasons[status]...)
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -27,14 +27,14 @@
 // Node is what the door asks the node. None of its methods may be called by the core's goroutine.
 type Node interface {
 	Ready() bool
-	AppendFigures(b []byte) []byte
-	// Drain sends the clients away or takes them back. It tells whether that was done by an absolute time, in Unix
+	AppendMetrics(b []byte) []byte
+	// SetDraining sends the clients away or takes them back. It tells whether that was done by an absolute time, in Unix
 	// milliseconds.
-	Drain(on bool, by float64) bool
+	SetDraining(on bool, by float64) bool
 }
 
-// Door is an open door. Create it with Open.
-type Door struct {
+// Server is an open door. Create it with Listen.
+type Server struct {
 	node Node
 	l    net.Listener
 	log  eventlog.Log
@@ -56,23 +56,23 @@
 
 func at(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
 
-// Open listens on an address and takes calls until Close.
-func Open(addr string, node Node, log eventlog.Log) (*Door, error) {
+// Listen listens on an address and takes calls until Close.
+func Listen(addr string, node Node, log eventlog.Log) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{node: node, l: l, log: log, conns: map[*conn]bool{}}
+	d := &Server{node: node, l: l, log: log, conns: map[*conn]bool{}}
 	d.wait.Add(1)
 	go d.accept()
 	return d, nil
 }
 
 // Addr is the address on which it listens.
-func (d *Door) Addr() string { return d.l.Addr().String() }
+func (d *Server) Addr() string { return d.l.Addr().String() }
 
 // Close ends all connections and waits for them, at most until an absolute time.
-func (d *Door) Close(by float64) {
+func (d *Server) Close(by float64) {
 	d.l.Close()
 	d.mu.Lock()
 	d.over = true
@@ -91,7 +91,7 @@
 	}
 }
 
-func (d *Door) accept() {
+func (d *Server) accept() {
 	defer d.wait.Done()
 	for {
 		c, err := d.l.Accept()
@@ -113,7 +113,7 @@
 }
 
 // add takes a connection into the table. At the bound the one that has waited longest for its call is cut.
-func (d *Door) add(k *conn) bool {
+func (d *Server) add(k *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.over {
@@ -138,12 +138,12 @@
 	return true
 }
 
-func (d *Door) end(k *conn, code string) {
+func (d *Server) end(k *conn, code string) {
 	d.log("conn", "front", "admin", "peer", k.RemoteAddr(), "code", code)
 	k.Conn.Close()
 }
 
-func (d *Door) serve(k *conn) {
+func (d *Server) serve(k *conn) {
 	defer d.wait.Done()
 	code := d.talk(k)
 	d.mu.Lock()
@@ -156,8 +156,8 @@
 }
 
 // talk reads the call and answers it. It returns the code of the end.
-func (d *Door) talk(k *conn) string {
-	var call Call
+func (d *Server) talk(k *conn) string {
+	var call RequestParser
 	buf := make([]byte, 1024)
 	k.SetReadDeadline(at(k.since + callFor))
 	for !call.Done() {
@@ -165,11 +165,11 @@
 		call.Feed(buf[:n])
 		switch {
 		case call.Done() || err == nil:
-		case errors.Is(err, os.ErrDeadlineExceeded) && call.Begun():
+		case errors.Is(err, os.ErrDeadlineExceeded) && call.Started():
 			return "slow"
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return "silent"
-		case errors.Is(err, io.EOF) && call.Begun():
+		case errors.Is(err, io.EOF) && call.Started():
 			return "part"
 		case errors.Is(err, io.EOF):
 			return "eof"
@@ -189,7 +189,7 @@
 		code = "close"
 	}
 	k.SetWriteDeadline(at(now() + writeFor))
-	if _, err := k.Write(AppendAnswer(nil, status, body)); err != nil {
+	if _, err := k.Write(AppendResponse(nil, status, body)); err != nil {
 		return "write"
 	}
 	if status != 200 {
@@ -203,17 +203,17 @@
 }
 
 // act does what a call wants.
-func (d *Door) act(a Action) (status int, body []byte) {
+func (d *Server) act(a Action) (status int, body []byte) {
 	yes, text := true, "ok\n"
 	switch a {
-	case Ready:
+	case ActionReady:
 		yes, text = d.node.Ready(), "ready\n"
-	case Metrics:
-		return 200, d.node.AppendFigures(nil)
-	case Drain:
-		yes = d.node.Drain(true, now()+actFor)
-	case Undrain:
-		yes = d.node.Drain(false, now()+actFor)
+	case ActionMetrics:
+		return 200, d.node.AppendMetrics(nil)
+	case ActionDrain:
+		yes = d.node.SetDraining(true, now()+actFor)
+	case ActionUndrain:
+		yes = d.node.SetDraining(false, now()+actFor)
 	}
 	if !yes {
 		return 503, []byte("no\n")
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -16,8 +16,8 @@
 type toy struct{ stuck chan struct{} }
 
 func (toy) Ready() bool                   { return true }
-func (toy) AppendFigures(b []byte) []byte { return append(b, "n=1\n"...) }
-func (t toy) Drain(_ bool, by float64) bool {
+func (toy) AppendMetrics(b []byte) []byte { return append(b, "n=1\n"...) }
+func (t toy) SetDraining(_ bool, by float64) bool {
 	select {
 	case <-t.stuck:
 		return true
@@ -32,7 +32,7 @@
 	defer goleak.VerifyNone(t)
 	var mu sync.Mutex
 	codes := map[string]int{}
-	d, err := Open("127.0.0.1:0", toy{make(chan struct{})}, func(_ string, pairs ...any) {
+	d, err := Listen("127.0.0.1:0", toy{make(chan struct{})}, func(_ string, pairs ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		codes[pairs[len(pairs)-1].(string)]++
@@ -71,7 +71,7 @@
 	}
 }
 
-func ask(t *testing.T, d *Door, call string) string {
+func ask(t *testing.T, d *Server, call string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
@@ -96,7 +96,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SampledFrom([]string{"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", "POST /drain HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /",
 			"POST /undrain?x=1 HTTP/1.0\r\n\r\n", "PUT /ready HTTP/1.1\r\n\r\n", "GET /x HTTP/1.1\r\n\r\n", "\r\n\r\n"}).Draw(t, "call")
-		var whole, parts Call
+		var whole, parts RequestParser
 		whole.Feed([]byte(text))
 		for at := 0; at < len(text); {
 			n := rapid.IntRange(1, len(text)-at).Draw(t, "size")
@@ -115,7 +115,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var c Call
+		var c RequestParser
 		for i := range b {
 			c.Feed(b[i : i+1])
 		}
@@ -123,7 +123,7 @@
 		if len(c.buf) > maxHead+maxBody+1 {
 			t.Errorf("%d bytes are kept", len(c.buf))
 		}
-		if c.Done() && (action == None) != (code != "") || (status == 0) != (code == "") {
+		if c.Done() && (action == ActionNone) != (code != "") || (status == 0) != (code == "") {
 			t.Error(action, status, code)
 		}
 	})
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -33,7 +33,7 @@
 		n.parts = append(n.parts, n.up)
 	}
 	if n.cfg.Admin != "" {
-		d, err := door.Open(n.cfg.Admin, operators{n}, n.log)
+		d, err := door.Listen(n.cfg.Admin, operators{n}, n.log)
 		if err != nil {
 			return err
 		}
@@ -167,7 +167,7 @@
 func (m *registered) Ended(float64) {}
 
 // opened is the operators' door.
-type opened struct{ *door.Door }
+type opened struct{ *door.Server }
 
 func (opened) Ready(bool)         {}
 func (opened) Reload()            {}
@@ -183,9 +183,9 @@
 	return o.serving.Load() && o.taking.Load() && (o.up == nil || o.up.Settled())
 }
 
-func (o operators) AppendFigures(b []byte) []byte { return o.figures.AppendText(b, o.InHand()) }
+func (o operators) AppendMetrics(b []byte) []byte { return o.figures.AppendText(b, o.InHand()) }
 
-func (o operators) Drain(on bool, by float64) bool {
+func (o operators) SetDraining(on bool, by float64) bool {
 	done := make(chan struct{})
 	late := time.NewTimer(time.Until(at(by)))
 	defer late.Stop()
