--- a/internal/client/proxy/server.go
+++ b/internal/client/proxy/server.go
@@ -64,7 +64,7 @@
 	defer cancel()
 	s.front.Leave()
 	time.Sleep(time.Until(notice.Add(leaveFor)))
-	err := s.l.Leave(by)
+	err := s.l.Drain(by)
 	s.conns.rest(by)
 	return errors.Join(err, s.http.Shutdown(ctx))
 }
--- a/internal/lastcall/lastcall.go
+++ b/internal/lastcall/lastcall.go
@@ -35,7 +35,7 @@
 // againFor is the pause after an accept for which the system had no room.
 const againFor = 5 * time.Millisecond
 
-// Accept implements net.Listener. After Leave it returns what waits, without waiting itself, and then net.ErrClosed.
+// Accept implements net.Listener. After Drain it returns what waits, without waiting itself, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for !l.leaving.Load() {
 		c, err := l.TCPListener.Accept()
@@ -52,7 +52,7 @@
 		case errors.Is(err, unix.ECONNABORTED), errors.Is(err, unix.EINTR):
 			continue // that caller is gone
 		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE), errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM):
-			time.Sleep(againFor) // what is in hand ends and makes room; Leave has an end
+			time.Sleep(againFor) // what is in hand ends and makes room; Drain has an end
 			continue
 		}
 		return c, err
@@ -80,9 +80,9 @@
 	return net.FileConn(f)
 }
 
-// Leave takes all that waits and then closes the listener, by the goroutine that accepts, which must be at work. It returns
+// Drain takes all that waits and then closes the listener, by the goroutine that accepts, which must be at work. It returns
 // once the listener is closed, or at an absolute time at which it closes it with whatever waits.
-func (l *Listener) Leave(by time.Time) error {
+func (l *Listener) Drain(by time.Time) error {
 	l.leaving.Store(true)
 	l.SetDeadline(time.Unix(1, 0))
 	late := time.NewTimer(time.Until(by))
--- a/internal/lastcall/lastcall_test.go
+++ b/internal/lastcall/lastcall_test.go
@@ -55,7 +55,7 @@
 				callers = append(callers, dial(t, l, fmt.Sprintf("%05d", i)))
 			}
 			dial(t, l, "gone!").Close()
-			go func() { left <- l.Leave(time.Now().Add(20 * time.Second)) }()
+			go func() { left <- l.Drain(time.Now().Add(20 * time.Second)) }()
 			for !l.leaving.Load() {
 				time.Sleep(time.Millisecond)
 			}
@@ -93,7 +93,7 @@
 		_, err := l.Accept()
 		ended <- err
 	}()
-	if err := l.Leave(time.Now().Add(20 * time.Second)); err != nil {
+	if err := l.Drain(time.Now().Add(20 * time.Second)); err != nil {
 		t.Error(err)
 	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
@@ -106,7 +106,7 @@
 func TestEndsByItsTime(t *testing.T) {
 	l := listen(t)
 	c := dial(t, l, "question")
-	if err := l.Leave(time.Now().Add(50 * time.Millisecond)); err != nil {
+	if err := l.Drain(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Error(err)
 	}
 	if b, err := io.ReadAll(c); err == nil {
@@ -134,7 +134,7 @@
 		if !room {
 			by = time.Now().Add(50 * time.Millisecond)
 		}
-		go func() { left <- l.Leave(by) }()
+		go func() { left <- l.Drain(by) }()
 		for !l.leaving.Load() {
 			time.Sleep(time.Millisecond)
 		}
