--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -56,7 +56,7 @@
 			}
 			refused = why
 		}
-		next := now() + announce.Every
+		next := now() + announce.IntervalMs
 		if c != nil && !n.moving.Load() { // a successor reports under the same name
 			c.SetWriteDeadline(at(next))
 			// A report that is refused while the service is down is of no account: the next one follows.
