--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -98,7 +98,7 @@
 
 // findDonors reads the peer addresses of the other nodes from their znodes.
 func (n *Node) findDonors(by float64) (addrs []string, err error) {
-	found, err := zk.Find(n.op.Ensemble, n.op.SessionMs, n.op.Path, by)
+	found, err := zk.ReadChildren(n.op.Ensemble, n.op.SessionMs, n.op.Path, by)
 	for _, data := range found {
 		if e, ok := membership.ParseEntry(data); ok && e.Name != n.cfg.Name && e.Peer != "" {
 			addrs = append(addrs, e.Peer)
@@ -138,7 +138,7 @@
 		return
 	}
 	r := zk.Register(m.node.op.Ensemble, m.node.op.SessionMs, m.node.op.Path, m.self, auth, m.node.log)
-	r.Drain(m.node.away.Load())
+	r.SetDraining(m.node.away.Load())
 	m.mu.Lock()
 	m.znode = r
 	m.mu.Unlock()
@@ -148,19 +148,19 @@
 
 func (m *registered) Succeeded(on bool) {
 	if r := m.entry(); r != nil {
-		r.Yield(on)
+		r.SetYielded(on)
 	}
 }
 
 func (m *registered) Leaving(by float64) {
 	if r := m.entry(); r != nil {
-		r.Leave(by)
+		r.Remove(by)
 	}
 }
 
 func (m *registered) Drained(on bool) {
 	if r := m.entry(); r != nil {
-		r.Drain(on)
+		r.SetDraining(on)
 	}
 }
 
--- a/internal/rehearse/return_test.go
+++ b/internal/rehearse/return_test.go
@@ -23,7 +23,7 @@
 		"spread": func(e *ensemble, i int) {
 			r := zk.Register([]string{e.l.Addr().String()}, float64(session.Milliseconds()), "/payout-nodes",
 				membership.Entry{Name: fmt.Sprint("n", i)}, nil, func(string, ...any) {})
-			b.Cleanup(func() { r.Leave(0) })
+			b.Cleanup(func() { r.Remove(0) })
 		},
 		"library": func(e *ensemble, i int) {
 			c, _, err := lib.Connect([]string{e.l.Addr().String()}, session, lib.WithLogInfo(false), lib.WithLogger(quiet{}))
--- a/internal/zk/zk.go
+++ b/internal/zk/zk.go
@@ -66,14 +66,14 @@
 	}
 }
 
-// Drain marks the node as draining, or takes that back.
-func (r *Registration) Drain(on bool) {
+// SetDraining marks the node as draining, or takes that back.
+func (r *Registration) SetDraining(on bool) {
 	r.tell(func(m *membership.Machine, now float64) { m.Drain(now, on) })
 }
 
-// Leave marks the node as draining and removes the znode at an absolute time, in Unix milliseconds. It returns at once. Where the
+// Remove marks the node as draining and removes the znode at an absolute time, in Unix milliseconds. It returns at once. Where the
 // ensemble does not answer, the connection is given up leaveFor later.
-func (r *Registration) Leave(by float64) {
+func (r *Registration) Remove(by float64) {
 	if r.conn != nil { // a step that is out may wait for longer
 		time.AfterFunc(time.Until(at(by+leaveFor)), r.conn.Close)
 	}
@@ -83,9 +83,9 @@
 // leaveFor is how long the removal may take, in milliseconds.
 const leaveFor = 500
 
-// Yield leaves the znode to another process of the same node, or takes it back. The session goes on: it keeps no znode
+// SetYielded leaves the znode to another process of the same node, or takes it back. The session goes on: it keeps no znode
 // that the other has made its own.
-func (r *Registration) Yield(on bool) {
+func (r *Registration) SetYielded(on bool) {
 	r.tell(func(m *membership.Machine, now float64) { m.Yield(now, on) })
 }
 
@@ -265,12 +265,12 @@
 	return err
 }
 
-// maxFound bounds the znodes that Find reads.
+// maxFound bounds the znodes that ReadChildren reads.
 const maxFound = 64
 
-// Find returns the data of the znodes under a parent, at most maxFound of them, each as it stands. It ends by an absolute
+// ReadChildren returns the data of the znodes under a parent, at most maxFound of them, each as it stands. It ends by an absolute
 // time in Unix milliseconds, with what it has read by then.
-func Find(servers []string, sessionMs float64, parent string, by float64) ([][]byte, error) {
+func ReadChildren(servers []string, sessionMs float64, parent string, by float64) ([][]byte, error) {
 	conn, _, err := zk.Connect(servers, time.Duration(sessionMs*float64(time.Millisecond)), zk.WithLogInfo(false),
 		zk.WithLogger(quiet{}), zk.WithMaxBufferSize(maxPacket))
 	if err != nil {
--- a/internal/zk/zk_test.go
+++ b/internal/zk/zk_test.go
@@ -41,7 +41,7 @@
 		lines <- pairs[3].(string)
 	})
 	<-asked
-	r.Leave(now())
+	r.Remove(now())
 	for {
 		select {
 		case line := <-lines:
@@ -88,7 +88,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the connection stands, waiting for 2 GB")
 	}
-	r.Leave(now())
+	r.Remove(now())
 	for said := ""; ; {
 		select {
 		case line := <-lines:
