--- a/cmd/whinrudder-kit/main.go
+++ b/cmd/whinrudder-kit/main.go
@@ -34,7 +34,7 @@
 					if err := syscall.Setrlimit(syscall.RLIMIT_DATA, &limit); err != nil {
 						return err
 					}
-					text, err := io.ReadAll(io.LimitReader(os.Stdin, template.MaxFile+1))
+					text, err := io.ReadAll(io.LimitReader(os.Stdin, template.MaxFileBytes+1))
 					if err != nil {
 						return err
 					}
--- a/internal/template/template.go
+++ b/internal/template/template.go
@@ -15,28 +15,28 @@
 
 // Limits of a template.
 const (
-	MaxFile    = 256 << 10 // bytes of each file
-	MaxImports = 32        // files that are imported
-	MaxDepth   = 200       // frames of the evaluation's stack
-	MaxResult  = 64 << 10  // bytes of the value
-	maxTrace   = 4         // places that a fault names
+	MaxFileBytes   = 256 << 10 // bytes of each file
+	MaxImports     = 32        // files that are imported
+	MaxStackFrames = 200       // frames of the evaluation's stack
+	MaxResultBytes = 64 << 10  // bytes of the value
+	maxTrace       = 4         // places that a fault names
 )
 
 // Evaluate returns the value of a template as JSON. The error names the file and the line where the library knows them.
 func Evaluate(text []byte, path string) (string, error) {
-	if len(text) > MaxFile {
-		return "", fmt.Errorf("%s is over %d bytes", path, MaxFile)
+	if len(text) > MaxFileBytes {
+		return "", fmt.Errorf("%s is over %d bytes", path, MaxFileBytes)
 	}
 	vm := jsonnet.MakeVM()
-	vm.MaxStack = MaxDepth
+	vm.MaxStack = MaxStackFrames
 	vm.ErrorFormatter.SetMaxStackTraceSize(maxTrace)
 	vm.Importer(&beside{dir: filepath.Dir(path), seen: map[string]jsonnet.Contents{}})
 	json, err := vm.EvaluateAnonymousSnippet(filepath.Base(path), string(text))
 	switch {
 	case err != nil:
 		return "", errors.New(strings.TrimSpace(err.Error()))
-	case len(json) > MaxResult:
-		return "", fmt.Errorf("the value of %s is %d bytes, %d at most", path, len(json), MaxResult)
+	case len(json) > MaxResultBytes:
+		return "", fmt.Errorf("the value of %s is %d bytes, %d at most", path, len(json), MaxResultBytes)
 	}
 	return json, nil
 }
@@ -65,8 +65,8 @@
 		return jsonnet.Contents{}, "", errors.New(name + " is not there")
 	case !info.Mode().IsRegular():
 		return jsonnet.Contents{}, "", errors.New(name + " is no plain file")
-	case info.Size() > MaxFile:
-		return jsonnet.Contents{}, "", fmt.Errorf("%s is over %d bytes", name, MaxFile)
+	case info.Size() > MaxFileBytes:
+		return jsonnet.Contents{}, "", fmt.Errorf("%s is over %d bytes", name, MaxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/template/template_test.go
+++ b/internal/template/template_test.go
@@ -19,7 +19,7 @@
 	}
 	write("ok.libsonnet", "{a: 1}")
 	write("loop.libsonnet", "import 'loop.libsonnet'")
-	write("big.libsonnet", strings.Repeat(" ", MaxFile)+"1")
+	write("big.libsonnet", strings.Repeat(" ", MaxFileBytes)+"1")
 	for i := range MaxImports + 1 {
 		write(fmt.Sprint("n", i, ".libsonnet"), "1")
 	}
@@ -38,7 +38,7 @@
 		{"import 'big.libsonnet'", "is over"},
 		{"import 'loop.libsonnet'", "max stack"},
 		{many.String() + "0", "over 32 imports"},
-		{strings.Repeat(" ", MaxFile) + "1", "is over"},
+		{strings.Repeat(" ", MaxFileBytes) + "1", "is over"},
 	} {
 		_, err := Evaluate([]byte(c.text), filepath.Join(dir, "o.jsonnet"))
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
