--- a/internal/kept/holder.go
+++ b/internal/kept/holder.go
@@ -160,16 +160,16 @@
 	}
 }
 
-// Ready, Reload and Leaving have no meaning here: what the node has read is answered, and that needs the journal.
-func (h *Holder) Ready(bool)      {}
-func (h *Holder) Reload()         {}
-func (h *Holder) Leaving(float64) {}
+// Ready, Reload and BeginShutdown have no meaning here: what the node has read is answered, and that needs the journal.
+func (h *Holder) Ready(bool)            {}
+func (h *Holder) Reload()               {}
+func (h *Holder) BeginShutdown(float64) {}
 
-// Succeeded tells that another process of the node takes over, or is lost.
-func (h *Holder) Succeeded(on bool) { h.tell(func(m *custody.Machine) { m.Succeeded(on) }) }
+// SuccessorChanged tells that another process of the node takes over, or is lost.
+func (h *Holder) SuccessorChanged(on bool) { h.tell(func(m *custody.Machine) { m.Succeeded(on) }) }
 
-// Ended writes what is left, and ends a try or a close that is under way, as far as there is time.
-func (h *Holder) Ended(by float64) {
+// EndShutdown writes what is left, and ends a try or a close that is under way, as far as there is time.
+func (h *Holder) EndShutdown(by float64) {
 	h.mu.Lock()
 	h.ended = true
 	k := h.k
--- a/internal/kept/holder_test.go
+++ b/internal/kept/holder_test.go
@@ -29,7 +29,7 @@
 	}
 	<-begun
 	close(free)
-	h.Ended(now() + 20e3)
+	h.EndShutdown(now() + 20e3)
 	if !over.Load() {
 		t.Error("the end did not wait")
 	}
--- a/internal/lab/stall.go
+++ b/internal/lab/stall.go
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	var disk *stalling
-	n.KeepIn(func(path string) (folder.Folder, error) {
+	n.SetFolderOpener(func(path string) (folder.Folder, error) {
 		f, err := folder.At(path)
 		disk = &stalling{Folder: f}
 		return disk, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,7 +81,7 @@
 
 	folderAt  func(path string) (folder.Folder, error)
 	holder    *kept.Holder // nil: no results are kept
-	parts     []Part       // what the operator's file turns on, see parts.go
+	parts     []Subsystem  // what the operator's file turns on, see parts.go
 	peerAddr  string       // of the peer port
 	listeners []net.Listener
 	sockets   map[string]net.Listener // by front, that of the peer port included; of mu
@@ -213,7 +213,7 @@
 
 // Run serves until a signal or the end of ctx makes the node leave and all is answered. At each signal of reload it
 // takes over what load then gives, see reload.go.
-func (n *Node) Run(ctx context.Context, stop, reload <-chan os.Signal, load Load) {
+func (n *Node) Run(ctx context.Context, stop, reload <-chan os.Signal, load LoadFunc) {
 	n.grant()
 	go n.link.run()
 	go n.announce()
@@ -231,7 +231,7 @@
 	n.deafen()
 	n.conns.closeAll()
 	n.link.close()
-	n.parted(func(p Part) { p.Ended(now() + partsFor) })
+	n.parted(func(p Subsystem) { p.EndShutdown(now() + partsFor) })
 	n.log("end", "name", n.cfg.Name)
 	n.out.flush(now() + flushFor)
 }
@@ -244,8 +244,8 @@
 	}
 }
 
-// InHand tells how many requests are owed an answer.
-func (n *Node) InHand() int { return int(n.inHand.Load()) }
+// PendingRequests tells how many requests are owed an answer.
+func (n *Node) PendingRequests() int { return int(n.inHand.Load()) }
 
 // Kill ends the node at once, as a kill of its process would.
 func (n *Node) Kill() { close(n.quit) }
@@ -313,13 +313,13 @@
 		n.log("ready", "cold", o.Cold)
 		n.open()
 		n.serving.Store(true)
-		n.parted(func(p Part) { p.Ready(o.Cold) })
+		n.parted(func(p Subsystem) { p.Ready(o.Cold) })
 	case core.Leaving:
 		n.taking.Store(false)
 		n.reports.now()
 		n.log("drain", "stop_ms", n.leave.ms, "succeeded", n.leave.succeeded)
 		by := now() + n.leave.ms/2
-		n.parted(func(p Part) { p.Leaving(by) })
+		n.parted(func(p Subsystem) { p.BeginShutdown(by) })
 	case core.Closing:
 		n.conns.leaveAll()
 	case core.Deaf:
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -17,14 +17,14 @@
 	"whinrudder/internal/zk"
 )
 
-// A Part is a subsystem that lives beside the service: it is started once the fronts listen, and told of what becomes of
-// the node. None of its methods may wait for a socket, but Ended, which has until an absolute time.
-type Part interface {
-	Ready(cold bool)    // the worker pool is up
-	Reload()            // SIGHUP came and the new file holds
-	Succeeded(on bool)  // another process of the node takes over, or is lost
-	Leaving(by float64) // the node drains; what others know of it should be gone by then
-	Ended(by float64)   // all is answered
+// A Subsystem is a subsystem that lives beside the service: it is started once the fronts listen, and told of what becomes of
+// the node. None of its methods may wait for a socket, but EndShutdown, which has until an absolute time.
+type Subsystem interface {
+	Ready(cold bool)          // the worker pool is up
+	Reload()                  // SIGHUP came and the new file holds
+	SuccessorChanged(on bool) // another process of the node takes over, or is lost
+	BeginShutdown(by float64) // the node drains; what others know of it should be gone by then
+	EndShutdown(by float64)   // all is answered
 }
 
 // start starts the parts that the operator's file turns on.
@@ -43,7 +43,7 @@
 	peerAddr := ""
 	if n.op.Peer.On() {
 		h := warmup.Host{Name: n.cfg.Name, CurrentSettings: n.present, Seed: n.cfg.Seed,
-			Submit: n.tell, Log: n.log, PendingRequests: n.InHand}
+			Submit: n.tell, Log: n.log, PendingRequests: n.PendingRequests}
 		if len(n.op.Ensemble) > 0 {
 			h.DiscoverSources = n.findDonors
 		}
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// KeepIn lets results be kept in folders of another kind than those of the disk. It must be called before Listen.
-func (n *Node) KeepIn(at func(path string) (folder.Folder, error)) { n.folderAt = at }
+// SetFolderOpener lets results be kept in folders of another kind than those of the disk. It must be called before Listen.
+func (n *Node) SetFolderOpener(at func(path string) (folder.Folder, error)) { n.folderAt = at }
 
 // keep recovers the operations whose results are kept, before any request is read; where another process of the node is
 // there, once that gives them up.
@@ -90,7 +90,7 @@
 }
 
 // parted tells all parts something.
-func (n *Node) parted(tell func(Part)) {
+func (n *Node) parted(tell func(Subsystem)) {
 	for _, p := range n.parts {
 		tell(p)
 	}
@@ -110,8 +110,8 @@
 // learning is what the node learns from others and gives to them.
 type learning struct{ *warmup.WarmUp }
 
-func (l learning) Leaving(float64) { l.WarmUp.Leaving() }
-func (learning) Succeeded(bool)    {}
+func (l learning) BeginShutdown(float64) { l.WarmUp.BeginShutdown() }
+func (learning) SuccessorChanged(bool)   {}
 
 // registered is the node's znode.
 type registered struct {
@@ -146,34 +146,34 @@
 
 func (m *registered) Reload() {}
 
-func (m *registered) Succeeded(on bool) {
+func (m *registered) SuccessorChanged(on bool) {
 	if r := m.entry(); r != nil {
 		r.SetYielded(on)
 	}
 }
 
-func (m *registered) Leaving(by float64) {
+func (m *registered) BeginShutdown(by float64) {
 	if r := m.entry(); r != nil {
 		r.Remove(by)
 	}
 }
 
-func (m *registered) Drained(on bool) {
+func (m *registered) SetOperatorDrain(on bool) {
 	if r := m.entry(); r != nil {
 		r.SetDraining(on)
 	}
 }
 
-func (m *registered) Ended(float64) {}
+func (m *registered) EndShutdown(float64) {}
 
 // opened is the operators' door.
 type opened struct{ *door.Server }
 
-func (opened) Ready(bool)         {}
-func (opened) Reload()            {}
-func (opened) Succeeded(bool)     {}
-func (opened) Leaving(float64)    {}
-func (o opened) Ended(by float64) { o.Close(by) }
+func (opened) Ready(bool)               {}
+func (opened) Reload()                  {}
+func (opened) SuccessorChanged(bool)    {}
+func (opened) BeginShutdown(float64)    {}
+func (o opened) EndShutdown(by float64) { o.Close(by) }
 
 // operators is what the door asks the node.
 type operators struct{ *Node }
@@ -183,7 +183,9 @@
 	return o.serving.Load() && o.taking.Load() && (o.up == nil || o.up.Settled())
 }
 
-func (o operators) AppendMetrics(b []byte) []byte { return o.figures.AppendText(b, o.InHand()) }
+func (o operators) AppendMetrics(b []byte) []byte {
+	return o.figures.AppendText(b, o.PendingRequests())
+}
 
 func (o operators) SetDraining(on bool, by float64) bool {
 	done := make(chan struct{})
@@ -209,9 +211,9 @@
 // sentAway notes that operators have sent the clients away, or taken them back. It is called by the core and does not wait.
 func (n *Node) sentAway(on bool) {
 	n.away.Store(on)
-	n.parted(func(p Part) {
-		if d, ok := p.(interface{ Drained(on bool) }); ok {
-			d.Drained(on)
+	n.parted(func(p Subsystem) {
+		if d, ok := p.(interface{ SetOperatorDrain(on bool) }); ok {
+			d.SetOperatorDrain(on)
 		}
 	})
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,12 +12,12 @@
 	"whinrudder/internal/settings"
 )
 
-// Load reads the configuration and the operator's file anew and checks them whole.
-type Load func() (settings.Config, settings.Operator, error)
+// LoadFunc reads the configuration and the operator's file anew and checks them whole.
+type LoadFunc func() (settings.Config, settings.Operator, error)
 
 // reloads takes over a new configuration at each signal. Signals that come close together may be taken as one: the
 // file is read after the last of them. A faulty file is logged, and the old configuration stays.
-func (n *Node) reloads(signals <-chan os.Signal, load Load) {
+func (n *Node) reloads(signals <-chan os.Signal, load LoadFunc) {
 	for {
 		select {
 		case <-n.over:
@@ -67,7 +67,7 @@
 	n.grant()
 	n.link.move(cfg.Pool)
 	n.reports.move(cfg.Announce)
-	n.parted(Part.Reload)
+	n.parted(Subsystem.Reload)
 	n.figures.ConfLoaded.Add(1)
 	n.log("reload", "code", "ok", "pool", cfg.Pool, "announce", cfg.Announce, "classes", len(cfg.Settings.Classes), "kept",
 		strings.Join(kept, ","))
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -94,7 +94,7 @@
 func (n *Node) succeeded(on bool) {
 	n.moving.Store(on)
 	n.share(on)
-	n.parted(func(p Part) { p.Succeeded(on) })
+	n.parted(func(p Subsystem) { p.SuccessorChanged(on) })
 	if !on {
 		n.reports.now()
 		return
--- a/internal/rehearse/player.go
+++ b/internal/rehearse/player.go
@@ -202,10 +202,10 @@
 	case "custody":
 		return "custody " + p.log.custodian(name), nil
 	case "held":
-		for late := time.Now().Add(patience); fmt.Sprint(p.node.InHand()) != rest && time.Now().Before(late); {
+		for late := time.Now().Add(patience); fmt.Sprint(p.node.PendingRequests()) != rest && time.Now().Before(late); {
 			time.Sleep(time.Millisecond)
 		}
-		return fmt.Sprint("held ", p.node.InHand()), nil
+		return fmt.Sprint("held ", p.node.PendingRequests()), nil
 	case "wait":
 		ms, err := strconv.Atoi(rest)
 		time.Sleep(time.Duration(ms) * time.Millisecond)
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -43,7 +43,7 @@
 	Listeners func() map[string]*net.TCPListener
 	// Away tells whether operators have sent the clients away.
 	Away func() bool
-	// Succeeded tells that another process takes new connections from now on, or, if off, that it is lost.
+	// SuccessorChanged tells that another process takes new connections from now on, or, if off, that it is lost.
 	Succeeded func(on bool)
 	// Alone tells that the process that this one succeeds has ended.
 	Alone func()
@@ -209,11 +209,11 @@
 // Reload does nothing.
 func (u *Upgrade) Reload() {}
 
-// Succeeded does nothing: it is this part that tells.
-func (u *Upgrade) Succeeded(bool) {}
+// SuccessorChanged does nothing: it is this part that tells.
+func (u *Upgrade) SuccessorChanged(bool) {}
 
-// Leaving closes the socket for successors: who comes now finds a node that leaves.
-func (u *Upgrade) Leaving(float64) {
+// BeginShutdown closes the socket for successors: who comes now finds a node that leaves.
+func (u *Upgrade) BeginShutdown(float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.leaves = true
@@ -222,8 +222,8 @@
 	}
 }
 
-// Ended closes everything.
-func (u *Upgrade) Ended(by float64) {
+// EndShutdown closes everything.
+func (u *Upgrade) EndShutdown(by float64) {
 	u.mu.Lock()
 	u.ended = true
 	if u.l != nil {
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -173,12 +173,12 @@
 	if got := next.next(t); got != "give taken" {
 		t.Error(got)
 	}
-	old.u.Ended(now() + 5000)
+	old.u.EndShutdown(now() + 5000)
 	if a, b := next.next(t), next.next(t); a != "take lost" || b != "alone" {
 		t.Error(a, b)
 	}
 	got.Listeners["http"].Close()
-	next.u.Ended(now() + 5000)
+	next.u.EndShutdown(now() + 5000)
 }
 
 // Once a lost successor is told of, the process that goes on can be succeeded again.
@@ -201,7 +201,7 @@
 			lines = append(lines, old.next(t))
 		}
 		got.Listeners["http"].Close()
-		next.u.Ended(now() + 5000)
+		next.u.EndShutdown(now() + 5000)
 		for range 2 {
 			lines = append(lines, old.next(t))
 		}
@@ -209,7 +209,7 @@
 			t.Fatal(diff)
 		}
 	}
-	old.u.Ended(now() + 5000)
+	old.u.EndShutdown(now() + 5000)
 }
 
 // Whatever comes to the socket, the running process goes on as it was, and can be succeeded.
@@ -246,7 +246,7 @@
 		}
 		c.Close()
 	}
-	n.u.Ended(now() + 5000)
+	n.u.EndShutdown(now() + 5000)
 }
 
 // What the core tells too late is told the next time, with the ids of both.
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -53,8 +53,8 @@
 	cfg   settings.Peer
 	ring  *keys.Credentials // nil where peers are met in plain text
 	l     net.Listener
-	over  chan struct{} // closed by Ended
-	stop  chan struct{} // closed by Leaving: nothing more is taken
+	over  chan struct{} // closed by EndShutdown
+	stop  chan struct{} // closed by BeginShutdown: nothing more is taken
 	write chan struct{} // a snapshot is wanted now
 	wait  sync.WaitGroup
 	ask   sync.Mutex // held while the core is asked: what it tells serves all that wait
@@ -137,8 +137,8 @@
 	w.h.Log("peer", "code", "keys-read")
 }
 
-// Leaving ends all taking, and tells takers from now on that this node drains. What it knows is kept once more.
-func (w *WarmUp) Leaving() {
+// BeginShutdown ends all taking, and tells takers from now on that this node drains. What it knows is kept once more.
+func (w *WarmUp) BeginShutdown() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.leaving {
@@ -152,9 +152,9 @@
 	}
 }
 
-// Ended closes what is open and waits for the lines that connections leave, until an absolute time.
-func (w *WarmUp) Ended(by float64) {
-	w.Leaving()
+// EndShutdown closes what is open and waits for the lines that connections leave, until an absolute time.
+func (w *WarmUp) EndShutdown(by float64) {
+	w.BeginShutdown()
 	w.mu.Lock()
 	if w.ended {
 		w.mu.Unlock()
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	n.w = w
-	t.Cleanup(func() { w.Ended(now() + 5000) })
+	t.Cleanup(func() { w.EndShutdown(now() + 5000) })
 	return n
 }
 
@@ -323,7 +323,7 @@
 	first := node(t, "n1", cfg)
 	first.line("side=snapshot", "code=none")
 	first.w.Ready(false)
-	first.w.Leaving()
+	first.w.BeginShutdown()
 	first.line("side=snapshot", "code=written")
 	whole, err := os.ReadFile(file)
 	if err != nil {
@@ -375,7 +375,7 @@
 		}
 	}
 	until(peer.EventWelcome)
-	n.w.Leaving()
+	n.w.BeginShutdown()
 	c.Write(taker.RequestSections())
 	until(peer.EventBusy)
 	if taker.Code != "draining" || taker.RetryMs != peer.MaxRetryMs {
@@ -429,7 +429,7 @@
 	for _, c := range open[maxTakers:] {
 		n.line("side=give peer=" + c.LocalAddr().String() + " code=full")
 	}
-	n.w.Ended(now() + 5000)
+	n.w.EndShutdown(now() + 5000)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	lines := 0
