--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -180,7 +180,7 @@
 
 // Ready tells whether the process can serve and, where it succeeds another, that one may be told to leave.
 func (o operators) Ready() bool {
-	return o.serving.Load() && o.taking.Load() && (o.up == nil || o.up.Settled())
+	return o.serving.Load() && o.taking.Load() && (o.up == nil || o.up.TakeoverAcknowledged())
 }
 
 func (o operators) AppendMetrics(b []byte) []byte {
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -20,7 +20,7 @@
 // succession is what a node knows of the processes before and after it.
 type succession struct {
 	up     *upgrade.Upgrade // nil: off
-	taken  *upgrade.Taken   // what the process before gave; nil: none was there
+	taken  *upgrade.Handoff // what the process before gave; nil: none was there
 	beside bool             // another process has a part of the descriptors; of Node.mu
 }
 
@@ -30,13 +30,13 @@
 	if n.op.UpgradeDir == "" {
 		return nil
 	}
-	n.up = upgrade.New(upgrade.Host{Name: n.cfg.Name, Dir: n.op.UpgradeDir, Addrs: n.listens, Tell: n.tell, Log: n.log, Terms: n.present,
-		Listeners: n.tcpListeners, Away: n.away.Load, Succeeded: n.succeeded, Alone: n.alone, Moved: n.moved})
-	if n.taken, err = n.up.Take(); err != nil || n.taken == nil {
+	n.up = upgrade.New(upgrade.Host{Name: n.cfg.Name, Dir: n.op.UpgradeDir, ListenAddrs: n.listens, Submit: n.tell, Log: n.log, CurrentSettings: n.present,
+		Listeners: n.tcpListeners, OperatorDrained: n.away.Load, SuccessorChanged: n.succeeded, PredecessorEnded: n.alone, AdoptConn: n.moved})
+	if n.taken, err = n.up.TakeOver(); err != nil || n.taken == nil {
 		return err
 	}
 	n.share(true)
-	if n.taken.Away {
+	if n.taken.OperatorDrained {
 		n.in <- core.Drained{On: true, Done: func() { n.away.Store(true) }}
 	}
 	names, s := n.present()
@@ -150,7 +150,7 @@
 
 // leaveNow returns what the notice to leave means at this moment.
 func (n *Node) leaveNow() leave {
-	if n.up == nil || !n.up.Succeeds() {
+	if n.up == nil || !n.up.HasSuccessor() {
 		return leave{n.stopAfter(), false}
 	}
 	_, s := n.present()
@@ -164,7 +164,7 @@
 		return false
 	}
 	served, since := s.Served()
-	return k.node.up.Move(k.c, handover.Conn{Front: k.front, Served: served, Since: since})
+	return k.node.up.HandOffConn(k.c, handover.Conn{Front: k.front, Served: served, Since: since})
 }
 
 // moved takes a connection of the process before.
--- a/internal/upgrade/giving.go
+++ b/internal/upgrade/giving.go
@@ -60,15 +60,15 @@
 	g.pipe.close()
 	g.pipe.drop()
 	u := g.u
-	u.h.Tell(core.Share{End: true})
-	u.h.Tell(core.Beside{})
+	u.h.Submit(core.Share{End: true})
+	u.h.Submit(core.Beside{})
 	u.mu.Lock()
 	served, over := g.serves, u.ended
 	g.serves, u.to = false, nil
 	u.mu.Unlock()
 	if served && !over { // the successor is lost: this process goes on as before, to its end if it leaves
-		u.h.Succeeded(false)
-		u.Offer()
+		u.h.SuccessorChanged(false)
+		u.ListenForSuccessor()
 	}
 	u.h.Log("handover", "side", "give", "code", code, "error", text) // last: who reads it may start another successor
 }
@@ -80,7 +80,7 @@
 	for tick := now(); ; {
 		if told && now() >= tick {
 			tick = now() + handover.LoadEvery
-			if b, ok := share.ask(g.u.h.Tell); ok {
+			if b, ok := share.ask(g.u.h.Submit); ok {
 				g.pipe.mu.Lock()
 				g.machine.Load(b.Beside, b.IDs)
 				g.pipe.mu.Unlock()
@@ -108,7 +108,7 @@
 			case handover.Asked:
 				r := g.u.report()
 				g.pipe.mu.Lock()
-				g.machine.Give(now(), g.u.h.Away(), r)
+				g.machine.Give(now(), g.u.h.OperatorDrained(), r)
 				g.pipe.mu.Unlock()
 				told = true
 			case handover.Serving:
@@ -116,12 +116,12 @@
 				g.serves = true
 				g.u.mu.Unlock()
 				g.u.h.Log("handover", "side", "give", "code", "succeeded")
-				g.u.h.Succeeded(true)
+				g.u.h.SuccessorChanged(true)
 				g.pipe.mu.Lock()
 				g.machine.Yield()
 				g.pipe.mu.Unlock()
 			case handover.Loaded:
-				g.u.h.Tell(core.Beside{Beside: e.Beside, IDs: e.IDs})
+				g.u.h.Submit(core.Beside{Beside: e.Beside, IDs: e.IDs})
 			}
 		}
 		if bad != nil {
--- a/internal/upgrade/taking.go
+++ b/internal/upgrade/taking.go
@@ -22,16 +22,16 @@
 	yielded bool            // of u.mu: the other process takes no new connections
 }
 
-// Taken is what a running process handed over.
-type Taken struct {
-	Listeners map[string]*net.TCPListener // by front
-	Away      bool                        // operators have sent the clients away
-	Report    knowledge.Report
+// Handoff is what a running process handed over.
+type Handoff struct {
+	Listeners       map[string]*net.TCPListener // by front
+	OperatorDrained bool                        // operators have sent the clients away
+	Report          knowledge.Report
 }
 
-// Take asks the running process of this node, if there is one, for its listening sockets and what it knows. Without one
+// TakeOver asks the running process of this node, if there is one, for its listening sockets and what it knows. Without one
 // it returns nil. An error means that one is there and did not hand over.
-func (u *Upgrade) Take() (*Taken, error) {
+func (u *Upgrade) TakeOver() (*Handoff, error) {
 	c, err := dialAt(u.path(), now()+dialFor)
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // nobody was here, or what was here has ended
@@ -45,8 +45,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	t := &taking{u: u, pipe: newPipe(c), machine: handover.NewTaker(u.h.Name, u.h.Addrs(), now())}
-	taken := &Taken{Listeners: map[string]*net.TCPListener{}}
+	t := &taking{u: u, pipe: newPipe(c), machine: handover.NewTaker(u.h.Name, u.h.ListenAddrs(), now())}
+	taken := &Handoff{Listeners: map[string]*net.TCPListener{}}
 	by := now() + takeFor
 	for !t.machine.Whole() {
 		unsaid := t.pipe.write(t.machine.Out(), now()+writeFor, nil)
@@ -98,10 +98,10 @@
 }
 
 // first takes what comes before this process serves.
-func (t *taking) first(e handover.Event, to *Taken) error {
+func (t *taking) first(e handover.Event, to *Handoff) error {
 	switch e := e.(type) {
 	case handover.Offered:
-		to.Away = e.Away
+		to.OperatorDrained = e.Away
 		for _, name := range e.Fronts {
 			f, err := t.pipe.next()
 			if err != nil {
@@ -128,7 +128,7 @@
 }
 
 func (t *taking) loaded(e handover.Loaded) {
-	t.u.h.Tell(core.Beside{Beside: e.Beside, IDs: e.IDs})
+	t.u.h.Submit(core.Beside{Beside: e.Beside, IDs: e.IDs})
 }
 
 // run goes on until the other process has ended.
@@ -137,13 +137,13 @@
 	code, text := t.talk()
 	t.pipe.close()
 	t.pipe.drop()
-	t.u.h.Tell(core.Share{End: true})
-	t.u.h.Tell(core.Beside{})
+	t.u.h.Submit(core.Share{End: true})
+	t.u.h.Submit(core.Beside{})
 	t.u.mu.Lock()
 	t.over = true
 	t.u.mu.Unlock()
 	t.u.h.Log("handover", "side", "take", "code", code, "error", text)
-	t.u.h.Alone()
+	t.u.h.PredecessorEnded()
 }
 
 func (t *taking) talk() (code, text string) {
@@ -151,7 +151,7 @@
 	for tick := now(); ; {
 		if now() >= tick {
 			tick = now() + handover.LoadEvery
-			if b, ok := share.ask(t.u.h.Tell); ok {
+			if b, ok := share.ask(t.u.h.Submit); ok {
 				t.pipe.mu.Lock()
 				t.machine.Load(b.Beside, b.IDs)
 				t.pipe.mu.Unlock()
@@ -189,7 +189,7 @@
 		if err != nil {
 			return nil // it broke on the way
 		}
-		if !t.u.h.Moved(c, e.Conn) {
+		if !t.u.h.AdoptConn(c, e.Conn) {
 			c.Close()
 		}
 	}
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -33,22 +33,22 @@
 type Host struct {
 	Name string
 	Dir  string // the folder that both processes share
-	// Addrs returns where the node listens, by front, or is to listen as its files say.
-	Addrs func() map[string]string
-	Tell  func(core.Input) // hands something to the core; must not be called from the core
-	Log   eventlog.Log
-	Terms func() (names []string, s whinrudder.Settings)
+	// ListenAddrs returns where the node listens, by front, or is to listen as its files say.
+	ListenAddrs     func() map[string]string
+	Submit          func(core.Input) // hands something to the core; must not be called from the core
+	Log             eventlog.Log
+	CurrentSettings func() (names []string, s whinrudder.Settings)
 
 	// Listeners returns the open listeners of the fronts.
 	Listeners func() map[string]*net.TCPListener
-	// Away tells whether operators have sent the clients away.
-	Away func() bool
+	// OperatorDrained tells whether operators have sent the clients away.
+	OperatorDrained func() bool
 	// SuccessorChanged tells that another process takes new connections from now on, or, if off, that it is lost.
-	Succeeded func(on bool)
-	// Alone tells that the process that this one succeeds has ended.
-	Alone func()
-	// Moved takes a connection at rest of another process. It returns false if it can't.
-	Moved func(c net.Conn, how handover.Conn) bool
+	SuccessorChanged func(on bool)
+	// PredecessorEnded tells that the process that this one succeeds has ended.
+	PredecessorEnded func()
+	// AdoptConn takes a connection at rest of another process. It returns false if it can't.
+	AdoptConn func(c net.Conn, how handover.Conn) bool
 }
 
 // Upgrade is this part of one node.
@@ -78,12 +78,12 @@
 			return '-'
 		}
 		return c
-	}, u.h.Addrs()["http"])
+	}, u.h.ListenAddrs()["http"])
 	return filepath.Join(u.h.Dir, "whinrudder-"+clean)
 }
 
-// Offer opens the socket at which a successor finds this process, in place of an older one.
-func (u *Upgrade) Offer() {
+// ListenForSuccessor opens the socket at which a successor finds this process, in place of an older one.
+func (u *Upgrade) ListenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.ended || u.leaves {
@@ -150,7 +150,7 @@
 			time.Sleep(time.Until(at(now() + againFor)))
 			continue
 		}
-		g := &giving{u: u, pipe: newPipe(c), machine: handover.NewGiver(u.h.Name, u.h.Addrs(), now())}
+		g := &giving{u: u, pipe: newPipe(c), machine: handover.NewGiver(u.h.Name, u.h.ListenAddrs(), now())}
 		u.mu.Lock()
 		// One successor at a time, and none beside a predecessor: what is in hand is shared with one other process.
 		taken := u.to != nil || u.ended || u.from != nil && !u.from.over
@@ -167,22 +167,22 @@
 	}
 }
 
-// Succeeds tells whether another process takes new connections.
-func (u *Upgrade) Succeeds() bool {
+// HasSuccessor tells whether another process takes new connections.
+func (u *Upgrade) HasSuccessor() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.to != nil && u.to.serves
 }
 
-// Settled tells that the process that this one succeeds, if there is one, knows it: it may be told to leave.
-func (u *Upgrade) Settled() bool {
+// TakeoverAcknowledged tells that the process that this one succeeds, if there is one, knows it: it may be told to leave.
+func (u *Upgrade) TakeoverAcknowledged() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.from == nil || u.from.yielded || u.from.over
 }
 
-// Move hands a connection at rest to the successor. If it tells true, the connection is the successor's.
-func (u *Upgrade) Move(c net.Conn, how handover.Conn) bool {
+// HandOffConn hands a connection at rest to the successor. If it tells true, the connection is the successor's.
+func (u *Upgrade) HandOffConn(c net.Conn, how handover.Conn) bool {
 	u.mu.Lock()
 	g := u.to
 	u.mu.Unlock()
@@ -202,7 +202,7 @@
 		if t != nil {
 			t.serve()
 		}
-		u.Offer()
+		u.ListenForSuccessor()
 	}()
 }
 
@@ -283,8 +283,8 @@
 // report asks the core what it has learned.
 func (u *Upgrade) report() knowledge.Report {
 	got := make(chan whinrudder.Knowledge, 1)
-	u.h.Tell(core.Ask{To: func(k whinrudder.Knowledge, known bool) { got <- k }})
-	names, s := u.h.Terms()
+	u.h.Submit(core.Ask{To: func(k whinrudder.Knowledge, known bool) { got <- k }})
+	names, s := u.h.CurrentSettings()
 	r := knowledge.Report{}
 	select {
 	case k := <-got:
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -46,17 +46,17 @@
 
 func newToy(t *testing.T, dir string, l *net.TCPListener, addr string) *toy {
 	n := &toy{l: l, lines: make(chan string, 64)}
-	n.u = New(Host{Name: "n1", Dir: dir, Tell: n.tell, Addrs: func() map[string]string { return map[string]string{"http": addr} },
+	n.u = New(Host{Name: "n1", Dir: dir, Submit: n.tell, ListenAddrs: func() map[string]string { return map[string]string{"http": addr} },
 		Log: func(word string, pairs ...any) {
 			if word == "handover" {
 				n.lines <- fmt.Sprint(pairs[1], " ", pairs[3])
 			}
 		},
-		Terms:     func() ([]string, whinrudder.Settings) { return []string{"a"}, whinrudder.Settings{Cores: 2} },
-		Listeners: func() map[string]*net.TCPListener { return map[string]*net.TCPListener{"http": n.l} },
-		Away:      func() bool { return true }, Alone: func() { n.lines <- "alone" },
-		Succeeded: func(on bool) { n.lines <- fmt.Sprint("succeeded ", on) },
-		Moved: func(c net.Conn, how handover.Conn) bool {
+		CurrentSettings: func() ([]string, whinrudder.Settings) { return []string{"a"}, whinrudder.Settings{Cores: 2} },
+		Listeners:       func() map[string]*net.TCPListener { return map[string]*net.TCPListener{"http": n.l} },
+		OperatorDrained: func() bool { return true }, PredecessorEnded: func() { n.lines <- "alone" },
+		SuccessorChanged: func(on bool) { n.lines <- fmt.Sprint("succeeded ", on) },
+		AdoptConn: func(c net.Conn, how handover.Conn) bool {
 			n.lines <- fmt.Sprint("moved ", how.Served)
 			fmt.Fprint(c, "from the successor")
 			return c.Close() == nil
@@ -93,12 +93,12 @@
 	l := listen(t)
 	addr := l.Addr().String()
 	old := newToy(t, dir, l, addr)
-	if got, err := old.u.Take(); got != nil || err != nil {
+	if got, err := old.u.TakeOver(); got != nil || err != nil {
 		t.Fatal(got, err)
 	}
-	old.u.Offer()
+	old.u.ListenForSuccessor()
 	old.u.l.Close() // as a crash leaves it
-	if got, err := newToy(t, dir, nil, addr).u.Take(); got != nil || err != nil {
+	if got, err := newToy(t, dir, nil, addr).u.TakeOver(); got != nil || err != nil {
 		t.Fatal(got, err)
 	}
 	old.u.Ready(true)
@@ -112,33 +112,33 @@
 		t.Fatal(err)
 	}
 	next := newToy(t, dir, nil, addr)
-	var got *Taken
+	var got *Handoff
 	for by := time.Now().Add(10 * time.Second); got == nil && time.Now().Before(by); { // Ready offers beside
-		if got, err = next.u.Take(); err != nil {
+		if got, err = next.u.TakeOver(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got == nil || !got.Away || got.Listeners["http"].Addr().String() != addr || got.Report.Node != "n1" {
+	if got == nil || !got.OperatorDrained || got.Listeners["http"].Addr().String() != addr || got.Report.Node != "n1" {
 		t.Fatalf("%+v", got)
 	}
-	if _, err := newToy(t, dir, nil, addr).u.Take(); err == nil || !strings.Contains(err.Error(), "refused") {
+	if _, err := newToy(t, dir, nil, addr).u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refused") {
 		t.Fatal("a second successor:", err)
 	}
-	if old.u.Move(c, handover.Conn{Front: "http"}) || next.u.Settled() {
+	if old.u.HandOffConn(c, handover.Conn{Front: "http"}) || next.u.TakeoverAcknowledged() {
 		t.Fatal("the successor does not serve yet")
 	}
 	next.u.Ready(true)
-	for by := time.Now().Add(10 * time.Second); !next.u.Settled() && time.Now().Before(by); {
+	for by := time.Now().Add(10 * time.Second); !next.u.TakeoverAcknowledged() && time.Now().Before(by); {
 		time.Sleep(time.Millisecond)
 	}
-	if !next.u.Settled() || !old.u.Succeeds() { // a notice to leave that comes now finds a process that knows its successor
-		t.Fatal(next.u.Settled(), old.u.Succeeds())
+	if !next.u.TakeoverAcknowledged() || !old.u.HasSuccessor() { // a notice to leave that comes now finds a process that knows its successor
+		t.Fatal(next.u.TakeoverAcknowledged(), old.u.HasSuccessor())
 	}
 	lines := []string{old.next(t), old.next(t), old.next(t)}
 	if diff := cmp.Diff([]string{"give taken", "give succeeded", "succeeded true"}, lines); diff != "" {
 		t.Fatal(diff)
 	}
-	if !old.u.Move(c, handover.Conn{Front: "http", Served: 7}) {
+	if !old.u.HandOffConn(c, handover.Conn{Front: "http", Served: 7}) {
 		t.Fatal("the connection did not move")
 	}
 	c.Close()
@@ -167,7 +167,7 @@
 	} else {
 		c.Close()
 	}
-	if _, err := newToy(t, dir, nil, addr).u.Take(); err == nil || !strings.Contains(err.Error(), "refused") {
+	if _, err := newToy(t, dir, nil, addr).u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refused") {
 		t.Error("a successor of one that has a predecessor:", err)
 	}
 	if got := next.next(t); got != "give taken" {
@@ -188,10 +188,10 @@
 	defer l.Close()
 	addr := l.Addr().String()
 	old := newToy(t, dir, l, addr)
-	old.u.Offer()
+	old.u.ListenForSuccessor()
 	for range 3 {
 		next := newToy(t, dir, nil, addr)
-		got, err := next.u.Take()
+		got, err := next.u.TakeOver()
 		if got == nil || err != nil {
 			t.Fatal(got, err)
 		}
@@ -219,7 +219,7 @@
 	l := listen(t)
 	defer l.Close()
 	n := newToy(t, dir, l, l.Addr().String())
-	n.u.Offer()
+	n.u.ListenForSuccessor()
 	for name, say := range map[string]func(c *net.UnixConn){
 		"bad-magic": func(c *net.UnixConn) { c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) },
 		"lost":      func(c *net.UnixConn) {},
@@ -292,8 +292,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	addrs, asked := n.u.h.Addrs, 0
-	n.u.h.Addrs = func() map[string]string {
+	addrs, asked := n.u.h.ListenAddrs, 0
+	n.u.h.ListenAddrs = func() map[string]string {
 		if asked++; asked == 2 { // the socket is dialled and nothing was said
 			other, err := l.AcceptUnix()
 			if err != nil {
@@ -304,7 +304,7 @@
 		}
 		return addrs()
 	}
-	if _, err := n.u.Take(); err == nil || !strings.Contains(err.Error(), "refuse:taken") || asked != 2 {
+	if _, err := n.u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refuse:taken") || asked != 2 {
 		t.Error(err, asked)
 	}
 }
@@ -320,7 +320,7 @@
 	}
 	defer l.Close()
 	begun := now()
-	if _, err := n.u.Take(); err == nil || now()-begun > takeFor+writeFor+dialFor+10e3 {
+	if _, err := n.u.TakeOver(); err == nil || now()-begun > takeFor+writeFor+dialFor+10e3 {
 		t.Errorf("%v after %v ms", err, now()-begun)
 	}
 }
@@ -332,14 +332,14 @@
 		t.Fatal(err)
 	}
 	n := newToy(t, file, nil, "127.0.0.1:9") // connecting by way of a file is refused with ENOTDIR
-	taken, err := n.u.Take()
+	taken, err := n.u.TakeOver()
 	if taken != nil || err != nil {
 		t.Errorf("took %v: %v", taken, err)
 	}
 	if diff := cmp.Diff("take off", n.next(t)); diff != "" {
 		t.Error(diff)
 	}
-	n.u.Offer()
+	n.u.ListenForSuccessor()
 	if l := n.next(t); !strings.HasPrefix(l, "off ") {
 		t.Error(l)
 	}
