--- a/cmd/whinrudder-kit/main_test.go
+++ b/cmd/whinrudder-kit/main_test.go
@@ -6,4 +6,4 @@
 	"whinrudder/internal/clitest"
 )
 
-func TestCommandLine(t *testing.T) { clitest.Play(t, "testdata", app) }
+func TestCommandLine(t *testing.T) { clitest.RunRecorded(t, "testdata", app) }
--- a/cmd/whinrudder/main_test.go
+++ b/cmd/whinrudder/main_test.go
@@ -9,5 +9,5 @@
 
 func TestCommandLine(t *testing.T) {
 	evaluate = template.Evaluate // the kit's program is not beside the test's
-	clitest.Play(t, "testdata", app)
+	clitest.RunRecorded(t, "testdata", app)
 }
--- a/internal/clitest/clitest.go
+++ b/internal/clitest/clitest.go
@@ -14,8 +14,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Play plays the files of a folder. A fault ends a command with an error, so that its process exits 1.
-func Play(t *testing.T, folder string, app func(io.Writer) *cli.Command) {
+// RunRecorded plays the files of a folder. A fault ends a command with an error, so that its process exits 1.
+func RunRecorded(t *testing.T, folder string, app func(io.Writer) *cli.Command) {
 	files, _ := filepath.Glob(filepath.Join(folder, "*.txt"))
 	if len(files) == 0 {
 		t.Fatal("nothing is recorded")
