--- a/internal/door/call.go
+++ b/internal/admin/request.go
@@ -1,7 +1,7 @@
-// Package door is the operators' door: a second address with HTTP/1.1, one call a connection, by which operators see
+// Package admin is the operators' door: a second address with HTTP/1.1, one call a connection, by which operators see
 // whether the node serves and what its figures are, and send its clients away or take them back. RequestParser is the
 // state machine of a connection and knows no socket; Server drives it. What the node is behind the door it hears from a Node.
-package door
+package admin
 
 import (
 	"bytes"
--- a/internal/door/door.go
+++ b/internal/admin/server.go
@@ -1,4 +1,4 @@
-package door
+package admin
 
 import (
 	"errors"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
+	"whinrudder/internal/admin"
 	"whinrudder/internal/catalog"
 	"whinrudder/internal/core"
-	"whinrudder/internal/door"
 	"whinrudder/internal/figures"
 	"whinrudder/internal/folder"
 	"whinrudder/internal/front"
@@ -128,7 +128,7 @@
 		most /= 2
 	}
 	if n.cfg.Admin != "" {
-		most -= door.MaxConns
+		most -= admin.MaxConns
 	}
 	return max(most-ownSockets, cfg.Sockets/leastConns)
 }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"whinrudder/internal/admin"
 	"whinrudder/internal/core"
-	"whinrudder/internal/door"
 	"whinrudder/internal/folder"
 	"whinrudder/internal/kept"
 	"whinrudder/internal/membership"
@@ -33,7 +33,7 @@
 		n.parts = append(n.parts, n.up)
 	}
 	if n.cfg.Admin != "" {
-		d, err := door.Listen(n.cfg.Admin, operators{n}, n.log)
+		d, err := admin.Listen(n.cfg.Admin, operators{n}, n.log)
 		if err != nil {
 			return err
 		}
@@ -167,7 +167,7 @@
 func (m *registered) EndShutdown(float64) {}
 
 // opened is the operators' door.
-type opened struct{ *door.Server }
+type opened struct{ *admin.Server }
 
 func (opened) Ready(bool)               {}
 func (opened) Reload()                  {}
