--- a/cmd/whinrudder/peers.go
+++ b/cmd/whinrudder/peers.go
@@ -9,8 +9,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"whinrudder/internal/keys"
 	"whinrudder/internal/knowledge"
+	"whinrudder/internal/peertls"
 	"whinrudder/internal/settings"
 	"whinrudder/internal/warmup"
 )
@@ -25,17 +25,17 @@
 			&cli.StringFlag{Name: "cert", Usage: "file of our certificate; without it plain text is spoken"},
 			&cli.StringFlag{Name: "key", Usage: "file of its key"},
 			&cli.StringFlag{Name: "authority", Usage: "file of the authority's certificate"},
-			&cli.StringFlag{Name: "name", Usage: "name that the node's certificate must have", Value: keys.DefaultPeerName},
+			&cli.StringFlag{Name: "name", Usage: "name that the node's certificate must have", Value: peertls.DefaultPeerName},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			addr := c.Args().First()
 			if err := settings.CheckAddr(addr); err != nil {
 				return fmt.Errorf("knowledge: %w", err)
 			}
-			var ring *keys.Credentials
+			var ring *peertls.Credentials
 			if c.String("cert") != "" {
 				var err error
-				ring, err = keys.Load(keys.Files{Cert: c.String("cert"), Key: c.String("key"), Authority: c.String("authority"),
+				ring, err = peertls.Load(peertls.Files{Cert: c.String("cert"), Key: c.String("key"), Authority: c.String("authority"),
 					PeerName: c.String("name")})
 				if err != nil {
 					return err
@@ -56,14 +56,14 @@
 		ArgsUsage: "DIR NODE [NODE ...]",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "days", Usage: "how long they are good", Value: 30},
-			&cli.StringFlag{Name: "name", Usage: "name in the certificates", Value: keys.DefaultPeerName},
+			&cli.StringFlag{Name: "name", Usage: "name in the certificates", Value: peertls.DefaultPeerName},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 2 {
 				return errors.New("keys: want a folder and at least one node")
 			}
 			dir, nodes := c.Args().First(), c.Args().Tail()
-			if err := keys.GenerateFiles(dir, nodes, c.String("name"), c.Int("days")); err != nil {
+			if err := peertls.GenerateFiles(dir, nodes, c.String("name"), c.Int("days")); err != nil {
 				return err
 			}
 			for _, n := range nodes {
--- a/internal/keys/authority.go
+++ b/internal/peertls/authority.go
@@ -1,4 +1,4 @@
-package keys
+package peertls
 
 import (
 	"crypto/ecdsa"
--- a/internal/keys/keys.go
+++ b/internal/peertls/peertls.go
@@ -1,6 +1,6 @@
-// Package keys is the keys of the peer port: TLS 1.3 with certificates of both sides, from files that an operator names
+// Package peertls is the keys of the peer port: TLS 1.3 with certificates of both sides, from files that an operator names
 // and that are read again when asked. What goes wrong has a code for the log.
-package keys
+package peertls
 
 import (
 	"crypto/tls"
--- a/internal/warmup/give.go
+++ b/internal/warmup/give.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"whinrudder/internal/keys"
 	"whinrudder/internal/peer"
+	"whinrudder/internal/peertls"
 )
 
 // accept takes the connections of takers until the listener is closed.
@@ -50,7 +50,7 @@
 	} else {
 		t := w.ring.Server(c)
 		if err := t.Handshake(); err != nil {
-			code := keys.ErrorCode(err)
+			code := peertls.ErrorCode(err)
 			if code == "" {
 				code = w.broken(g, err)
 			}
@@ -117,7 +117,7 @@
 		case step == peer.StepClose:
 			return nil
 		case err != nil:
-			code := keys.ErrorCode(err)
+			code := peertls.ErrorCode(err)
 			if code == "" {
 				code = w.broken(g, err)
 			}
--- a/internal/warmup/take.go
+++ b/internal/warmup/take.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"whinrudder/internal/keys"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/peer"
+	"whinrudder/internal/peertls"
 )
 
 // learn asks the donors once, at the start. What an earlier life left is used at once, and once more beside what the
@@ -252,7 +252,7 @@
 
 // ended is the code of an error of reading or writing.
 func (l *link) ended(err error) (code, text string) {
-	if code := keys.ErrorCode(err); code != "" {
+	if code := peertls.ErrorCode(err); code != "" {
 		return code, err.Error()
 	}
 	var ne net.Error
@@ -264,9 +264,9 @@
 
 // FetchReport takes the present knowledge of one running node by an absolute time in Unix milliseconds; without a ring, in plain
 // text. A peer.Fault tells by its code why there is none.
-func FetchReport(addr, name string, ring *keys.Credentials, by float64) (knowledge.Report, error) {
+func FetchReport(addr, name string, ring *peertls.Credentials, by float64) (knowledge.Report, error) {
 	fail := func(err error) (knowledge.Report, error) {
-		if code := keys.ErrorCode(err); code != "" {
+		if code := peertls.ErrorCode(err); code != "" {
 			return knowledge.Report{}, &peer.Fault{Code: code, Text: err.Error()}
 		}
 		return knowledge.Report{}, &peer.Fault{Code: "unreached", Text: err.Error()}
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -17,9 +17,9 @@
 	"whinrudder"
 	"whinrudder/internal/core"
 	"whinrudder/internal/eventlog"
-	"whinrudder/internal/keys"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/peer"
+	"whinrudder/internal/peertls"
 	"whinrudder/internal/settings"
 )
 
@@ -51,7 +51,7 @@
 type WarmUp struct {
 	h     Host
 	cfg   settings.Peer
-	ring  *keys.Credentials // nil where peers are met in plain text
+	ring  *peertls.Credentials // nil where peers are met in plain text
 	l     net.Listener
 	over  chan struct{} // closed by EndShutdown
 	stop  chan struct{} // closed by BeginShutdown: nothing more is taken
@@ -79,7 +79,7 @@
 	w := &WarmUp{h: h, cfg: cfg, over: make(chan struct{}), stop: make(chan struct{}), write: make(chan struct{}, 1),
 		budget: peer.NewBudget(now()), takers: map[net.Conn]bool{}}
 	if cfg.Cert != "" {
-		ring, err := keys.Load(keys.Files{Cert: cfg.Cert, Key: cfg.Key, Authority: cfg.Authority, PeerName: cfg.Name})
+		ring, err := peertls.Load(peertls.Files{Cert: cfg.Cert, Key: cfg.Key, Authority: cfg.Authority, PeerName: cfg.Name})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -18,9 +18,9 @@
 	"whinrudder"
 	"whinrudder/internal/core"
 	"whinrudder/internal/eventlog"
-	"whinrudder/internal/keys"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/peer"
+	"whinrudder/internal/peertls"
 	"whinrudder/internal/settings"
 )
 
@@ -106,7 +106,7 @@
 }
 
 // lend makes the keys of a node by an authority, good from one time to another.
-func lend(t *testing.T, a *keys.Authority, name string, from, to time.Duration) keys.Files {
+func lend(t *testing.T, a *peertls.Authority, name string, from, to time.Duration) peertls.Files {
 	t.Helper()
 	f, err := a.Issue(t.TempDir(), "k", name, time.Now().Add(from), time.Now().Add(to))
 	if err != nil {
@@ -115,26 +115,26 @@
 	return f
 }
 
-func authority(t *testing.T) *keys.Authority {
+func authority(t *testing.T) *peertls.Authority {
 	t.Helper()
-	a, err := keys.NewAuthority(time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
+	a, err := peertls.NewAuthority(time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-func with(f keys.Files, p settings.Peer) settings.Peer {
+func with(f peertls.Files, p settings.Peer) settings.Peer {
 	p.Cert, p.Key, p.Authority, p.Name = f.Cert, f.Key, f.Authority, f.PeerName
 	return p
 }
 
-func ask(n *toy, f keys.Files) (knowledge.Report, string) {
+func ask(n *toy, f peertls.Files) (knowledge.Report, string) {
 	n.t.Helper()
-	var ring *keys.Credentials
+	var ring *peertls.Credentials
 	if f.Cert != "" {
 		var err error
-		if ring, err = keys.Load(f); err != nil {
+		if ring, err = peertls.Load(f); err != nil {
 			n.t.Fatal(err)
 		}
 	}
@@ -155,7 +155,7 @@
 	mixed.Cert, mixed.Key = foreign.Cert, foreign.Key
 	for _, c := range []struct {
 		name         string
-		files        keys.Files
+		files        peertls.Files
 		taker, giver string
 	}{
 		{"good", good, "", "given"},
@@ -164,7 +164,7 @@
 		{"not yet good", lend(t, ours, "fleet", time.Hour, 2*time.Hour), "cert-refused", "cert-expired"},
 		{"another authority's", mixed, "cert-refused", "cert-foreign"},
 		{"of another authority altogether", foreign, "cert-foreign", "cert-refused"},
-		{"plain text", keys.Files{}, "unreached", "no-tls"},
+		{"plain text", peertls.Files{}, "unreached", "no-tls"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := node(t, "giver", with(good, settings.Peer{Listen: "127.0.0.1:0"}))
@@ -207,7 +207,7 @@
 	}
 	old := lend(t, ours, "fleet", -time.Hour, time.Hour)
 	n := node(t, "giver", with(f, settings.Peer{Listen: "127.0.0.1:0"}))
-	ring, err := keys.Load(old)
+	ring, err := peertls.Load(old)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -260,7 +260,7 @@
 		if full {
 			n.inHand = 100
 		}
-		ask(n, keys.Files{}) // the first fills what is told to all
+		ask(n, peertls.Files{}) // the first fills what is told to all
 		n.asked = 0
 		n.w.mu.Lock()
 		n.w.budget = peer.NewBudget(now())
@@ -271,7 +271,7 @@
 		codes := map[string]int{}
 		for range 20 {
 			wait.Go(func() {
-				_, code := ask(n, keys.Files{})
+				_, code := ask(n, peertls.Files{})
 				mu.Lock()
 				codes[code]++
 				mu.Unlock()
