--- a/internal/lastcall/lastcall.go
+++ b/internal/acceptdrain/acceptdrain.go
@@ -1,7 +1,7 @@
-// Package lastcall ends a listener with as few resets as can be. A listener that is closed resets the connections that the
+// Package acceptdrain ends a listener with as few resets as can be. A listener that is closed resets the connections that the
 // kernel has established for it and that nobody has accepted; their callers can't tell whether what they sent has run. A
 // Listener that leaves takes all that wait, and closes at the moment at which none does.
-package lastcall
+package acceptdrain
 
 import (
 	"errors"
--- a/internal/lastcall/lastcall_test.go
+++ b/internal/acceptdrain/acceptdrain_test.go
@@ -1,4 +1,4 @@
-package lastcall
+package acceptdrain
 
 import (
 	"errors"
--- a/internal/client/proxy/server.go
+++ b/internal/client/proxy/server.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"whinrudder/internal/lastcall"
+	"whinrudder/internal/acceptdrain"
 )
 
 // A proxy that is told to end says so with each answer for leaveFor: connections that are used end so with nothing in hand. Then
@@ -26,7 +26,7 @@
 // from then on, unanswered: of connections just accepted, and of those that had said half of a request.
 type Server struct {
 	front *Front
-	l     *lastcall.Listener
+	l     *acceptdrain.Listener
 	http  *http.Server
 	conns conns
 }
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{front: &Front{Handler: h}, l: lastcall.New(l.(*net.TCPListener)), conns: conns{busy: map[net.Conn]bool{}, moved: make(chan struct{}, 1)}}
+	s := &Server{front: &Front{Handler: h}, l: acceptdrain.New(l.(*net.TCPListener)), conns: conns{busy: map[net.Conn]bool{}, moved: make(chan struct{}, 1)}}
 	s.http = &http.Server{Handler: s.front, ReadHeaderTimeout: sayFor, IdleTimeout: restFor,
 		ConnState: func(c net.Conn, to http.ConnState) { s.conns.set(c, to) }}
 	return s, nil
