--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,12 +12,12 @@
 	"whinrudder/internal/settings"
 )
 
-// Load reads the configuration and the operator's file anew and checks them whole.
-type Load func() (settings.Config, settings.Operator, error)
+// LoadFunc reads the configuration and the operator's file anew and checks them whole.
+type LoadFunc func() (settings.Config, settings.Operator, error)
 
 // reloads takes over a new configuration at each signal. Signals that come close together may be taken as one: the
 // file is read after the last of them. A faulty file is logged, and the old configuration stays.
-func (n *Node) reloads(signals <-chan os.Signal, load Load) {
+func (n *Node) reloads(signals <-chan os.Signal, load LoadFunc) {
 	for {
 		select {
 		case <-n.over:
@@ -67,7 +67,7 @@
 	n.grant()
 	n.link.move(cfg.Pool)
 	n.reports.move(cfg.Announce)
-	n.parted(Part.Reload)
+	n.parted(Subsystem.Reload)
 	n.figures.ConfLoaded.Add(1)
 	n.log("reload", "code", "ok", "pool", cfg.Pool, "announce", cfg.Announce, "classes", len(cfg.Settings.Classes), "kept",
 		strings.Join(kept, ","))
@@ -81,20 +81,20 @@
 	n.view = v
 	n.mu.Unlock()
 	n.link.mu.Lock()
-	n.link.machine.Retune(v.Names, gauges)
+	n.link.machine.SetNames(v.Names, gauges)
 	n.link.mu.Unlock()
 	names := map[int]string{}
 	for _, k := range n.op.Kept.Classes {
 		names[v.Serves[k]] = k
 	}
 	t := n.terms(v, names)
-	n.tell(core.Retune{Settings: v.Settings, Fresh: v.Fresh, Counts: n.figures.Classes(v.Names), Kept: t.Kept})
-	n.site.Set(t)
+	n.tell(core.Retune{Settings: v.Settings, Fresh: v.Fresh, Counts: n.figures.Classes(v.Names), Kept: t.KeptClasses})
+	n.site.SetConfig(t)
 }
 
 // terms are what the fronts must know of a view, with the classes whose results are kept.
-func (n *Node) terms(v catalog.View, kept map[int]string) front.Terms {
-	return front.Terms{Classes: v.Serves, Policy: v.Settings, Kept: kept}
+func (n *Node) terms(v catalog.View, kept map[int]string) front.ValidatorConfig {
+	return front.ValidatorConfig{ClassIndex: v.Serves, Policy: v.Settings, KeptClasses: kept}
 }
 
 // present returns the present settings and the names of the classes, by their places.
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,5 +1,5 @@
 // Package warmup drives what a node learns from other nodes and gives to them: the peer port, the connections to
-// donors and the snapshot. It decides nothing: whom to take from is peer.Round's, what giving may cost peer.Budget's,
+// donors and the snapshot. It decides nothing: whom to take from is peer.SourceSelection's, what giving may cost peer.Budget's,
 // what the donors say together knowledge.Merge's, and what of it holds knowledge.Trial's in the core. It never keeps
 // the node from being ready.
 package warmup
@@ -17,9 +17,9 @@
 	"whinrudder"
 	"whinrudder/internal/core"
 	"whinrudder/internal/eventlog"
-	"whinrudder/internal/keys"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/peer"
+	"whinrudder/internal/peertls"
 	"whinrudder/internal/settings"
 )
 
@@ -36,25 +36,25 @@
 // Host is what the node is to this package.
 type Host struct {
 	Name string
-	// Terms returns the present settings and the names of the classes, by their places; a place whose class is no more
+	// CurrentSettings returns the present settings and the names of the classes, by their places; a place whose class is no more
 	// has no name.
-	Terms  func() (names []string, s whinrudder.Settings)
-	Seed   uint64
-	Tell   func(core.Input) // hands something to the core; must not be called from the core
-	Log    eventlog.Log
-	InHand func() int                              // requests that are owed an answer
-	Listen func(addr string) (net.Listener, error) // of the peer port; nil: the usual
-	Find   func(by float64) ([]string, error)      // addresses of donors among the znodes; nil without an ensemble
+	CurrentSettings func() (names []string, s whinrudder.Settings)
+	Seed            uint64
+	Submit          func(core.Input) // hands something to the core; must not be called from the core
+	Log             eventlog.Log
+	PendingRequests func() int                              // requests that are owed an answer
+	Listen          func(addr string) (net.Listener, error) // of the peer port; nil: the usual
+	DiscoverSources func(by float64) ([]string, error)      // addresses of donors among the znodes; nil without an ensemble
 }
 
 // WarmUp is this part of one node. Create it with Start.
 type WarmUp struct {
 	h     Host
 	cfg   settings.Peer
-	ring  *keys.Ring // nil where peers are met in plain text
+	ring  *peertls.Credentials // nil where peers are met in plain text
 	l     net.Listener
-	over  chan struct{} // closed by Ended
-	stop  chan struct{} // closed by Leaving: nothing more is taken
+	over  chan struct{} // closed by EndShutdown
+	stop  chan struct{} // closed by BeginShutdown: nothing more is taken
 	write chan struct{} // a snapshot is wanted now
 	wait  sync.WaitGroup
 	ask   sync.Mutex // held while the core is asked: what it tells serves all that wait
@@ -79,7 +79,7 @@
 	w := &WarmUp{h: h, cfg: cfg, over: make(chan struct{}), stop: make(chan struct{}), write: make(chan struct{}, 1),
 		budget: peer.NewBudget(now()), takers: map[net.Conn]bool{}}
 	if cfg.Cert != "" {
-		ring, err := keys.Open(keys.Files{Cert: cfg.Cert, Key: cfg.Key, Authority: cfg.Authority, Name: cfg.Name})
+		ring, err := peertls.Load(peertls.Files{Cert: cfg.Cert, Key: cfg.Key, Authority: cfg.Authority, PeerName: cfg.Name})
 		if err != nil {
 			return nil, err
 		}
@@ -120,7 +120,7 @@
 	w.ready = now()
 	w.warmAt = w.ready
 	if cold {
-		_, s := w.h.Terms()
+		_, s := w.h.CurrentSettings()
 		w.warmAt += s.Rules.RampTime
 	}
 }
@@ -137,8 +137,8 @@
 	w.h.Log("peer", "code", "keys-read")
 }
 
-// Leaving ends all taking, and tells takers from now on that this node drains. What it knows is kept once more.
-func (w *WarmUp) Leaving() {
+// BeginShutdown ends all taking, and tells takers from now on that this node drains. What it knows is kept once more.
+func (w *WarmUp) BeginShutdown() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.leaving {
@@ -152,9 +152,9 @@
 	}
 }
 
-// Ended closes what is open and waits for the lines that connections leave, until an absolute time.
-func (w *WarmUp) Ended(by float64) {
-	w.Leaving()
+// EndShutdown closes what is open and waits for the lines that connections leave, until an absolute time.
+func (w *WarmUp) EndShutdown(by float64) {
+	w.BeginShutdown()
 	w.mu.Lock()
 	if w.ended {
 		w.mu.Unlock()
@@ -198,13 +198,13 @@
 		known bool
 	}
 	heard := make(chan told, 1)
-	go w.h.Tell(core.Ask{To: func(k whinrudder.Knowledge, known bool) { heard <- told{k, known} }})
+	go w.h.Submit(core.Ask{To: func(k whinrudder.Knowledge, known bool) { heard <- told{k, known} }})
 	select {
 	case a := <-heard:
 		if !a.known {
 			return r, false
 		}
-		names, _ := w.h.Terms()
+		names, _ := w.h.CurrentSettings()
 		r = knowledge.NewReport(names, a.k)
 	case <-time.After(time.Until(at(t + askFor))):
 		return r, false
@@ -221,7 +221,7 @@
 func (w *WarmUp) dress(r knowledge.Report) knowledge.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, s := w.h.Terms()
+	_, s := w.h.CurrentSettings()
 	r.Node, r.Cores, r.Draining = w.h.Name, s.Cores, w.leaving
 	if w.ready > 0 {
 		r.Life, r.Warm = now()-w.ready, now() >= w.warmAt
@@ -233,9 +233,9 @@
 func (w *WarmUp) full() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, s := w.h.Terms()
+	_, s := w.h.CurrentSettings()
 	limit := w.report.Limit.Value * float64(s.Cores)
-	return w.reportAt > 0 && limit > 0 && float64(w.h.InHand()) >= limit
+	return w.reportAt > 0 && limit > 0 && float64(w.h.PendingRequests()) >= limit
 }
 
 // snapshots writes what the node knows to its file, now and then and once when it leaves.
@@ -286,7 +286,7 @@
 }
 
 // maxSnapshot is the most that a file of this format can hold.
-const maxSnapshot = (peer.MaxSections + 3) * (peer.MaxPayload + 16)
+const maxSnapshot = (peer.MaxSections + 3) * (peer.MaxPayloadBytes + 16)
 
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
@@ -311,7 +311,7 @@
 	if len(reports) == 0 {
 		return
 	}
-	names, s := w.h.Terms()
+	names, s := w.h.CurrentSettings()
 	prior, remarks := knowledge.Merge(w.trust(), knowledge.Need{Names: names, Settings: s}, reports)
 	for _, r := range remarks {
 		w.h.Log("prior", r.Pairs()...)
@@ -320,5 +320,5 @@
 		w.h.Log("prior", "code", "empty", "donors", strings.Join(prior.Donors, ","))
 		return
 	}
-	w.h.Tell(core.Teach{Prior: prior})
+	w.h.Submit(core.Teach{Prior: prior})
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -18,9 +18,9 @@
 	"whinrudder"
 	"whinrudder/internal/core"
 	"whinrudder/internal/eventlog"
-	"whinrudder/internal/keys"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/peer"
+	"whinrudder/internal/peertls"
 	"whinrudder/internal/settings"
 )
 
@@ -51,8 +51,8 @@
 		cfg.SnapshotMs = 3600e3
 	}
 	class := whinrudder.Class{Aim: 1000, Deadline: 3000, Repeat: whinrudder.Safe}
-	h := Host{Name: name, Tell: n.tell, Log: n.log, InHand: func() int { return n.inHand },
-		Terms: func() ([]string, whinrudder.Settings) {
+	h := Host{Name: name, Submit: n.tell, Log: n.log, PendingRequests: func() int { return n.inHand },
+		CurrentSettings: func() ([]string, whinrudder.Settings) {
 			return []string{"status", "book"}, whinrudder.Settings{Cores: 4, Classes: []whinrudder.Class{class, class}}
 		}}
 	w, err := Start(h, cfg)
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	n.w = w
-	t.Cleanup(func() { w.Ended(now() + 5000) })
+	t.Cleanup(func() { w.EndShutdown(now() + 5000) })
 	return n
 }
 
@@ -106,7 +106,7 @@
 }
 
 // lend makes the keys of a node by an authority, good from one time to another.
-func lend(t *testing.T, a *keys.Authority, name string, from, to time.Duration) keys.Files {
+func lend(t *testing.T, a *peertls.Authority, name string, from, to time.Duration) peertls.Files {
 	t.Helper()
 	f, err := a.Issue(t.TempDir(), "k", name, time.Now().Add(from), time.Now().Add(to))
 	if err != nil {
@@ -115,30 +115,30 @@
 	return f
 }
 
-func authority(t *testing.T) *keys.Authority {
+func authority(t *testing.T) *peertls.Authority {
 	t.Helper()
-	a, err := keys.NewAuthority(time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
+	a, err := peertls.NewAuthority(time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-func with(f keys.Files, p settings.Peer) settings.Peer {
-	p.Cert, p.Key, p.Authority, p.Name = f.Cert, f.Key, f.Authority, f.Name
+func with(f peertls.Files, p settings.Peer) settings.Peer {
+	p.Cert, p.Key, p.Authority, p.Name = f.Cert, f.Key, f.Authority, f.PeerName
 	return p
 }
 
-func ask(n *toy, f keys.Files) (knowledge.Report, string) {
+func ask(n *toy, f peertls.Files) (knowledge.Report, string) {
 	n.t.Helper()
-	var ring *keys.Ring
+	var ring *peertls.Credentials
 	if f.Cert != "" {
 		var err error
-		if ring, err = keys.Open(f); err != nil {
+		if ring, err = peertls.Load(f); err != nil {
 			n.t.Fatal(err)
 		}
 	}
-	r, err := Ask(n.w.Addr(), "taker", ring, now()+5000)
+	r, err := FetchReport(n.w.Addr(), "taker", ring, now()+5000)
 	var bad *peer.Fault
 	if errors.As(err, &bad) {
 		return r, bad.Code
@@ -155,7 +155,7 @@
 	mixed.Cert, mixed.Key = foreign.Cert, foreign.Key
 	for _, c := range []struct {
 		name         string
-		files        keys.Files
+		files        peertls.Files
 		taker, giver string
 	}{
 		{"good", good, "", "given"},
@@ -164,7 +164,7 @@
 		{"not yet good", lend(t, ours, "fleet", time.Hour, 2*time.Hour), "cert-refused", "cert-expired"},
 		{"another authority's", mixed, "cert-refused", "cert-foreign"},
 		{"of another authority altogether", foreign, "cert-foreign", "cert-refused"},
-		{"plain text", keys.Files{}, "unreached", "no-tls"},
+		{"plain text", peertls.Files{}, "unreached", "no-tls"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := node(t, "giver", with(good, settings.Peer{Listen: "127.0.0.1:0"}))
@@ -207,7 +207,7 @@
 	}
 	old := lend(t, ours, "fleet", -time.Hour, time.Hour)
 	n := node(t, "giver", with(f, settings.Peer{Listen: "127.0.0.1:0"}))
-	ring, err := keys.Open(old)
+	ring, err := peertls.Load(old)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,10 +217,10 @@
 	}
 	defer raw.Close()
 	c := ring.Client(raw)
-	taker, hello := peer.NewTaker("half-way")
+	taker, hello := peer.NewReceiverConn("half-way")
 	c.Write(hello)
 	buf := make([]byte, 4096)
-	for news := peer.NewsNone; news != peer.NewsWelcome; {
+	for news := peer.EventNone; news != peer.EventWelcome; {
 		k, err := c.Read(buf)
 		if err != nil {
 			t.Fatal(err)
@@ -243,8 +243,8 @@
 	if _, code := ask(n, old); code != "cert-foreign" {
 		t.Errorf("want the new keys met, got %q", code)
 	}
-	c.Write(taker.Take())
-	for news := peer.NewsNone; news != peer.NewsWhole; {
+	c.Write(taker.RequestSections())
+	for news := peer.EventNone; news != peer.EventComplete; {
 		k, err := c.Read(buf)
 		if err != nil {
 			t.Fatalf("the open transfer was dropped: %v", err)
@@ -260,7 +260,7 @@
 		if full {
 			n.inHand = 100
 		}
-		ask(n, keys.Files{}) // the first fills what is told to all
+		ask(n, peertls.Files{}) // the first fills what is told to all
 		n.asked = 0
 		n.w.mu.Lock()
 		n.w.budget = peer.NewBudget(now())
@@ -271,7 +271,7 @@
 		codes := map[string]int{}
 		for range 20 {
 			wait.Go(func() {
-				_, code := ask(n, keys.Files{})
+				_, code := ask(n, peertls.Files{})
 				mu.Lock()
 				codes[code]++
 				mu.Unlock()
@@ -323,7 +323,7 @@
 	first := node(t, "n1", cfg)
 	first.line("side=snapshot", "code=none")
 	first.w.Ready(false)
-	first.w.Leaving()
+	first.w.BeginShutdown()
 	first.line("side=snapshot", "code=written")
 	whole, err := os.ReadFile(file)
 	if err != nil {
@@ -362,11 +362,11 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patience))
-	taker, hello := peer.NewTaker("late")
+	taker, hello := peer.NewReceiverConn("late")
 	c.Write(hello)
 	buf := make([]byte, 4096)
-	until := func(want peer.News) {
-		for news := peer.NewsNone; news != want; {
+	until := func(want peer.Event) {
+		for news := peer.EventNone; news != want; {
 			k, err := c.Read(buf)
 			if err != nil {
 				t.Fatal(err)
@@ -374,12 +374,12 @@
 			news, _ = taker.Feed(buf[:k])
 		}
 	}
-	until(peer.NewsWelcome)
-	n.w.Leaving()
-	c.Write(taker.Take())
-	until(peer.NewsBusy)
-	if taker.Code != "draining" || taker.Retry != peer.MaxRetry {
-		t.Errorf("want draining, got %s for %v", taker.Code, taker.Retry)
+	until(peer.EventWelcome)
+	n.w.BeginShutdown()
+	c.Write(taker.RequestSections())
+	until(peer.EventBusy)
+	if taker.Code != "draining" || taker.RetryMs != peer.MaxRetryMs {
+		t.Errorf("want draining, got %s for %v", taker.Code, taker.RetryMs)
 	}
 	n.line("side=give", "code=draining")
 }
@@ -429,7 +429,7 @@
 	for _, c := range open[maxTakers:] {
 		n.line("side=give peer=" + c.LocalAddr().String() + " code=full")
 	}
-	n.w.Ended(now() + 5000)
+	n.w.EndShutdown(now() + 5000)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	lines := 0
