--- a/api.go
+++ b/api.go
@@ -23,45 +23,45 @@
 // RequestID names one try of a request. It is opaque and never reused within the life of a server.
 type RequestID string
 
-// Repeat says how often a class of requests may take effect.
-type Repeat string
+// Repeatability says how often a class of requests may take effect.
+type Repeatability string
 
 // The kinds of classes.
 const (
-	Safe   Repeat = "safe"   // may run any number of times
-	Keyed  Repeat = "keyed"  // runs once on a node within its window; repeats are linked by the key table
-	Unsafe Repeat = "unsafe" // runs once; a try is sent again only if the earlier one never ran
+	Safe   Repeatability = "safe"   // may run any number of times
+	Keyed  Repeatability = "keyed"  // runs once on a node within its window; the key table links repeats
+	Unsafe Repeatability = "unsafe" // runs once; a try is sent again only if the earlier one never ran
 )
 
-// Halt says what a host can do to work that runs.
-type Halt string
+// StopMode says what a host can do to work that runs.
+type StopMode string
 
 // The ways to stop work.
 const (
-	HaltNone  Halt = "none"  // running work can't be stopped
-	HaltAbort Halt = "abort" // stopped work is lost and the request returns to the hold
-	HaltPause Halt = "pause" // stopped work keeps progress and memory and can be resumed
+	StopNone  StopMode = "none"  // running work can't be stopped
+	StopAbort StopMode = "abort" // stopped work is lost and the request returns to the hold
+	StopPause StopMode = "pause" // stopped work keeps progress and memory and can be resumed
 )
 
-// Say is how callers read the free value that rides on each answer.
-type Say string
+// CreditMode is how callers read the free value that rides on each answer.
+type CreditMode string
 
 // The readings of the free value.
 const (
-	SayNothing   Say = "none"      // unused
-	SayWindow    Say = "window"    // most requests a caller may have out with this server
-	SayThreshold Say = "threshold" // callers withhold what ranks below it
-	SayShare     Say = "share"     // chance, 0 to 1, that a caller does not pass this server by
+	CreditNone      CreditMode = "none"      // unused
+	CreditWindow    CreditMode = "window"    // most requests a caller may have out with this server
+	CreditThreshold CreditMode = "threshold" // callers withhold what ranks below it
+	CreditShare     CreditMode = "share"     // chance, 0 to 1, that a caller does not pass this server by
 )
 
-// Below is what running requests call.
-type Below string
+// Dependency is what running requests call.
+type Dependency string
 
 // The kinds of dependency.
 const (
-	BelowNone   Below = "none"   // no calls
-	BelowShared Below = "shared" // one dependency that all servers share
-	BelowTier   Below = "tier"   // a further tier of servers like this one
+	DependencyNone   Dependency = "none"   // no calls
+	DependencyShared Dependency = "shared" // one dependency that all servers share
+	DependencyTier   Dependency = "tier"   // a further tier of servers like this one
 )
 
 // Code is how a run or a call ended.
@@ -81,15 +81,15 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim        float64 // answers within this time of arrival earn full worth
-	AimStretch float64 // the aim grows by this multiple of the request's own work, up to Deadline
-	Deadline   float64 // how long a client waits in all
-	Worth      float64 // worth of one request, or of one unit of work
-	LateWorth  float64 // share of the worth left after the aim
-	Repeat     Repeat  // what may happen twice
-	Window     float64 // Keyed: how long after its arrival a request can recur
-	Calls      bool    // may call the dependency
-	SkipWorth  float64 // share of the worth that an answer keeps when a call was skipped
+	Aim             float64       // answers within this time of arrival earn full worth
+	AimStretch      float64       // the aim grows by this multiple of the request's own work, up to Deadline
+	Deadline        float64       // how long a client waits in all
+	Worth           float64       // worth of one request, or of one unit of work
+	LateWorth       float64       // share of the worth left after the aim
+	Repeat          Repeatability // what may happen twice
+	Window          float64       // Keyed: how long after its arrival a request can recur
+	CallsDependency bool          // may call the dependency
+	SkipWorth       float64       // share of the worth that an answer keeps when a call was skipped
 }
 
 // Tenant describes one user of a shared fleet.
@@ -114,33 +114,33 @@
 
 // Settings is all that a policy knows of its server at the start.
 type Settings struct {
-	Servers         int // servers in the fleet
-	Callers         int // callers of the fleet
-	Cores           int
-	Cold            bool    // the process was only just started
-	Memory          float64 // kilobytes
-	RunFactor       float64 // memory of a running request over that of a held one
-	EntryKB         float64 // memory of a key entry
-	Classes         []Class
-	Tenants         []Tenant
-	OverShareWorth  float64 // worth of a request beyond its tenant's quota, as a share
-	WorthByWork     bool    // worth counts for each unit of work
-	Halt            Halt
-	Say             Say
-	HeardFor        float64 // how long a caller heeds the free value; 0: without end
-	TellsGone       bool    // the server hears of callers that gave up
-	PassesDeadline  bool    // arrivals carry their due time
-	Below           Below
-	CallShare       float64 // mean calls this server may have in the dependency's hands
-	CallShareWindow float64 // the time over which that mean is taken
-	CallLinger      float64 // how long an abandoned call stays in the dependency's hands
-	Fresh           float64 // how long an answer to a read may serve others
-	DeepChecks      bool    // health checks do real work unless answered from store
-	MaxRetryAfter   float64 // longest stay-away advice that is heeded; 0: none
-	KeepAlive       float64 // longest time a connection stays open idle
-	Tick            float64 // shortest time between two steps
-	Rules           Rules
-	Goal            Goal
+	Servers             int // servers in the fleet
+	Callers             int // callers of the fleet
+	Cores               int
+	Cold                bool    // the process was only just started
+	Memory              float64 // kilobytes
+	RunFactor           float64 // memory of a running request over that of a held one
+	EntryKB             float64 // memory of a key entry
+	Classes             []Class
+	Tenants             []Tenant
+	OverShareWorth      float64 // worth of a request beyond its tenant's quota, as a share
+	WorthByWork         bool    // worth counts for each unit of work
+	Halt                StopMode
+	CreditMode          CreditMode
+	HeardFor            float64 // how long a caller heeds the free value; 0: without end
+	ReportsCancellation bool    // the server hears of callers that gave up
+	PassesDeadline      bool    // arrivals carry their due time
+	Dependency          Dependency
+	CallShare           float64 // mean calls this server may have in the dependency's hands
+	CallShareWindow     float64 // the time over which that mean is taken
+	CallLinger          float64 // how long an abandoned call stays in the dependency's hands
+	Fresh               float64 // how long an answer to a read may serve others
+	DeepChecks          bool    // health checks do real work unless answered from store
+	MaxRetryAfter       float64 // longest stay-away advice that is heeded; 0: none
+	KeepAlive           float64 // longest time a connection stays open idle
+	Tick                float64 // shortest time between two steps
+	Rules               Rules
+	Goal                Goal
 }
 
 // Check reports all settings that make no sense, together, each by its name. Figures must be finite and not
@@ -176,7 +176,7 @@
 		figure(f.name, f.v)
 	}
 	want(r.FallMultiple >= 1, "Rules.FallMultiple is %v, want at least 1", r.FallMultiple)
-	want(s.Halt == HaltNone || s.Halt == HaltAbort || s.Halt == HaltPause, "Halt %q is unknown", s.Halt)
+	want(s.Halt == StopNone || s.Halt == StopAbort || s.Halt == StopPause, "Halt %q is unknown", s.Halt)
 	for i, t := range s.Tenants {
 		figure(fmt.Sprintf("Tenants[%d].QuotaPerSecond", i), t.QuotaPerSecond)
 	}
@@ -195,16 +195,16 @@
 	return errors.Join(errs...)
 }
 
-// Figure is one learned figure. In a prior N is what it counts for; in knowledge, what it rests on.
-type Figure struct {
+// Estimate is one learned figure. In a prior N is what it counts for; in knowledge, what it rests on.
+type Estimate struct {
 	Value float64
 	N     float64 // observations; 0: the figure is absent
 	Age   float64 // since the last of them
 }
 
-// Fit holds the moments of an aging straight fit of core time by hinted work, as means. Without hints Work
-// is 0.
-type Fit struct {
+// CostModel holds the moments of an aging straight fit of core time by hinted work, as means. Without hints
+// Work is 0.
+type CostModel struct {
 	N, Age             float64 // observations, 200 at most, and the time since the last
 	Work, Time         float64 // hinted work, core time on a warm server of this speed
 	WorkWork, WorkTime float64 // square of the work, product of both
@@ -212,7 +212,7 @@
 
 // ClassKnowledge is what was learned of one class.
 type ClassKnowledge struct {
-	Cost  Fit
+	Cost  CostModel
 	Waits []float64 // how long callers of the last arrivals still waited, the newest first; 16 at most
 	Share float64   // worth asked for lately, to be compared with that of the other classes
 }
@@ -220,23 +220,23 @@
 // Knowledge is what a policy has learned that outlives it. Classes stand in the order of [Settings]. Costs,
 // the pace and slowness belong to the machine; the relation of the costs, waits and shares to the traffic.
 type Knowledge struct {
-	Classes  []ClassKnowledge
-	Limit    Figure // requests on the cores, for each core
-	Pace     Figure // core time that runs have in a millisecond with the cores full, for each core
-	Slow     Figure // how much longer runs take now than their base
-	CallBase Figure // lowest latency of calls
+	Classes         []ClassKnowledge
+	Limit           Estimate // requests on the cores, for each core
+	CoreShare       Estimate // core time that runs have in a millisecond with the cores full, for each core
+	Slowdown        Estimate // how much longer runs take now than their base
+	BaseCallLatency Estimate // lowest latency of calls
 }
 
 // Knowledge returns what the own runs have taught so far. What was adopted is no part of it.
 func (p *Policy) Knowledge() Knowledge {
-	figure := func(v float64) Figure { return Figure{v / p.cores, p.renewed, p.now - p.ruled} }
-	k := Knowledge{Limit: figure(p.limit), Pace: figure(p.pace), Slow: figure(p.slow * p.cores)}
+	figure := func(v float64) Estimate { return Estimate{v / p.cores, p.renewed, p.now - p.ruled} }
+	k := Knowledge{Limit: figure(p.limit), CoreShare: figure(p.pace), Slowdown: figure(p.slow * p.cores)}
 	if p.callLat > 0 {
-		k.CallBase = Figure{p.callMin, p.renewed, p.now - p.ruled}
+		k.BaseCallLatency = Estimate{p.callMin, p.renewed, p.now - p.ruled}
 	}
 	for i := range p.classes {
 		c := &p.classes[i]
-		l := ClassKnowledge{Share: c.asked, Cost: Fit{N: min(c.runs, baseMemory), Age: p.now - c.learn,
+		l := ClassKnowledge{Share: c.asked, Cost: CostModel{N: min(c.runs, baseMemory), Age: p.now - c.learn,
 			Work: c.base.X, Time: c.base.Y, WorkWork: c.base.XX, WorkTime: c.base.XY}}
 		for j := range min(c.seen-c.told, waitsKept) {
 			l.Waits = append(l.Waits, c.waits[(c.seen-1-j)%waitsKept])
@@ -251,20 +251,20 @@
 
 // Arrival is a request that was read and now waits in the hold.
 type Arrival struct {
-	ID       RequestID
-	Due      float64 // absolute time at which its caller gives up; 0: unknown
-	Caller   int
-	Unread   float64 // time since it reached the server
-	HintOK   bool    // Work is meaningful
-	Retry    bool    // marked as a retry or a second copy
-	Write    bool
-	RepeatOf RequestID // the kept or unfinished request that this one repeats, or empty
-	Key      string    // what it is about
-	KB       float64   // memory it takes while held
-	Work     float64   // expected work
-	Rank     float64   // place by worth, from 0 to under 1
-	Tenant   int
-	Class    int
+	ID        RequestID
+	Due       float64 // absolute time at which its caller gives up; 0: unknown
+	Caller    int
+	ReadDelay float64 // time since it reached the server
+	WorkKnown bool    // Work is meaningful
+	Retry     bool    // marked as a retry or a second copy
+	Write     bool
+	RepeatOf  RequestID // the kept or unfinished request that this one repeats, or empty
+	Key       string    // what it is about
+	MemoryKB  float64   // memory it takes while held
+	Work      float64   // expected work
+	Rank      float64   // place by worth, from 0 to under 1
+	Tenant    int
+	Class     int
 }
 
 // Ended reports the end of a run, a resumed run or a Reuse.
@@ -290,20 +290,21 @@
 // Notice tells the server that it will be stopped at the given absolute time. Where another process of the
 // same server has taken over what comes, no caller is to be sent away.
 type Notice struct {
-	StopAt    float64
-	Succeeded bool
+	StopAt     float64
+	HandedOver bool
 }
 
 // Beside tells what another process of the same server has in hand on the same cores, while one takes over
 // from the other: what was started there and is not over, and the memory that all of it takes.
 type Beside struct {
-	Live int
-	KB   float64
+	InProgress int     // requests that were started there and have not ended
+	MemoryKB   float64 // memory that all its requests take
 }
 
-// Load is what this process has in hand, as Beside tells it to another.
-func (p *Policy) Load() Beside {
-	return Beside{p.live() - p.beside.Live, max(0, p.used()-p.beside.KB)} // sums of floats are not exact
+// CurrentLoad returns what this process has in hand, as Beside reports it to another.
+func (p *Policy) CurrentLoad() Beside {
+	// Sums of floats are not exact.
+	return Beside{p.live() - p.beside.InProgress, max(0, p.used()-p.beside.MemoryKB)}
 }
 
 // Drain tells that operators send the clients away from this server, or take them back. The server goes on
@@ -345,9 +346,9 @@
 
 // Refuse answers that the request was turned away and never ran.
 type Refuse struct {
-	ID           RequestID
-	RetryAfter   float64 // how long the caller should stay away; 0: no advice
-	NotElsewhere bool    // asks the caller not to try another server
+	ID               RequestID
+	RetryAfter       float64 // how long the caller should stay away; 0: no advice
+	NoRetryElsewhere bool    // asks the caller not to try another server
 }
 
 // Fail answers with an error.
@@ -365,7 +366,7 @@
 // Keep enters a request into the key table, or renews its entry, for so long from now.
 type Keep struct {
 	ID  RequestID
-	For float64
+	TTL float64
 }
 
 // Forget drops a request's entry in the key table.
@@ -374,11 +375,11 @@
 // Reuse serves a request with the answer of the one it repeats.
 type Reuse struct{ ID RequestID }
 
-// Health sets what health checks hear.
-type Health struct{ Stored, Good bool }
+// Health sets the answer of health checks: whether it is given from store (Cached), and whether it is good.
+type Health struct{ Cached, Healthy bool }
 
 // Advertise sets the free value.
-type Advertise struct{ Value float64 }
+type Advertise struct{ Credit float64 }
 
 // CloseIdle closes connections that were idle for so long.
 type CloseIdle struct{ After float64 }
--- a/example_test.go
+++ b/example_test.go
@@ -11,7 +11,7 @@
 	policy, err := whinrudder.New(whinrudder.Settings{
 		Servers: 3, Callers: 2, Cores: 4, Memory: 1 << 20, RunFactor: 8, Tick: 4,
 		Classes: []whinrudder.Class{{Aim: 500, Deadline: 2000, Worth: 1, Repeat: whinrudder.Safe}},
-		Halt:    whinrudder.HaltNone, Say: whinrudder.SayWindow, PassesDeadline: true,
+		Halt:    whinrudder.StopNone, CreditMode: whinrudder.CreditWindow, PassesDeadline: true,
 		Rules: whinrudder.Rules{FallMultiple: 6, AnswerGrace: 50},
 	}, 1)
 	if err != nil {
@@ -28,12 +28,12 @@
 			case whinrudder.Refuse:
 				fmt.Println("refuse", a.ID)
 			case whinrudder.Advertise:
-				fmt.Printf("each caller may have %.0f out\n", a.Value)
+				fmt.Printf("each caller may have %.0f out\n", a.Credit)
 			}
 		}
 	}
 	do(0)
-	do(10, whinrudder.Arrival{ID: "a", Due: 2010, KB: 20})
+	do(10, whinrudder.Arrival{ID: "a", Due: 2010, MemoryKB: 20})
 	do(95, whinrudder.Ended{ID: "a", Code: whinrudder.OK, Latency: 85})
 	// Output:
 	// each caller may have 4 out
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -412,7 +412,7 @@
 // dress adds to an answer what all answers carry.
 func (c *Core) dress(a Answer) Answer {
 	// A node that leaves keeps connections for as long as the module calls it good: new ones cost the cores work.
-	a.Load, a.Close, a.WriteBy = c.load, c.leaving && !c.health.Good, c.now+writeWait
+	a.Load, a.Close, a.WriteBy = c.load, c.leaving && !c.health.Healthy, c.now+writeWait
 	return a
 }
 
@@ -475,7 +475,7 @@
 	case Leave:
 		if !c.leaving {
 			c.leaving, c.stopAt, c.succeeded = true, i.StopAt, i.Succeeded
-			c.event(whinrudder.Notice{StopAt: i.StopAt, Succeeded: i.Succeeded})
+			c.event(whinrudder.Notice{StopAt: i.StopAt, HandedOver: i.Succeeded})
 			c.do(Leaving{})
 		}
 	case Bound:
@@ -563,7 +563,7 @@
 		c.event(c.beside)
 	}
 	if c.leaving {
-		c.event(whinrudder.Notice{StopAt: c.stopAt, Succeeded: c.succeeded})
+		c.event(whinrudder.Notice{StopAt: c.stopAt, HandedOver: c.succeeded})
 	}
 }
 
@@ -596,7 +596,7 @@
 	if q.Token != "" && c.keeps(q.Class) && !c.begin(r) {
 		return
 	}
-	a := whinrudder.Arrival{ID: id(q.ID), RepeatOf: id(r.of), Due: q.Due - wayBack, Caller: q.Caller, Unread: max(0, c.now-q.Came), KB: q.KB,
+	a := whinrudder.Arrival{ID: id(q.ID), RepeatOf: id(r.of), Due: q.Due - wayBack, Caller: q.Caller, ReadDelay: max(0, c.now-q.Came), MemoryKB: q.KB,
 		Rank: q.Rank, Key: q.Key, Class: q.Class, Write: sc.Repeat != whinrudder.Safe}
 	if c.settings.Fresh > 0 && sc.Repeat == whinrudder.Safe && q.Key != "" {
 		a.RepeatOf = id(c.keys.repeats(q, c.now))
@@ -692,8 +692,8 @@
 	switch {
 	case c.policy == nil:
 		c.direct(k.To, c.good(false)) // the worker pool is not up
-	case c.health.Stored || !k.Deep:
-		c.direct(k.To, c.good(c.health.Good))
+	case c.health.Cached || !k.Deep:
+		c.direct(k.To, c.good(c.health.Healthy))
 	case !c.linked || len(c.checks) >= maxChecks:
 		c.direct(k.To, c.good(false))
 	default:
@@ -782,7 +782,7 @@
 			}
 		case whinrudder.Refuse:
 			if r := c.reqs[string(a.ID)]; r != nil {
-				c.answer(r, Answer{Outcome: Refused, Wait: a.RetryAfter, Last: a.NotElsewhere})
+				c.answer(r, Answer{Outcome: Refused, Wait: a.RetryAfter, Last: a.NoRetryElsewhere})
 			}
 		case whinrudder.Fail:
 			if r := c.reqs[string(a.ID)]; r != nil {
@@ -790,7 +790,7 @@
 			}
 		case whinrudder.Keep:
 			if r := c.reqs[string(a.ID)]; r != nil && !c.keeps(r.Class) {
-				c.keys.keep(r.Request, c.now, c.now+a.For)
+				c.keys.keep(r.Request, c.now, c.now+a.TTL)
 			}
 		case whinrudder.Forget:
 			c.keys.forget(string(a.ID), c.reuse)
@@ -802,11 +802,11 @@
 			c.keys.reuse(string(a.ID), c.reuse)
 		case whinrudder.Health:
 			c.health = a
-			if c.leaving && !a.Good {
+			if c.leaving && !a.Healthy {
 				c.do(Closing{})
 			}
 		case whinrudder.Advertise:
-			c.load = a.Value
+			c.load = a.Credit
 		case whinrudder.CloseIdle:
 			c.do(Idle{a.After})
 		case whinrudder.Wake:
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -18,14 +18,14 @@
 // A deep check does work unless the module answers from store; one that gets no word of it in time is bad, and no
 // more are at work than the bound allows.
 func TestDeepChecksDoWork(t *testing.T) {
-	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.HaltAbort, Say: whinrudder.SayNothing,
+	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditNone,
 		Rules:   whinrudder.Rules{FallMultiple: 8},
 		Classes: []whinrudder.Class{{Aim: 1, Deadline: 2, Repeat: whinrudder.Safe}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Step(1000, []Input{Bound{}, Synced{}})
-	c.health = whinrudder.Health{Good: true} // the module here always answers from store
+	c.health = whinrudder.Health{Healthy: true} // the module here always answers from store
 	reply := func(to string, o Outcome, at float64) Output {
 		return Reply{sink(to), Answer{Outcome: o, Load: -1, WriteBy: at + writeWait}}
 	}
@@ -51,7 +51,7 @@
 // A node that leaves ends its connections only once the module calls it no good: until then it serves in full, and
 // callers would pay for a new connection with each request.
 func TestLeavingNodeKeepsConnectionsWhileItIsGood(t *testing.T) {
-	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.HaltAbort, Say: whinrudder.SayNothing,
+	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditNone,
 		Rules:   whinrudder.Rules{FallMultiple: 8},
 		Classes: []whinrudder.Class{{Aim: 1, Deadline: 2, Repeat: whinrudder.Safe}}}, 1)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	c.Step(1000, []Input{Bound{}, Synced{}, Leave{StopAt: 5000}})
 	for good, outcome := range map[bool]Outcome{true: Served, false: Failed} {
-		c.health.Good = good // the module here is not needed, and calls itself bad at once
+		c.health.Healthy = good // the module here is not needed, and calls itself bad at once
 		want := []Output{Reply{sink("a"), Answer{Outcome: outcome, Load: -1, WriteBy: 1001 + writeWait, Close: !good}}}
 		if diff := cmp.Diff(want, append([]Output{}, c.Step(1001, []Input{Checked{false, sink("a")}})...)); diff != "" {
 			t.Error(diff)
@@ -70,7 +70,7 @@
 // An id is remembered for as long as its caller may still wait, however many others came since, and no longer: it must
 // not run twice, and the memory must not grow.
 func TestIDsAreRememberedForTheirTime(t *testing.T) {
-	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Halt: whinrudder.HaltAbort, Rules: whinrudder.Rules{FallMultiple: 8},
+	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Halt: whinrudder.StopAbort, Rules: whinrudder.Rules{FallMultiple: 8},
 		Classes: []whinrudder.Class{{Aim: 1, Deadline: 9000, Repeat: whinrudder.Unsafe}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -97,8 +97,8 @@
 // goes on and for a write that a broken link may have lost.
 func TestAnswersComeBeforeCallersStopWaiting(t *testing.T) {
 	for name, in := range map[string][]Input{"running": nil, "doubt": {Lost{}, Synced{Unsure: []string{"w"}}}} {
-		c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, PassesDeadline: true, Halt: whinrudder.HaltAbort,
-			Say: whinrudder.SayNothing, Rules: whinrudder.Rules{FallMultiple: 8},
+		c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, PassesDeadline: true, Halt: whinrudder.StopAbort,
+			CreditMode: whinrudder.CreditNone, Rules: whinrudder.Rules{FallMultiple: 8},
 			Classes: []whinrudder.Class{{Aim: 500, Deadline: 2000, Repeat: whinrudder.Unsafe}}}, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -119,7 +119,7 @@
 // What is answered leaves the queue of due requests by the next look at it, or stays there without its body: a node
 // that answers a thousand requests a second must not keep them for seconds.
 func TestAnsweredRequestsKeepNoBody(t *testing.T) {
-	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Halt: whinrudder.HaltAbort, Rules: whinrudder.Rules{FallMultiple: 8},
+	c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Halt: whinrudder.StopAbort, Rules: whinrudder.Rules{FallMultiple: 8},
 		Classes: []whinrudder.Class{{Aim: 1, Deadline: 9000, Repeat: whinrudder.Unsafe}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 // The module of a worker pool that has been up for an hour must not begin with timers that are an hour late.
 func TestWarmStartHasNoPast(t *testing.T) {
 	for cold, want := range map[bool]bool{false: true, true: false} {
-		c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.HaltAbort, Say: whinrudder.SayNothing,
+		c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditNone,
 			Rules:   whinrudder.Rules{FallMultiple: 8, RampTime: 17000},
 			Classes: []whinrudder.Class{{Aim: 1, Deadline: 2, Repeat: whinrudder.Safe}}}, 1)
 		if err != nil {
@@ -156,8 +156,8 @@
 
 // loaded returns a core with so many requests in hand, a third of them running.
 func loaded(tb testing.TB, n int) (c *Core, runs []string, now float64) {
-	c, err := New(whinrudder.Settings{Cores: 1 + n/3, Memory: 1e9, Tick: 2, Halt: whinrudder.HaltAbort, Callers: 3,
-		Say: whinrudder.SayWindow, PassesDeadline: true, Rules: whinrudder.Rules{FallMultiple: 6},
+	c, err := New(whinrudder.Settings{Cores: 1 + n/3, Memory: 1e9, Tick: 2, Halt: whinrudder.StopAbort, Callers: 3,
+		CreditMode: whinrudder.CreditWindow, PassesDeadline: true, Rules: whinrudder.Rules{FallMultiple: 6},
 		Classes: []whinrudder.Class{{Aim: 1e6, Deadline: 3e6, Worth: 1, Repeat: whinrudder.Safe}}}, 1)
 	if err != nil {
 		tb.Fatal(err)
@@ -274,8 +274,8 @@
 // sharing returns a core of four cores that serves, where answers to reads may serve others.
 func sharing(t *testing.T) (c *Core, now float64) {
 	t.Helper()
-	c, err := New(whinrudder.Settings{Cores: 4, Memory: 1e9, Tick: 2, Halt: whinrudder.HaltAbort, Callers: 3, Fresh: 500,
-		Say: whinrudder.SayWindow, PassesDeadline: true, Rules: whinrudder.Rules{FallMultiple: 6},
+	c, err := New(whinrudder.Settings{Cores: 4, Memory: 1e9, Tick: 2, Halt: whinrudder.StopAbort, Callers: 3, Fresh: 500,
+		CreditMode: whinrudder.CreditWindow, PassesDeadline: true, Rules: whinrudder.Rules{FallMultiple: 6},
 		Classes: []whinrudder.Class{{Aim: 1000, Deadline: 3000, Worth: 1, Repeat: whinrudder.Safe}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -287,7 +287,7 @@
 // What another process of the node read must not run here, whether it was in hand there or over; each id is told once.
 func TestSharedIDsAreDoubled(t *testing.T) {
 	newCore := func() *Core {
-		c, err := New(whinrudder.Settings{Cores: 4, Memory: 1e6, Tick: 2, Halt: whinrudder.HaltAbort, Say: whinrudder.SayNothing,
+		c, err := New(whinrudder.Settings{Cores: 4, Memory: 1e6, Tick: 2, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditNone,
 			Rules: whinrudder.Rules{FallMultiple: 8}, Classes: []whinrudder.Class{{Aim: 1000, Deadline: 2000, Repeat: whinrudder.Unsafe}}}, 1)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -15,7 +15,7 @@
 	p := knowledge.Prior{Donors: []string{"d"}, Trust: knowledge.DefaultTrust}
 	for i, t := range times {
 		p.Names = append(p.Names, fmt.Sprint("c", i))
-		p.Classes = append(p.Classes, whinrudder.ClassKnowledge{Cost: whinrudder.Fit{N: 15, Time: t}})
+		p.Classes = append(p.Classes, whinrudder.ClassKnowledge{Cost: whinrudder.CostModel{N: 15, Time: t}})
 	}
 	return p
 }
@@ -83,8 +83,8 @@
 func newCore(tb testing.TB) *Core {
 	class := whinrudder.Class{Aim: 1000, Deadline: 3000, Worth: 1, Repeat: whinrudder.Safe}
 	c, err := New(whinrudder.Settings{Servers: 3, Callers: 3, Cores: 6, Memory: 1e6, RunFactor: 16, Tick: 2,
-		Classes: []whinrudder.Class{class, class}, Halt: whinrudder.HaltAbort, Say: whinrudder.SayWindow, HeardFor: 1000,
-		TellsGone: true, PassesDeadline: true, Rules: whinrudder.Rules{ColdFrom: 0.2, RampTime: 17000, DrainGrace: 2000,
+		Classes: []whinrudder.Class{class, class}, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditWindow, HeardFor: 1000,
+		ReportsCancellation: true, PassesDeadline: true, Rules: whinrudder.Rules{ColdFrom: 0.2, RampTime: 17000, DrainGrace: 2000,
 			FallMultiple: 8, FallWindow: 1500}}, 1)
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/core/retune.go
+++ b/internal/core/retune.go
@@ -44,7 +44,7 @@
 	}
 	s := c.settings
 	s.Cold = c.cold
-	c.policy.Retune(s, r.Fresh...)
+	c.policy.Reconfigure(s, r.Fresh...)
 	for _, i := range r.Fresh {
 		c.trial.Forget(i)
 	}
--- a/internal/core/share.go
+++ b/internal/core/share.go
@@ -20,7 +20,7 @@
 	}
 	var load whinrudder.Beside
 	if c.policy != nil {
-		load = c.policy.Load()
+		load = c.policy.CurrentLoad()
 	}
 	ids := c.fresh
 	c.fresh = nil
--- a/internal/emu/fleet/day.go
+++ b/internal/emu/fleet/day.go
@@ -119,8 +119,8 @@
 // Settings are those of a node of the day.
 func (d Day) Settings(cold bool) whinrudder.Settings {
 	s := whinrudder.Settings{Servers: d.Nodes, Callers: len(d.Callers), Cores: d.Cores, Cold: cold, Memory: d.Runs * float64(d.Cores) * heldKB * runFactor,
-		RunFactor: runFactor, EntryKB: 10, Halt: whinrudder.HaltAbort, Say: whinrudder.SayWindow, HeardFor: heardFor, TellsGone: true,
-		PassesDeadline: true, Below: whinrudder.BelowNone, DeepChecks: true, MaxRetryAfter: 1000, KeepAlive: 30000, Tick: 2,
+		RunFactor: runFactor, EntryKB: 10, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditWindow, HeardFor: heardFor, ReportsCancellation: true,
+		PassesDeadline: true, Dependency: whinrudder.DependencyNone, DeepChecks: true, MaxRetryAfter: 1000, KeepAlive: 30000, Tick: 2,
 		Rules: whinrudder.Rules{AnswerGrace: answerGrace, ColdFrom: d.Cold.Low, RampTime: d.Ramp.High, DrainGrace: d.Drain,
 			FallMultiple: d.FallAt, FallWindow: fallWindow},
 		Goal: whinrudder.Goal{Whole: 0.6, WorstClass: 0.2, WorstWindow: 0.2}}
--- a/internal/emu/live/live.go
+++ b/internal/emu/live/live.go
@@ -378,7 +378,7 @@
 		"settings": object{"servers": s.Servers, "tick_ms": s.Tick, "profiles": profiles,
 			"specifics": object{"below": "silent", "callers": s.Callers, "cores": s.Cores, "cold": s.Cold, "halt": "abort", "say": "window",
 				"heard_for_ms": s.HeardFor, "keepalive_max_ms": s.KeepAlive, "ram_kb": s.Memory, "run_factor": s.RunFactor, "entry_kb": s.EntryKB,
-				"passes_deadline": s.PassesDeadline, "tells_gone": s.TellsGone, "deep_checks": s.DeepChecks,
+				"passes_deadline": s.PassesDeadline, "tells_gone": s.ReportsCancellation, "deep_checks": s.DeepChecks,
 				"own_stats": []string{"cpu_busy", "runnable", "mem_used", "sockets"}},
 			"rules": object{"grace_to_answer_ms": s.Rules.AnswerGrace, "cold_from": s.Rules.ColdFrom, "ramp_time_ms": s.Rules.RampTime,
 				"drain_grace_ms": s.Rules.DrainGrace, "fall_multiple": s.Rules.FallMultiple, "overload_for_ms": s.Rules.FallWindow},
--- a/internal/emu/rivals/rivals_test.go
+++ b/internal/emu/rivals/rivals_test.go
@@ -176,7 +176,7 @@
 
 // The core serves behind the same interface.
 func TestTheCoreIsANode(t *testing.T) {
-	c, err := core.New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.HaltAbort, Say: whinrudder.SayWindow, PassesDeadline: true,
+	c, err := core.New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditWindow, PassesDeadline: true,
 		Rules:   whinrudder.Rules{FallMultiple: 8},
 		Classes: []whinrudder.Class{{Aim: 1000, Deadline: 2000, Worth: 1, Repeat: whinrudder.Safe}}}, 1)
 	if err != nil {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -145,7 +145,7 @@
 func (s *side) Load(b whinrudder.Beside, ids []string) {
 	for first := true; first || len(ids) > 0; first = false {
 		n := min(len(ids), idsAFrame)
-		l := load{Live: b.Live, KB: b.KB}
+		l := load{Live: b.InProgress, KB: b.MemoryKB}
 		for _, id := range ids[:n] {
 			if len(id) == idSize {
 				l.IDs = append(l.IDs, id...)
@@ -164,7 +164,7 @@
 	if l.Live < 0 || l.Live > maxLoad || !(l.KB >= 0 && l.KB <= maxLoad*1e3) || len(l.IDs)%idSize != 0 {
 		return Loaded{}, peer.NewFault("bad-load", "%d live, %v kB, %d bytes of ids", l.Live, l.KB, len(l.IDs))
 	}
-	e := Loaded{Beside: whinrudder.Beside{Live: l.Live, KB: l.KB}}
+	e := Loaded{Beside: whinrudder.Beside{InProgress: l.Live, MemoryKB: l.KB}}
 	for ; len(l.IDs) > 0; l.IDs = l.IDs[idSize:] {
 		e.IDs = append(e.IDs, string(l.IDs[:idSize]))
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,8 +19,8 @@
 )
 
 var sample = knowledge.Report{Node: "n1", Cores: 6, Warm: true, Classes: []knowledge.Class{{Name: "status",
-	ClassKnowledge: whinrudder.ClassKnowledge{Cost: whinrudder.Fit{N: 20, Time: 100}}}},
-	Limit: whinrudder.Figure{Value: 2, N: 10}}
+	ClassKnowledge: whinrudder.ClassKnowledge{Cost: whinrudder.CostModel{N: 20, Time: 100}}}},
+	Limit: whinrudder.Estimate{Value: 2, N: 10}}
 
 func addrs(text string) map[string]string {
 	out := map[string]string{}
@@ -32,8 +32,8 @@
 }
 
 func loadOf(words []string) (b whinrudder.Beside, ids []string) {
-	b.Live, _ = strconv.Atoi(words[0])
-	b.KB, _ = strconv.ParseFloat(words[1], 64)
+	b.InProgress, _ = strconv.Atoi(words[0])
+	b.MemoryKB, _ = strconv.ParseFloat(words[1], 64)
 	if len(words) > 2 {
 		ids = strings.Split(words[2], ",")
 	}
@@ -57,7 +57,7 @@
 		return peer.AppendValue(nil, kindYielded, struct{}{})
 	case "load":
 		b, ids := loadOf(rest)
-		return peer.AppendValue(nil, kindLoad, load{b.Live, b.KB, []byte(strings.Join(ids, ""))})
+		return peer.AppendValue(nil, kindLoad, load{b.InProgress, b.MemoryKB, []byte(strings.Join(ids, ""))})
 	case "conn":
 		n, _ := strconv.Atoi(strings.TrimPrefix(rest[1], "served="))
 		return peer.AppendValue(nil, kindConn, Conn{Front: rest[0], Served: n})
@@ -72,7 +72,7 @@
 }
 
 func told(b whinrudder.Beside, ids []string) string {
-	return strings.TrimSpace(fmt.Sprint(b.Live, " ", b.KB, " ", strings.Join(ids, ",")))
+	return strings.TrimSpace(fmt.Sprint(b.InProgress, " ", b.MemoryKB, " ", strings.Join(ids, ",")))
 }
 
 func tellEvent(e Event) string {
@@ -245,7 +245,7 @@
 			switch e := e.(type) {
 			case Asked:
 				g.Give(0, false, sample)
-				g.Load(whinrudder.Beside{Live: 2}, sent)
+				g.Load(whinrudder.Beside{InProgress: 2}, sent)
 			case Offered:
 				named = append(named, e.Fronts...)
 			case Learned:
@@ -310,7 +310,7 @@
 		for _, e := range events {
 			switch e := e.(type) {
 			case Loaded:
-				if e.Live < 0 || !(e.KB >= 0) {
+				if e.InProgress < 0 || !(e.MemoryKB >= 0) {
 					t.Error(e)
 				}
 			case Offered:
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -89,8 +89,8 @@
 // boot starts a node on the folder, with a link in step. It returns an error if the journal can't be opened.
 func (w *world) boot() {
 	w.dead = true
-	c, err := core.New(whinrudder.Settings{Cores: 64, Memory: 1e9, Tick: 2, Halt: whinrudder.HaltAbort, Callers: 3, MaxRetryAfter: 1000,
-		Say: whinrudder.SayWindow, PassesDeadline: true, TellsGone: true, Rules: whinrudder.Rules{FallMultiple: 6},
+	c, err := core.New(whinrudder.Settings{Cores: 64, Memory: 1e9, Tick: 2, Halt: whinrudder.StopAbort, Callers: 3, MaxRetryAfter: 1000,
+		CreditMode: whinrudder.CreditWindow, PassesDeadline: true, ReportsCancellation: true, Rules: whinrudder.Rules{FallMultiple: 6},
 		Classes: []whinrudder.Class{{Aim: 15000, Deadline: 80000, Worth: 3, Repeat: whinrudder.Unsafe}}}, 1)
 	if err != nil {
 		panic(err)
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -47,15 +47,15 @@
 	Warm     bool    // its worker pool is at full speed
 	Draining bool
 	Classes  []Class
-	Limit    whinrudder.Figure // requests on the cores, for each core
-	Pace     whinrudder.Figure // share of the cores that runs have when they are full
-	Slow     whinrudder.Figure // of the machine at the moment: never taken over
-	CallBase whinrudder.Figure
+	Limit    whinrudder.Estimate // requests on the cores, for each core
+	Pace     whinrudder.Estimate // share of the cores that runs have when they are full
+	Slow     whinrudder.Estimate // of the machine at the moment: never taken over
+	CallBase whinrudder.Estimate
 }
 
 // NewReport names what a module knows. Classes of which nothing was learned are left out.
 func NewReport(names []string, k whinrudder.Knowledge) Report {
-	r := Report{Limit: k.Limit, Pace: k.Pace, Slow: k.Slow, CallBase: k.CallBase}
+	r := Report{Limit: k.Limit, Pace: k.CoreShare, Slow: k.Slowdown, CallBase: k.BaseCallLatency}
 	for i, c := range k.Classes {
 		if i < len(names) && names[i] != "" && c.Cost.N > 0 {
 			r.Classes = append(r.Classes, Class{names[i], c})
@@ -79,7 +79,7 @@
 	for i := range r.Classes {
 		r.Classes[i].Cost.Age += by
 	}
-	for _, f := range []*whinrudder.Figure{&r.Limit, &r.Pace, &r.Slow, &r.CallBase} {
+	for _, f := range []*whinrudder.Estimate{&r.Limit, &r.Pace, &r.Slow, &r.CallBase} {
 		f.Age += by
 	}
 	return r
@@ -138,7 +138,7 @@
 	}
 	for _, f := range []struct {
 		name      string
-		f         whinrudder.Figure
+		f         whinrudder.Estimate
 		low, high float64
 	}{{"limit", r.Limit, 0.01, MaxLimit}, {"pace", r.Pace, 1e-3, 1}, {"slow", r.Slow, 1.0 / MaxSlow, MaxSlow},
 		{"call_base", r.CallBase, 0, MaxCall}} {
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -17,11 +17,11 @@
 
 // report is a donor's whose classes take so many milliseconds each; 0 is a class it knows nothing of.
 func report(node string, age float64, times ...float64) Report {
-	r := Report{Node: node, Life: 60e3, Cores: 6, Warm: true, Limit: whinrudder.Figure{Value: 2, N: 40, Age: age}}
+	r := Report{Node: node, Life: 60e3, Cores: 6, Warm: true, Limit: whinrudder.Estimate{Value: 2, N: 40, Age: age}}
 	for i, t := range times {
 		if t > 0 {
 			r.Classes = append(r.Classes, Class{need.Names[i], whinrudder.ClassKnowledge{Share: 1,
-				Cost: whinrudder.Fit{N: 150, Age: age, Time: t}, Waits: []float64{4000, 4000, 4000}}})
+				Cost: whinrudder.CostModel{N: 150, Age: age, Time: t}, Waits: []float64{4000, 4000, 4000}}})
 		}
 	}
 	return r
@@ -33,7 +33,7 @@
 		if t > 0 {
 			n = 3
 		}
-		k.Classes = append(k.Classes, whinrudder.ClassKnowledge{Cost: whinrudder.Fit{N: n, Time: t}})
+		k.Classes = append(k.Classes, whinrudder.ClassKnowledge{Cost: whinrudder.CostModel{N: n, Time: t}})
 	}
 	return k
 }
@@ -66,8 +66,8 @@
 		"class book waits is 17": func(r *Report) { r.Classes[2].Waits = make([]float64, 17) },
 		"status twice":           func(r *Report) { r.Classes[1].Name = "status" },
 		"limit is 1e+06":         func(r *Report) { r.Limit.Value = 1e6 },
-		"pace is 2":              func(r *Report) { r.Pace = whinrudder.Figure{Value: 2, N: 1} },
-		"slow is 1000":           func(r *Report) { r.Slow = whinrudder.Figure{Value: 1000, N: 1} },
+		"pace is 2":              func(r *Report) { r.Pace = whinrudder.Estimate{Value: 2, N: 1} },
+		"slow is 1000":           func(r *Report) { r.Slow = whinrudder.Estimate{Value: 1000, N: 1} },
 	} {
 		r := report("a", 0, 100, 50, 200)
 		change(&r)
@@ -181,7 +181,7 @@
 	for i := range known.Classes {
 		known.Classes[i].Cost.N = 100
 	}
-	known.Limit = whinrudder.Figure{Value: 2, N: 50}
+	known.Limit = whinrudder.Estimate{Value: 2, N: 50}
 	p.Classes = append([]whinrudder.ClassKnowledge{}, p.Classes...)
 	for i := range p.Classes {
 		p.Classes[i].Waits = nil
--- a/internal/knowledge/merge.go
+++ b/internal/knowledge/merge.go
@@ -35,12 +35,12 @@
 }
 
 // runs is what a fit counts for in own runs.
-func (t Trust) runs(f whinrudder.Fit) float64 {
+func (t Trust) runs(f whinrudder.CostModel) float64 {
 	return t.MostRuns * t.weight(f.Age) * f.N / (f.N + t.HalfRuns)
 }
 
 // rules is what a figure of the limit counts for in own renewals.
-func (t Trust) rules(f whinrudder.Figure) float64 {
+func (t Trust) rules(f whinrudder.Estimate) float64 {
 	return t.MostRules * t.weight(f.Age) * f.N / (f.N + t.HalfRuns)
 }
 
@@ -68,7 +68,7 @@
 			return false
 		}
 	}
-	return p.Limit.N == 0 && p.CallBase.N == 0
+	return p.Limit.N == 0 && p.BaseCallLatency.N == 0
 }
 
 // Need is what a node must know of itself to take a prior.
@@ -89,8 +89,8 @@
 		m.prior.Donors = append(m.prior.Donors, r.Node)
 	}
 	m.costs(reports)
-	m.prior.Limit = m.figure("limit", reports, func(r Report) whinrudder.Figure { return r.Limit })
-	m.prior.CallBase = m.figure("call_base", reports, func(r Report) whinrudder.Figure { return r.CallBase })
+	m.prior.Limit = m.figure("limit", reports, func(r Report) whinrudder.Estimate { return r.Limit })
+	m.prior.BaseCallLatency = m.figure("call_base", reports, func(r Report) whinrudder.Estimate { return r.CallBase })
 	m.waits(reports)
 	m.shares(reports)
 	return m.prior, m.remarks
@@ -182,8 +182,8 @@
 // donors that know all of these.
 func (m *merger) table(reports []Report) (common []string, believed []int) {
 	count, with := map[string]int{}, 0
-	known := func(r Report) map[string]whinrudder.Fit {
-		fits := map[string]whinrudder.Fit{}
+	known := func(r Report) map[string]whinrudder.CostModel {
+		fits := map[string]whinrudder.CostModel{}
 		for _, c := range r.Classes {
 			if slices.Contains(m.need.Names, c.Name) && m.trust.runs(c.Cost) > 0 {
 				fits[c.Name] = c.Cost
@@ -266,13 +266,13 @@
 		}
 		c := reports[v.from].Classes[slices.IndexFunc(reports[v.from].Classes, func(c Class) bool { return c.Name == n })]
 		time := v.value * scale.value
-		m.prior.Classes[at].Cost = whinrudder.Fit{N: most * share, Age: c.Cost.Age, Work: c.Cost.Work, Time: time,
+		m.prior.Classes[at].Cost = whinrudder.CostModel{N: most * share, Age: c.Cost.Age, Work: c.Cost.Work, Time: time,
 			WorkWork: c.Cost.WorkWork, WorkTime: c.Cost.WorkTime * time / c.Cost.Time}
 	}
 }
 
 // figure merges a figure that stands for itself.
-func (m *merger) figure(name string, reports []Report, of func(Report) whinrudder.Figure) (f whinrudder.Figure) {
+func (m *merger) figure(name string, reports []Report, of func(Report) whinrudder.Estimate) (f whinrudder.Estimate) {
 	var votes []vote
 	for i, r := range reports {
 		if w := m.trust.rules(of(r)); w > 0 {
--- a/internal/knowledge/trial.go
+++ b/internal/knowledge/trial.go
@@ -27,11 +27,11 @@
 		if i < len(own.Classes) && c.Cost.N > 0 && own.Classes[i].Cost.N >= c.Cost.N {
 			remarks = append(remarks, Remark{"enough", []any{"class", p.Names[i], "own",
 				own.Classes[i].Cost.N, "prior", math.Round(10*c.Cost.N) / 10}})
-			c.Cost = whinrudder.Fit{}
+			c.Cost = whinrudder.CostModel{}
 		}
 	}
 	if own.Limit.N >= t.prior.Limit.N {
-		t.prior.Limit = whinrudder.Figure{}
+		t.prior.Limit = whinrudder.Estimate{}
 	}
 	more, _, _ := t.judge(own)
 	remarks = append(remarks, more...)
@@ -58,13 +58,13 @@
 	old := false
 	for i := range t.prior.Classes {
 		if c := &t.prior.Classes[i].Cost; c.N > 0 && now >= t.ends[i] {
-			*c, old = whinrudder.Fit{}, true
+			*c, old = whinrudder.CostModel{}, true
 		}
 	}
 	remarks, changed, left := t.judge(own)
 	changed = changed || old
 	// A limit is given once: from then on the module's own renewals move it.
-	t.prior.Limit = whinrudder.Figure{}
+	t.prior.Limit = whinrudder.Estimate{}
 	if !left {
 		t.open = false
 	}
@@ -94,7 +94,7 @@
 	drop := func(i int, factor float64) {
 		remarks = append(remarks, Remark{"distrusted", []any{"class", t.prior.Names[i], "factor",
 			math.Round(100*factor) / 100, "own", own.Classes[i].Cost.N}})
-		t.prior.Classes[i].Cost = whinrudder.Fit{}
+		t.prior.Classes[i].Cost = whinrudder.CostModel{}
 		changed = true
 	}
 	for i := range t.prior.Classes {
--- a/internal/knowledge/write.go
+++ b/internal/knowledge/write.go
@@ -28,7 +28,7 @@
 	}
 	for _, f := range []struct {
 		name string
-		f    whinrudder.Figure
+		f    whinrudder.Estimate
 	}{{"limit a core", r.Limit}, {"pace", r.Pace}, {"slowness", r.Slow}, {"call base ms", r.CallBase}} {
 		if f.f.N > 0 {
 			fmt.Fprintf(w, "%-24s %6.0f %8.1f %10.3f\n", f.name, f.f.N, f.f.Age/1000, f.f.Value)
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -21,7 +21,7 @@
 	aim, deadline, worth  float64
 	workLow, workHigh     float64
 	sleepLow, sleepHigh   float64
-	repeat                whinrudder.Repeat
+	repeat                whinrudder.Repeatability
 	lateWorth, patienceOf float64
 }{
 	{"status-lookup", 0.54, 3100, 9300, 1, 240, 400, 180, 440, whinrudder.Safe, 0.1, 0.6},
@@ -50,8 +50,8 @@
 // nodeSettings are those of a node of the days.
 func nodeSettings(cold bool) whinrudder.Settings {
 	s := whinrudder.Settings{Servers: 12, Callers: callers, Cores: cores, Cold: cold,
-		Memory: runsFill * cores * heldKB * runFactor, RunFactor: runFactor, EntryKB: 10, Halt: whinrudder.HaltAbort,
-		Say: whinrudder.SayWindow, HeardFor: heardFor, TellsGone: true, PassesDeadline: true, Below: whinrudder.BelowNone,
+		Memory: runsFill * cores * heldKB * runFactor, RunFactor: runFactor, EntryKB: 10, Halt: whinrudder.StopAbort,
+		CreditMode: whinrudder.CreditWindow, HeardFor: heardFor, ReportsCancellation: true, PassesDeadline: true, Dependency: whinrudder.DependencyNone,
 		DeepChecks: true, MaxRetryAfter: 1000, KeepAlive: 30000, Tick: 2,
 		Rules: whinrudder.Rules{AnswerGrace: 80, ColdFrom: 0.2, RampTime: 17000, DrainGrace: 2000, FallMultiple: 8,
 			FallWindow: 1500},
--- a/internal/peer/exchange_test.go
+++ b/internal/peer/exchange_test.go
@@ -21,10 +21,10 @@
 func sample() knowledge.Report {
 	return knowledge.Report{Node: "n3", Life: 90000, Cores: 6, Warm: true, Classes: []knowledge.Class{
 		{Name: "status-lookup", ClassKnowledge: whinrudder.ClassKnowledge{Share: 40, Waits: []float64{5580, 5580},
-			Cost: whinrudder.Fit{N: 120, Age: 250, Time: 512.5}}},
-		{Name: "payout-book", ClassKnowledge: whinrudder.ClassKnowledge{Share: 35.5, Cost: whinrudder.Fit{N: 44, Age: 3000,
+			Cost: whinrudder.CostModel{N: 120, Age: 250, Time: 512.5}}},
+		{Name: "payout-book", ClassKnowledge: whinrudder.ClassKnowledge{Share: 35.5, Cost: whinrudder.CostModel{N: 44, Age: 3000,
 			Time: 498}}}},
-		Limit: whinrudder.Figure{Value: 2.5, N: 80, Age: 500}}
+		Limit: whinrudder.Estimate{Value: 2.5, N: 80, Age: 500}}
 }
 
 // An exchange is a file of lines: "in HEX" are bytes that come, fed as they stand, or the name of a frame in place of
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -73,7 +73,7 @@
 	r := knowledge.Report{Node: "n3", Life: f.Draw(t, "life"), Cores: 6, Warm: true}
 	for i := range rapid.IntRange(0, 5).Draw(t, "classes") {
 		c := knowledge.Class{Name: fmt.Sprint("c", i)}
-		c.Cost = whinrudder.Fit{N: rapid.Float64Range(1, 200).Draw(t, "n"), Age: f.Draw(t, "age"), Time: f.Draw(t, "time")}
+		c.Cost = whinrudder.CostModel{N: rapid.Float64Range(1, 200).Draw(t, "n"), Age: f.Draw(t, "age"), Time: f.Draw(t, "time")}
 		c.Share = f.Draw(t, "share")
 		c.Waits = rapid.SliceOfN(f, 0, 16).Draw(t, "waits")
 		if len(c.Waits) == 0 {
@@ -81,7 +81,7 @@
 		}
 		r.Classes = append(r.Classes, c)
 	}
-	r.Limit = whinrudder.Figure{Value: f.Draw(t, "limit"), N: f.Draw(t, "rules"), Age: f.Draw(t, "age")}
+	r.Limit = whinrudder.Estimate{Value: f.Draw(t, "limit"), N: f.Draw(t, "rules"), Age: f.Draw(t, "age")}
 	return r
 }
 
--- a/internal/peer/section.go
+++ b/internal/peer/section.go
@@ -77,8 +77,8 @@
 	return frame(b, KindEnd, end{len(r.Classes) + 1})
 }
 
-func figuresOf(r *knowledge.Report) map[string]*whinrudder.Figure {
-	return map[string]*whinrudder.Figure{"limit": &r.Limit, "pace": &r.Pace, "slow": &r.Slow, "call_base": &r.CallBase}
+func figuresOf(r *knowledge.Report) map[string]*whinrudder.Estimate {
+	return map[string]*whinrudder.Estimate{"limit": &r.Limit, "pace": &r.Pace, "slow": &r.Slow, "call_base": &r.CallBase}
 }
 
 // Gatherer puts the sections of one report together. A section counts once it is whole.
@@ -121,17 +121,17 @@
 	next := g.report
 	if s.Class != "" {
 		next.Classes = append(next.Classes[:len(next.Classes):len(next.Classes)], knowledge.Class{Name: s.Class,
-			ClassKnowledge: whinrudder.ClassKnowledge{Share: s.Share, Waits: s.Waits, Cost: whinrudder.Fit{N: s.Runs, Age: s.Age,
+			ClassKnowledge: whinrudder.ClassKnowledge{Share: s.Share, Waits: s.Waits, Cost: whinrudder.CostModel{N: s.Runs, Age: s.Age,
 				Time: s.Time, Work: s.Work, WorkWork: s.WorkWork, WorkTime: s.WorkTime}}})
 	}
 	for name, to := range figuresOf(&next) {
 		if f, ok := s.Figures[name]; ok {
-			*to = whinrudder.Figure{Value: f.Value, N: f.N, Age: f.Age}
+			*to = whinrudder.Estimate{Value: f.Value, N: f.N, Age: f.Age}
 		}
 	}
 	if err := next.Check(); err != nil {
 		// Who says what no node can have is not believed in what came before it either.
-		g.report.Classes, g.report.Limit, g.report.CallBase = nil, whinrudder.Figure{}, whinrudder.Figure{}
+		g.report.Classes, g.report.Limit, g.report.CallBase = nil, whinrudder.Estimate{}, whinrudder.Estimate{}
 		return fault("bad-figure", "%v", err)
 	}
 	g.report = next
--- a/internal/rehearse/peers.go
+++ b/internal/rehearse/peers.go
@@ -64,7 +64,7 @@
 // report is what the donor knows.
 func (d *donorStandIn) report() knowledge.Report {
 	r := knowledge.Report{Node: d.name, Life: 60000, Cores: 2, Warm: d.f["cold"] == "", Draining: d.f["draining"] != "",
-		Limit: whinrudder.Figure{Value: 2, N: 50, Age: d.num("age")}}
+		Limit: whinrudder.Estimate{Value: 2, N: 50, Age: d.num("age")}}
 	wrong, by, _ := strings.Cut(d.f["wrong"], ":")
 	for i, n := range []string{"status-lookup", "rate-quote", "payout-book"} {
 		t := d.num("time") * []float64{1, 0.6, 1.1}[i]
@@ -73,7 +73,7 @@
 			t *= f
 		}
 		r.Classes = append(r.Classes, knowledge.Class{Name: n, ClassKnowledge: whinrudder.ClassKnowledge{Share: 1,
-			Cost: whinrudder.Fit{N: d.num("runs"), Age: d.num("age"), Time: t}}})
+			Cost: whinrudder.CostModel{N: d.num("runs"), Age: d.num("age"), Time: t}}})
 	}
 	return r
 }
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -101,8 +101,8 @@
 			fault("profiles[%d].repeat is by_key, which the protocols don't carry", i)
 		}
 	}
-	if s.Policy.Below != whinrudder.BelowNone {
-		fault("below is %q, and the protocols carry no calls", s.Policy.Below)
+	if s.Policy.Dependency != whinrudder.DependencyNone {
+		fault("below is %q, and the protocols carry no calls", s.Policy.Dependency)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,7 +40,7 @@
 		WorthByWork: r.text(root, "worth_by") == "work", Tick: r.num(root, "tick_ms"),
 		Callers: r.count(sp, "callers"), Cores: r.count(sp, "cores"), Cold: r.flag(sp, "cold"),
 		Memory: r.num(sp, "ram_kb"), RunFactor: r.num(sp, "run_factor"), EntryKB: r.num(sp, "entry_kb"),
-		HeardFor: r.num(sp, "heard_for_ms"), TellsGone: r.flag(sp, "tells_gone"),
+		HeardFor: r.num(sp, "heard_for_ms"), ReportsCancellation: r.flag(sp, "tells_gone"),
 		PassesDeadline: r.flag(sp, "passes_deadline"), CallShare: r.num(sp, "calls_out"),
 		CallShareWindow: r.num(sp, "share_span_ms"), CallLinger: r.num(sp, "linger_ms"),
 		Fresh: r.num(sp, "fresh_ms"), DeepChecks: r.flag(sp, "deep_checks"), KeepAlive: r.num(sp, "keepalive_max_ms"),
@@ -49,12 +49,12 @@
 			FallMultiple: r.num(ru, "fall_multiple"), FallWindow: r.num(ru, "overload_for_ms")},
 		Goal: whinrudder.Goal{Whole: r.num(goal, "whole"), WorstClass: r.num(goal, "worst_class"),
 			WorstTenant: r.num(goal, "worst_tenant"), WorstWindow: r.num(goal, "worst_window")},
-		Halt: named(&r, sp, "halt", map[string]whinrudder.Halt{"": whinrudder.HaltNone, "silent": whinrudder.HaltNone,
-			"abort": whinrudder.HaltAbort, "suspend": whinrudder.HaltPause}),
-		Say: named(&r, sp, "say", map[string]whinrudder.Say{"": whinrudder.SayNothing, "silent": whinrudder.SayNothing,
-			"window": whinrudder.SayWindow, "threshold": whinrudder.SayThreshold, "share_of": whinrudder.SayShare}),
-		Below: named(&r, sp, "below", map[string]whinrudder.Below{"": whinrudder.BelowNone,
-			"silent": whinrudder.BelowNone, "shared": whinrudder.BelowShared, "tier": whinrudder.BelowTier}),
+		Halt: named(&r, sp, "halt", map[string]whinrudder.StopMode{"": whinrudder.StopNone, "silent": whinrudder.StopNone,
+			"abort": whinrudder.StopAbort, "suspend": whinrudder.StopPause}),
+		CreditMode: named(&r, sp, "say", map[string]whinrudder.CreditMode{"": whinrudder.CreditNone, "silent": whinrudder.CreditNone,
+			"window": whinrudder.CreditWindow, "threshold": whinrudder.CreditThreshold, "share_of": whinrudder.CreditShare}),
+		Dependency: named(&r, sp, "below", map[string]whinrudder.Dependency{"": whinrudder.DependencyNone,
+			"silent": whinrudder.DependencyNone, "shared": whinrudder.DependencyShared, "tier": whinrudder.DependencyTier}),
 	}}
 	if r.flag(allowed, "retry_after") {
 		s.Policy.MaxRetryAfter = r.num(allowed, "max_retry_after_ms")
@@ -65,10 +65,10 @@
 		c := whinrudder.Class{Aim: r.num(o, "aim_ms"), AimStretch: r.num(o, "aim_stretch"),
 			Deadline: r.num(o, "deadline_ms"), Worth: r.num(o, "worth"), LateWorth: r.num(o, "late_worth"),
 			Window: r.num(o, "memory_span_ms"),
-			Repeat: named(&r, o, "repeat", map[string]whinrudder.Repeat{"repeatable": whinrudder.Safe,
+			Repeat: named(&r, o, "repeat", map[string]whinrudder.Repeatability{"repeatable": whinrudder.Safe,
 				"by_key": whinrudder.Keyed, "once": whinrudder.Unsafe})}
 		if i < len(calls) {
-			c.Calls = calls[i].Type() == fastjson.TypeTrue
+			c.CallsDependency = calls[i].Type() == fastjson.TypeTrue
 		}
 		if i < len(skips) {
 			c.SkipWorth = skips[i].GetFloat64()
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -33,7 +33,7 @@
 	switch i := i.(type) {
 	case core.Share:
 		if i.To != nil {
-			i.To(whinrudder.Beside{Live: 1}, []string{"00000000000000a1"})
+			i.To(whinrudder.Beside{InProgress: 1}, []string{"00000000000000a1"})
 		}
 	case core.Ask:
 		i.To(whinrudder.Knowledge{}, true)
@@ -252,9 +252,9 @@
 // What the core tells too late is told the next time, with the ids of both.
 func TestSharesLoseNoID(t *testing.T) {
 	s := newShares()
-	s.take(whinrudder.Beside{Live: 1}, []string{"a"}) // of an earlier time
-	b, ok := s.ask(func(i core.Input) { i.(core.Share).To(whinrudder.Beside{Live: 2}, []string{"b"}) })
-	if diff := cmp.Diff(core.Beside{Beside: whinrudder.Beside{Live: 2}, IDs: []string{"a", "b"}}, b); diff != "" || !ok {
+	s.take(whinrudder.Beside{InProgress: 1}, []string{"a"}) // of an earlier time
+	b, ok := s.ask(func(i core.Input) { i.(core.Share).To(whinrudder.Beside{InProgress: 2}, []string{"b"}) })
+	if diff := cmp.Diff(core.Beside{Beside: whinrudder.Beside{InProgress: 2}, IDs: []string{"a", "b"}}, b); diff != "" || !ok {
 		t.Error(diff)
 	}
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -70,8 +70,8 @@
 	switch i := i.(type) {
 	case core.Ask:
 		n.asked++
-		i.To(whinrudder.Knowledge{Limit: whinrudder.Figure{Value: 2, N: 9}, Classes: []whinrudder.ClassKnowledge{
-			{Cost: whinrudder.Fit{N: 100, Time: 200}}, {Cost: whinrudder.Fit{N: 50, Time: 300}}}}, n.known)
+		i.To(whinrudder.Knowledge{Limit: whinrudder.Estimate{Value: 2, N: 9}, Classes: []whinrudder.ClassKnowledge{
+			{Cost: whinrudder.CostModel{N: 100, Time: 200}}, {Cost: whinrudder.CostModel{N: 50, Time: 300}}}}, n.known)
 	case core.Teach:
 		n.priors = append(n.priors, i.Prior)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -217,9 +217,9 @@
 	case "STOP":
 		it.Died = true
 	case "ACCEPT":
-		a := whinrudder.Arrival{ID: f.id(), Due: f.num(), Caller: f.count(), Unread: f.num()}
+		a := whinrudder.Arrival{ID: f.id(), Due: f.num(), Caller: f.count(), ReadDelay: f.num()}
 		bits := f.count()
-		a.HintOK, a.Retry, a.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
+		a.WorkKnown, a.Retry, a.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
 		if s := f.next(); s != "-" && s != "0" {
 			if !isID(s) {
 				return fmt.Errorf("bad request id %q", head(s))
@@ -229,7 +229,7 @@
 		if a.Key = f.next(); a.Key == "-" {
 			a.Key = ""
 		}
-		a.KB, a.Work, a.Rank, a.Tenant, a.Class = f.num(), f.num(), f.num(), f.count(), f.count()
+		a.MemoryKB, a.Work, a.Rank, a.Tenant, a.Class = f.num(), f.num(), f.num(), f.count(), f.count()
 		it.Event = a
 	case "RESULT":
 		it.Event = whinrudder.Ended{ID: f.id(), Code: f.code(), Latency: f.num()}
@@ -294,7 +294,7 @@
 		case whinrudder.Refuse:
 			r.id("REFUSE ", a.ID)
 			r.num(a.RetryAfter)
-			r.bit(a.NotElsewhere)
+			r.bit(a.NoRetryElsewhere)
 		case whinrudder.Fail:
 			r.id("END_FAILED ", a.ID)
 		case whinrudder.Call:
@@ -304,18 +304,18 @@
 			r.id("BYPASS ", a.ID)
 		case whinrudder.Keep:
 			r.id("MEMO ", a.ID)
-			r.num(a.For)
+			r.num(a.TTL)
 		case whinrudder.Forget:
 			r.id("DROP_KEY ", a.ID)
 		case whinrudder.Reuse:
 			r.id("SHARE ", a.ID)
 		case whinrudder.Health:
 			r.buf = append(r.buf, "STATUS"...)
-			r.bit(a.Stored)
-			r.bit(a.Good)
+			r.bit(a.Cached)
+			r.bit(a.Healthy)
 		case whinrudder.Advertise:
 			r.buf = append(r.buf, "ADVERTISE"...)
-			r.num(a.Value)
+			r.num(a.Credit)
 		case whinrudder.CloseIdle:
 			r.buf = append(r.buf, "TRIM_AFTER"...)
 			r.num(a.After)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,15 +33,15 @@
 		t.Fatal(err)
 	}
 	s := b.Items[0].Start.Settings
-	if b.Items[0].Start.Seed != 42 || s.Cores != 6 || s.Halt != whinrudder.HaltPause || !s.WorthByWork ||
-		s.MaxRetryAfter != 7 || !s.Classes[0].Calls || s.Classes[0].Window != 9 {
+	if b.Items[0].Start.Seed != 42 || s.Cores != 6 || s.Halt != whinrudder.StopPause || !s.WorthByWork ||
+		s.MaxRetryAfter != 7 || !s.Classes[0].CallsDependency || s.Classes[0].Window != 9 {
 		t.Errorf("settings: %+v", s)
 	}
 	const a, g = whinrudder.RequestID("774f54295d3a91c4"), whinrudder.RequestID("2ecc51910e6f2b19")
 	want := []whinrudder.Event{
-		whinrudder.Arrival{ID: a, Due: 8652.25, Caller: 17, Unread: 1.85, HintOK: true, Write: true, RepeatOf: g,
-			Key: "acct/k", KB: 24.5, Work: 12, Rank: 0.625, Tenant: 1, Class: 2},
-		whinrudder.Arrival{ID: "774f54295d3a91c5", Caller: 17, Unread: 1.85, KB: 24.5},
+		whinrudder.Arrival{ID: a, Due: 8652.25, Caller: 17, ReadDelay: 1.85, WorkKnown: true, Write: true, RepeatOf: g,
+			Key: "acct/k", MemoryKB: 24.5, Work: 12, Rank: 0.625, Tenant: 1, Class: 2},
+		whinrudder.Arrival{ID: "774f54295d3a91c5", Caller: 17, ReadDelay: 1.85, MemoryKB: 24.5},
 		whinrudder.Timer{Token: 77, Gauges: whinrudder.Gauges{CPU: 0.62, Runnable: 3, Conns: 120}},
 		whinrudder.Ended{ID: a, Code: whinrudder.OK, Latency: 18.5},
 		whinrudder.Called{ID: a, Code: whinrudder.Timeout, Latency: 80},
@@ -86,10 +86,10 @@
 func TestReplyTranscript(t *testing.T) {
 	var r Reply
 	r.From(3, []whinrudder.Action{whinrudder.Run{ID: "a"}, whinrudder.Stop{ID: "a"},
-		whinrudder.Refuse{ID: "a", RetryAfter: 250, NotElsewhere: true}, whinrudder.Fail{ID: "a"},
-		whinrudder.Call{ID: "a", Timeout: 80}, whinrudder.Skip{ID: "a"}, whinrudder.Keep{ID: "a", For: 8000.0004},
-		whinrudder.Forget{ID: "a"}, whinrudder.Reuse{ID: "a"}, whinrudder.Health{Stored: true},
-		whinrudder.Advertise{Value: 0.25}, whinrudder.CloseIdle{After: 2000}, whinrudder.Wake{At: 8912.25, Token: 77},
+		whinrudder.Refuse{ID: "a", RetryAfter: 250, NoRetryElsewhere: true}, whinrudder.Fail{ID: "a"},
+		whinrudder.Call{ID: "a", Timeout: 80}, whinrudder.Skip{ID: "a"}, whinrudder.Keep{ID: "a", TTL: 8000.0004},
+		whinrudder.Forget{ID: "a"}, whinrudder.Reuse{ID: "a"}, whinrudder.Health{Cached: true},
+		whinrudder.Advertise{Credit: 0.25}, whinrudder.CloseIdle{After: 2000}, whinrudder.Wake{At: 8912.25, Token: 77},
 		whinrudder.Log{Text: "two\nlines"}})
 	r.From(4, nil)
 	r.Fault(5, "index out of range")
--- a/knowledge_test.go
+++ b/knowledge_test.go
@@ -8,9 +8,9 @@
 // taught is a prior in which class 1 takes twice as long as class 0, on a machine of another speed.
 func taught(n float64) Knowledge {
 	return Knowledge{Classes: []ClassKnowledge{
-		{Cost: Fit{N: n, Time: 100}, Waits: []float64{3000}, Share: 2},
-		{Cost: Fit{N: n, Time: 200}, Share: 1},
-	}, Limit: Figure{Value: 2, N: 3}}
+		{Cost: CostModel{N: n, Time: 100}, Waits: []float64{3000}, Share: 2},
+		{Cost: CostModel{N: n, Time: 200}, Share: 1},
+	}, Limit: Estimate{Value: 2, N: 3}}
 }
 
 // serve runs one request of a class alone, for so long.
@@ -67,12 +67,12 @@
 func TestAdoptedLimitStaysUnderTheCeiling(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Cold = true })
 	k := taught(15)
-	k.Limit = Figure{Value: 1000, N: 1e6}
+	k.Limit = Estimate{Value: 1000, N: 1e6}
 	s.p.Adopt(k)
 	if s.p.limit > s.p.crowd() {
 		t.Fatalf("limit %v is over the crowd %v that a cold server survives", s.p.limit, s.p.crowd())
 	}
-	k.Limit = Figure{Value: 0.01, N: 1e6}
+	k.Limit = Estimate{Value: 0.01, N: 1e6}
 	s.p.Adopt(k)
 	if s.p.limit < s.p.cores {
 		t.Fatalf("limit %v is under its floor", s.p.limit)
--- a/ops_test.go
+++ b/ops_test.go
@@ -23,7 +23,7 @@
 	if diff := cmp.Diff([]Health{{true, false}}, find[Health](p.Step(10, []Event{Drain{true}}, nil))); diff != "" {
 		t.Error(diff)
 	}
-	a := p.Step(20, []Event{Arrival{ID: "a", Caller: 1, KB: 10, Due: 5000}}, nil)
+	a := p.Step(20, []Event{Arrival{ID: "a", Caller: 1, MemoryKB: 10, Due: 5000}}, nil)
 	if len(find[Run](a)) != 1 || len(find[Refuse](a))+len(find[Health](a)) > 0 {
 		t.Error(a)
 	}
@@ -32,7 +32,7 @@
 	}
 	p.Step(40, []Event{Notice{StopAt: 3000}}, nil)
 	for _, h := range find[Health](p.Step(50, []Event{Drain{true}, Drain{false}}, nil)) {
-		if h.Good && p.closed {
+		if h.Healthy && p.closed {
 			t.Error("checks are good though the server leaves")
 		}
 	}
@@ -43,7 +43,7 @@
 func TestSucceededServerSendsNobodyAway(t *testing.T) {
 	p := newTestPolicy(t)
 	p.Step(0, nil, nil)
-	a := p.Step(10, []Event{Notice{StopAt: 3000, Succeeded: true}}, nil)
+	a := p.Step(10, []Event{Notice{StopAt: 3000, HandedOver: true}}, nil)
 	for at := 20.0; at < 1500; at += 100 {
 		a = append(a, p.Step(at, nil, nil)...)
 	}
@@ -51,15 +51,15 @@
 		t.Error(find[Health](a))
 	}
 	for _, v := range find[Advertise](a) {
-		if v.Value <= 0 {
-			t.Error("the credit is told as", v.Value)
+		if v.Credit <= 0 {
+			t.Error("the credit is told as", v.Credit)
 		}
 	}
-	a = p.Step(1500, []Event{Arrival{ID: "a", Caller: 1, KB: 10, Due: 9000}}, nil)
+	a = p.Step(1500, []Event{Arrival{ID: "a", Caller: 1, MemoryKB: 10, Due: 9000}}, nil)
 	if len(find[Run](a)) != 1 {
 		t.Error(a)
 	}
-	a = p.Step(2980, []Event{Arrival{ID: "b", Caller: 1, KB: 10, Due: 9000}}, nil)
+	a = p.Step(2980, []Event{Arrival{ID: "b", Caller: 1, MemoryKB: 10, Due: 9000}}, nil)
 	if diff := cmp.Diff([]Refuse{{ID: "b"}}, find[Refuse](a)); diff != "" {
 		t.Error(diff)
 	}
@@ -73,19 +73,19 @@
 		p.Step(1, []Event{beside}, nil)
 		var events []Event
 		for _, id := range []RequestID{"a", "b", "c", "d", "e", "f"} {
-			events = append(events, Arrival{ID: id, Caller: 1, KB: 10, Due: 9000})
+			events = append(events, Arrival{ID: id, Caller: 1, MemoryKB: 10, Due: 9000})
 		}
 		n := len(find[Run](p.Step(10, events, nil)))
-		if got := p.Load(); got.Live != n {
-			t.Errorf("%d live are told, %d run here", got.Live, n)
+		if got := p.CurrentLoad(); got.InProgress != n {
+			t.Errorf("%d live are told, %d run here", got.InProgress, n)
 		}
 		return n
 	}
 	alone := runs(Beside{})
-	if got := runs(Beside{Live: 1}); alone < 2 || got != alone-1 {
+	if got := runs(Beside{InProgress: 1}); alone < 2 || got != alone-1 {
 		t.Errorf("%d run beside one, %d alone", got, alone)
 	}
-	if got := runs(Beside{KB: newTestPolicy(t).s.Memory}); got != 0 {
+	if got := runs(Beside{MemoryKB: newTestPolicy(t).s.Memory}); got != 0 {
 		t.Errorf("%d run where the memory is full beside", got)
 	}
 }
@@ -95,19 +95,19 @@
 func TestRetune(t *testing.T) {
 	p := newTestPolicy(t)
 	p.Step(0, nil, nil)
-	p.Step(10, []Event{Arrival{ID: "a", Caller: 1, KB: 10, Due: 9000}}, nil)
+	p.Step(10, []Event{Arrival{ID: "a", Caller: 1, MemoryKB: 10, Due: 9000}}, nil)
 	p.Step(110, []Event{Ended{ID: "a", Code: OK, Latency: 100}}, nil)
 	s := p.s
 	s.Classes = append(append([]Class{}, s.Classes...), s.Classes[0])
-	p.Retune(s, len(s.Classes)-1)
-	a := p.Step(200, []Event{Arrival{ID: "b", Caller: 1, KB: 10, Due: 9000, Class: len(s.Classes) - 1}}, nil)
+	p.Reconfigure(s, len(s.Classes)-1)
+	a := p.Step(200, []Event{Arrival{ID: "b", Caller: 1, MemoryKB: 10, Due: 9000, Class: len(s.Classes) - 1}}, nil)
 	if len(find[Run](a)) != 1 {
 		t.Error(a)
 	}
 	if k := p.Knowledge().Classes; k[0].Cost.N == 0 || k[len(s.Classes)-1].Cost.N != 0 {
 		t.Error(k)
 	}
-	p.Retune(s, 0)
+	p.Reconfigure(s, 0)
 	if k := p.Knowledge().Classes; k[0].Cost.N != 0 {
 		t.Error(k)
 	}
--- a/policy.go
+++ b/policy.go
@@ -208,14 +208,14 @@
 	}
 	p := &Policy{reqs: map[RequestID]*request{}, byID: map[int]*caller{}, said: -1, trim: s.KeepAlive}
 	p.hold = order.NewHold((*request).alike, func(r *request) *request { like := *r; return &like })
-	p.Retune(s)
+	p.Reconfigure(s)
 	p.limit, p.pace, p.slow, p.callLimit = p.cores, p.cores, 1, max(1, s.CallShare/2)
 	return p, nil
 }
 
-// Retune takes settings that have passed their check in place of the old ones. Classes keep their places, and
-// what was learned of them but for those that are fresh; one that is no more keeps it for what is in hand.
-func (p *Policy) Retune(s Settings, fresh ...int) {
+// Reconfigure takes settings that have passed their check in place of the old ones. Classes keep their places
+// and what was learned of them, except those that are fresh; one that is no more keeps it for requests in hand.
+func (p *Policy) Reconfigure(s Settings, fresh ...int) {
 	p.s, p.cores = s, float64(s.Cores)
 	p.aimLeast, p.aimMost = s.Classes[0].Aim, 0
 	for _, c := range s.Classes {
@@ -237,7 +237,7 @@
 	if !p.inited {
 		p.inited = true
 		p.now, p.started, p.refresh, p.leaseAt = now, now, now, now+leasePeriod
-		p.do(Health{Stored: true, Good: true})
+		p.do(Health{Cached: true, Healthy: true})
 		p.poll()
 		p.advertise()
 	}
@@ -260,7 +260,7 @@
 			if !p.leaving {
 				p.leaving, p.notice, p.stopAt = true, now, e.StopAt
 				p.closeAt = now
-				if p.succeeded = e.Succeeded; p.succeeded {
+				if p.succeeded = e.HandedOver; p.succeeded {
 					p.closeAt = math.Inf(1)
 				} else if p.needed() {
 					p.closeAt += min(closeShare*p.s.Rules.DrainGrace, (p.stopAt-now)/2)
@@ -272,7 +272,7 @@
 			p.beside = e
 		case Drain:
 			p.away = e.On
-			p.do(Health{Stored: true, Good: !p.sick && !p.away && !p.closed})
+			p.do(Health{Cached: true, Healthy: !p.sick && !p.away && !p.closed})
 		case Timer:
 			p.timer(e)
 		}
@@ -315,10 +315,10 @@
 
 // live counts those that were started and are not over, here and beside.
 func (p *Policy) live() int {
-	return p.count[running] + p.count[waiting] + p.count[calling] + p.beside.Live
+	return p.count[running] + p.count[waiting] + p.count[calling] + p.beside.InProgress
 }
 
-func (p *Policy) used() float64 { return p.kb + float64(p.keys.Len())*p.s.EntryKB + p.beside.KB }
+func (p *Policy) used() float64 { return p.kb + float64(p.keys.Len())*p.s.EntryKB + p.beside.MemoryKB }
 
 // advance moves the integrals up to now. Disk waits show in the gauge only: extra may be negative.
 func (p *Policy) advance(now float64) {
@@ -458,16 +458,16 @@
 		return
 	}
 	sc := p.s.Classes[a.Class]
-	if !a.HintOK {
+	if !a.WorkKnown {
 		a.Work = 0
 	}
 	p.seq++
-	r := &request{Arrival: a, arrived: p.now - a.Unread, seq: p.seq}
+	r := &request{Arrival: a, arrived: p.now - a.ReadDelay, seq: p.seq}
 	r.timer.What, r.entry.What, r.place.What = r, r, r
 	p.reqs[a.ID] = r
 	p.count[held]++
 	p.hear(a.Caller)
-	p.unread += (a.Unread - p.unread) / p.cores
+	p.unread += (a.ReadDelay - p.unread) / p.cores
 	r.due = r.arrived + sc.Deadline
 	if p.s.PassesDeadline && a.Due > 0 {
 		r.due = a.Due
@@ -476,14 +476,14 @@
 	r.aim = min(p.born(r)+min(sc.Aim+sc.AimStretch*a.Work, sc.Deadline)*(1-aimMargin), r.due)
 	// Well within the aim: the client's clock may have started with an earlier try, and a line lasts.
 	r.soon = p.now + holdShare*sc.Aim
-	r.mem = a.KB * p.s.RunFactor
+	r.mem = a.MemoryKB * p.s.RunFactor
 	p.classes[a.Class].asked += p.worth(r)
 	p.period.offered += p.classes[a.Class].at(r.Work, p.speed())
 	p.expect(r)
 	if r.RepeatOf != "" && sc.Repeat != Unsafe {
 		o := p.reqs[r.RepeatOf]
-		if !(o != nil && o.phase == over && !o.ran) && p.used()+r.KB <= memoryShare*p.s.Memory {
-			p.move(r, sharing, r.KB)
+		if !(o != nil && o.phase == over && !o.ran) && p.used()+r.MemoryKB <= memoryShare*p.s.Memory {
+			p.move(r, sharing, r.MemoryKB)
 			if o != nil {
 				o.sharers++
 			}
@@ -501,7 +501,7 @@
 		p.refuse(r)
 		return
 	}
-	need := r.KB
+	need := r.MemoryKB
 	if sc.Repeat == Keyed {
 		need += p.s.EntryKB
 	}
@@ -515,8 +515,8 @@
 	if sc.Repeat == Keyed || reads {
 		p.keep(r)
 	}
-	p.move(r, held, r.KB)
-	r.place.Key, r.place.Seq, r.place.Low = r.aim, r.seq, [3]float64{r.soon, r.aim, r.mem - r.KB}
+	p.move(r, held, r.MemoryKB)
+	r.place.Key, r.place.Seq, r.place.Low = r.aim, r.seq, [3]float64{r.soon, r.aim, r.mem - r.MemoryKB}
 	p.hold.Add(&r.place)
 	p.due.Set(&r.timer, r.due)
 	p.do(Wake{At: r.due})
@@ -648,11 +648,11 @@
 // overloaded, a server that sends callers away only makes the others fuller: it asks not to be passed over.
 func (p *Policy) refuse(r *request) {
 	leaves := p.leaving && !p.succeeded
-	a := Refuse{ID: r.ID, NotElsewhere: p.press > 1 && p.busy >= busyShare && !leaves}
+	a := Refuse{ID: r.ID, NoRetryElsewhere: p.press > 1 && p.busy >= busyShare && !leaves}
 	switch {
 	case leaves || p.sick:
 		a.RetryAfter = p.s.MaxRetryAfter
-	case !a.NotElsewhere:
+	case !a.NoRetryElsewhere:
 		line := p.hold.Sum(func(like *request) float64 { return like.cost })
 		a.RetryAfter = min(line/p.pace, p.s.MaxRetryAfter)
 	}
@@ -684,7 +684,7 @@
 // halt stops work that nobody awaits. Keyed work runs on: its repeats live on its answer, as do those of a
 // read that others wait for.
 func (p *Policy) halt(r *request) {
-	if r.phase != running || r.stopped || p.s.Halt == HaltNone || p.s.Classes[r.Class].Repeat != Safe ||
+	if r.phase != running || r.stopped || p.s.Halt == StopNone || p.s.Classes[r.Class].Repeat != Safe ||
 		r.sharers > 0 {
 		return
 	}
@@ -789,8 +789,8 @@
 		p.limit += (k.Limit.Value*p.cores - p.limit) * k.Limit.N / (k.Limit.N + p.renewed)
 		p.limit = min(max(p.limit, p.cores), p.crowd())
 	}
-	if k.CallBase.N > 0 && p.callLat == 0 {
-		p.callLat, p.callMin = k.CallBase.Value, k.CallBase.Value
+	if k.BaseCallLatency.N > 0 && p.callLat == 0 {
+		p.callLat, p.callMin = k.BaseCallLatency.Value, k.BaseCallLatency.Value
 	}
 }
 
@@ -829,17 +829,17 @@
 	if p.leaving {
 		if !p.closed && p.now >= p.closeAt {
 			p.closed = true
-			p.do(Health{Stored: true, Good: false})
+			p.do(Health{Cached: true, Healthy: false})
 		}
 		return
 	}
 	if !p.sick && p.unread > p.aimMost && p.press*p.pace < p.cores/sickPart {
 		p.sick, p.sickTo = true, p.now+sickFor
-		p.do(Health{Stored: true, Good: false})
+		p.do(Health{Cached: true, Healthy: false})
 	}
 	if p.sick && p.now > p.sickTo {
 		p.sick = false
-		p.do(Health{Stored: true, Good: !p.away})
+		p.do(Health{Cached: true, Healthy: !p.away})
 	}
 }
 
@@ -863,7 +863,7 @@
 	})
 	ahead, stretch, slots := 0.0, max(1, p.limit/p.cores), math.Floor(p.slots())
 	fits := func(kb float64) bool {
-		return float64(p.count[running]+p.beside.Live) < slots && float64(p.live()) < p.crowd() &&
+		return float64(p.count[running]+p.beside.InProgress) < slots && float64(p.live()) < p.crowd() &&
 			p.used()+kb <= memoryShare*p.s.Memory
 	}
 	// lasts tells whether the last of n more is started and answered in time.
@@ -880,7 +880,7 @@
 	}, func(r *request) {
 		r.cost = r.place.Like().cost
 		on := float64(p.count[running])
-		switch can := fits(r.mem - r.KB); {
+		switch can := fits(r.mem - r.MemoryKB); {
 		case can && p.now+likely*r.cost*max(1, (on+1+p.extra)/p.cores) <= r.aim:
 			p.start(r)
 		case !can && lasts(1, r.cost, r.soon, r.aim):
@@ -960,7 +960,7 @@
 
 // advertise tells callers the credit: the limit over the callers heard lately, by their traffic.
 func (p *Policy) advertise() {
-	if p.s.Say == SayNothing {
+	if p.s.CreditMode == CreditNone {
 		return
 	}
 	v := 0.0
@@ -984,10 +984,10 @@
 	room := min(p.limit*max(p.led, p.warm()), p.feasible()) // a prior knows what is feasible
 	inHand := float64(p.live() + p.count[held])
 	fullness := inHand / max(1, room)
-	switch p.s.Say {
-	case SayShare:
+	switch p.s.CreditMode {
+	case CreditShare:
 		return min(1, 1/max(1, fullness))
-	case SayThreshold:
+	case CreditThreshold:
 		return max(0, 1-1/max(1, fullness))
 	}
 	return min(room, room/callers+freeShare*max(0, room-inHand)) / max(1, fullness*fullness)
--- a/policy_test.go
+++ b/policy_test.go
@@ -19,7 +19,7 @@
 			{Aim: 1000, Deadline: 3000, Worth: 1, Repeat: Safe},
 			{Aim: 1000, Deadline: 3000, Worth: 2, Repeat: Keyed, Window: 5000},
 		},
-		Halt: HaltPause, Say: SayWindow, HeardFor: 1000, TellsGone: true, PassesDeadline: true,
+		Halt: StopPause, CreditMode: CreditWindow, HeardFor: 1000, ReportsCancellation: true, PassesDeadline: true,
 		MaxRetryAfter: 1000, Tick: 4,
 		Rules: Rules{AnswerGrace: 60, ColdFrom: 0.2, RampTime: 10000, DrainGrace: 2000, FallMultiple: 6,
 			FallWindow: 3000},
@@ -59,7 +59,7 @@
 }
 
 func arrival(n, class int, now float64) Arrival {
-	return Arrival{ID: id(n), Due: now + 3000, KB: 20, Class: class}
+	return Arrival{ID: id(n), Due: now + 3000, MemoryKB: 20, Class: class}
 }
 
 // find returns the actions of type T.
@@ -206,11 +206,11 @@
 	s := newServer(t, nil)
 	s.p.classes[0] = class{base: fit.Line{N: 100, Y: 100}, asked: 10}
 	s.p.unread, s.p.press = 1500, 0.1
-	if got := find[Health](s.after(4)); len(got) != 1 || got[0].Good {
+	if got := find[Health](s.after(4)); len(got) != 1 || got[0].Healthy {
 		t.Fatalf("want checks to fail, got %v", got)
 	}
 	s.p.unread = 0
-	if got := find[Health](s.after(sickFor + 1)); len(got) != 1 || !got[0].Good {
+	if got := find[Health](s.after(sickFor + 1)); len(got) != 1 || !got[0].Healthy {
 		t.Fatalf("want checks to pass again, got %v", got)
 	}
 }
@@ -227,7 +227,7 @@
 	s.busy(4)
 	for n := range 50 {
 		for _, r := range find[Refuse](s.step(arrival(n, 0, s.now))) {
-			if !r.NotElsewhere || r.RetryAfter > 0 {
+			if !r.NoRetryElsewhere || r.RetryAfter > 0 {
 				t.Fatalf("want advice not to go elsewhere and none to wait, got %+v", r)
 			}
 		}
@@ -315,7 +315,7 @@
 
 func TestCallsAreNotRepeatedUnlessProvenUnrun(t *testing.T) {
 	for code, want := range map[Code]int{Rejected: 1, ConnectFailed: 1, Timeout: 0, Reset: 0} {
-		s := newServer(t, func(s *Settings) { s.Classes[1].Calls = true })
+		s := newServer(t, func(s *Settings) { s.Classes[1].CallsDependency = true })
 		s.step(arrival(1, 1, s.now))
 		if got := find[Call](s.after(10, AtCall{id(1)})); len(got) != 1 {
 			t.Fatalf("want a call, got %v", got)
@@ -327,7 +327,7 @@
 }
 
 func TestCallIsSkippedInTimeWhereWorthRemains(t *testing.T) {
-	s := newServer(t, func(s *Settings) { s.Classes[0].Calls, s.Classes[0].SkipWorth = true, 0.3 })
+	s := newServer(t, func(s *Settings) { s.Classes[0].CallsDependency, s.Classes[0].SkipWorth = true, 0.3 })
 	s.p.callLat = 2000 // no call would be back within the aim
 	s.step(arrival(1, 0, s.now))
 	if got := find[Skip](s.after(10, AtCall{id(1)})); len(got) != 1 {
@@ -337,7 +337,7 @@
 
 func TestCallsStayWithinTheShare(t *testing.T) {
 	s := newServer(t, func(s *Settings) {
-		s.Classes[0].Calls, s.CallShare, s.CallShareWindow = true, 2, 5000
+		s.Classes[0].CallsDependency, s.CallShare, s.CallShareWindow = true, 2, 5000
 	})
 	out := 0
 	for n := range 4 {
@@ -353,10 +353,10 @@
 	s := newServer(t, func(s *Settings) { s.Classes[0].Aim = 3000 })
 	s.busy(4)
 	got := s.step(Notice{StopAt: s.now + 3000})
-	if h := find[Health](got); len(h) != 1 || h[0].Good {
+	if h := find[Health](got); len(h) != 1 || h[0].Healthy {
 		t.Fatalf("want health bad, got %v", got)
 	}
-	if v := find[Advertise](got); len(v) != 1 || v[0].Value != 0 {
+	if v := find[Advertise](got); len(v) != 1 || v[0].Credit != 0 {
 		t.Fatalf("want the credit at zero, got %v", got)
 	}
 	if got := s.after(2500, arrival(2, 0, s.now+2500)); len(find[Refuse](got)) != 1 {
@@ -380,7 +380,7 @@
 	}
 	got := s.after(350) // half of the time to the stop: sooner than nine tenths of the grace
 	h, v := find[Health](got), find[Advertise](got)
-	if len(h) != 1 || h[0].Good || len(v) != 1 || v[0].Value != 0 {
+	if len(h) != 1 || h[0].Healthy || len(v) != 1 || v[0].Credit != 0 {
 		t.Fatalf("want health bad and no credit near the end of the grace, got %v", got)
 	}
 }
@@ -458,8 +458,8 @@
 }
 
 func TestOtherReadingsOfTheFreeValue(t *testing.T) {
-	for say, want := range map[Say][2]float64{SayShare: {1, 0.5}, SayThreshold: {0, 0.5}} {
-		s := newServer(t, func(s *Settings) { s.Say = say })
+	for say, want := range map[CreditMode][2]float64{CreditShare: {1, 0.5}, CreditThreshold: {0, 0.5}} {
+		s := newServer(t, func(s *Settings) { s.CreditMode = say })
 		idle := s.p.credit()
 		s.busy(4)
 		s.p.count[held] += s.p.live() // twice the room in hand
@@ -467,7 +467,7 @@
 			t.Errorf("%s: %v idle and %v full, want %v", say, idle, full, want)
 		}
 	}
-	s := newServer(t, func(s *Settings) { s.Say = SayNothing })
+	s := newServer(t, func(s *Settings) { s.CreditMode = CreditNone })
 	if got := find[Advertise](s.after(50, gauges(1, 4))); len(got) != 0 {
 		t.Errorf("a value is said where none may be: %v", got)
 	}
@@ -542,7 +542,7 @@
 func TestCallsStayWithinTheShareFromTheStart(t *testing.T) {
 	// cordoba-later, drawn day 2699626243: a mean over the whole window starts at none and let a full start pass.
 	s := newServer(t, func(s *Settings) {
-		s.Classes[0].Calls, s.CallShare, s.CallShareWindow = true, 0.47, 5000
+		s.Classes[0].CallsDependency, s.CallShare, s.CallShareWindow = true, 0.47, 5000
 		s.Classes[0].Aim, s.Classes[0].Deadline = 1e5, 1e5
 	})
 	inHand, out, last := 0.0, RequestID(""), 0.0
@@ -584,7 +584,7 @@
 	s.p.classes[0].base = fit.Line{N: 100, Y: 100}
 	s.busy(4)
 	a := arrival(1, 0, s.now)
-	a.Unread = 200
+	a.ReadDelay = 200
 	if got := find[Refuse](s.step(a)); len(got) != 0 || s.p.count[held] != 1 {
 		t.Fatalf("want it held, got %v", got)
 	}
@@ -597,7 +597,7 @@
 	s.p.press, s.p.busy = 1.5, 0.6
 	for n := range 50 {
 		for _, r := range find[Refuse](s.step(arrival(n, 0, s.now))) {
-			if r.NotElsewhere {
+			if r.NoRetryElsewhere {
 				t.Fatal("want the caller free to try elsewhere")
 			}
 		}
--- a/recorded_test.go
+++ b/recorded_test.go
@@ -18,13 +18,13 @@
 func told(a Action) string {
 	switch a := a.(type) {
 	case Refuse:
-		return fmt.Sprintf("refuse %s %.6f %t", a.ID, a.RetryAfter, a.NotElsewhere)
+		return fmt.Sprintf("refuse %s %.6f %t", a.ID, a.RetryAfter, a.NoRetryElsewhere)
 	case Keep:
-		return fmt.Sprintf("keep %s %.6f", a.ID, a.For)
+		return fmt.Sprintf("keep %s %.6f", a.ID, a.TTL)
 	case Call:
 		return fmt.Sprintf("call %s %.6f", a.ID, a.Timeout)
 	case Advertise:
-		return fmt.Sprintf("advertise %.6f", a.Value)
+		return fmt.Sprintf("advertise %.6f", a.Credit)
 	case Wake:
 		return fmt.Sprintf("wake %.6f %d", a.At, a.Token)
 	case CloseIdle:
@@ -62,19 +62,19 @@
 	var got []string
 	for seed := range uint64(24) {
 		lines := day(t, seed, 900, 0.1+0.03*float64(seed), func(s *Settings) {
-			s.Halt = []Halt{HaltAbort, HaltPause, HaltNone}[seed%3]
-			s.Say = []Say{SayWindow, SayThreshold, SayShare, SayWindow}[seed%4]
-			s.PassesDeadline, s.TellsGone, s.Cold = seed%5 != 0, seed%7 != 0, seed%6 == 0
+			s.Halt = []StopMode{StopAbort, StopPause, StopNone}[seed%3]
+			s.CreditMode = []CreditMode{CreditWindow, CreditThreshold, CreditShare, CreditWindow}[seed%4]
+			s.PassesDeadline, s.ReportsCancellation, s.Cold = seed%5 != 0, seed%7 != 0, seed%6 == 0
 			s.WorthByWork = seed%4 == 1
 			s.Memory = []float64{3000, 8000, 200000}[seed%3]
 			s.Cores = []int{1, 2, 4, 16}[seed%4]
 			s.Callers, s.KeepAlive = []int{3, 200}[seed%2], 30000
-			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe, Calls: true},
-				Class{Aim: 900, Deadline: 2500, Worth: 1, Repeat: Safe, Calls: true, SkipWorth: 0.3},
+			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe, CallsDependency: true},
+				Class{Aim: 900, Deadline: 2500, Worth: 1, Repeat: Safe, CallsDependency: true, SkipWorth: 0.3},
 				Class{Aim: 2500, Deadline: 6000, Worth: 4, LateWorth: 0.2, Repeat: Safe})
 			s.Classes[0].LateWorth = []float64{0, 0.2}[seed%2]
 			if seed%2 == 0 {
-				s.Below, s.CallShare, s.CallShareWindow, s.CallLinger = BelowShared, 2.5, 5000, 200
+				s.Dependency, s.CallShare, s.CallShareWindow, s.CallLinger = DependencyShared, 2.5, 5000, 200
 				s.Tenants = []Tenant{{QuotaPerSecond: 20}, {}}
 			}
 		})
@@ -113,7 +113,7 @@
 	var events []Event
 	for i := range n {
 		a := arrival(i, i%2, now)
-		a.Due, a.HintOK, a.Work = now+3e6, true, 1
+		a.Due, a.WorkKnown, a.Work = now+3e6, true, 1
 		events = append(events, a)
 	}
 	p.Step(now, events, nil)
@@ -153,7 +153,7 @@
 			for b.Loop() {
 				now += 0.001
 				a := arrival(next, next%2, now)
-				a.Due, a.HintOK, a.Work = now+3e6, true, 1
+				a.Due, a.WorkKnown, a.Work = now+3e6, true, 1
 				next++
 				end := Ended{ID: runs[0], Code: OK, Latency: 1}
 				runs = runs[1:]
@@ -183,7 +183,7 @@
 			buf := p.Step(now, nil, nil)
 			arrive := func() {
 				a := arrival(next, 0, now)
-				a.Due, a.HintOK, a.Work = now+3000, true, 100
+				a.Due, a.WorkKnown, a.Work = now+3000, true, 100
 				next++
 				buf = p.Step(now, []Event{a}, buf[:0])
 				for _, a := range buf {
--- a/rules_test.go
+++ b/rules_test.go
@@ -45,9 +45,9 @@
 	for _, q := range h.order {
 		if !q.over {
 			if q.running || q.atCall || q.out {
-				kb += q.KB * h.s.RunFactor
+				kb += q.MemoryKB * h.s.RunFactor
 			} else {
-				kb += q.KB
+				kb += q.MemoryKB
 			}
 		}
 		if q.keptTo > h.now {
@@ -115,7 +115,7 @@
 				q.atCall, q.over = false, true
 			}
 		case Stop:
-			if h.s.Halt == HaltNone {
+			if h.s.Halt == StopNone {
 				h.t.Fatal("work is stopped where it can't be")
 			}
 			h.get(a.ID).stopped = true
@@ -136,7 +136,7 @@
 			q.atCall, q.running = false, true
 		case Keep:
 			q := h.get(a.ID)
-			q.keptTo = h.now + a.For
+			q.keptTo = h.now + a.TTL
 			h.keyIDs[q.Key] = q
 		case Forget:
 			h.get(a.ID).keptTo = 0
@@ -147,8 +147,8 @@
 			}
 			q.sharing = true
 		case Advertise:
-			if h.s.Say == SayNothing || a.Value < 0 {
-				h.t.Fatalf("value %v said where %s", a.Value, h.s.Say)
+			if h.s.CreditMode == CreditNone || a.Credit < 0 {
+				h.t.Fatalf("value %v said where %s", a.Credit, h.s.CreditMode)
 			}
 		case CloseIdle:
 			if a.After < 10 || a.After > max(10, h.s.KeepAlive) {
@@ -190,11 +190,11 @@
 func (h *host) events(rate float64) (out []Event) {
 	for h.rng.Float64() < rate {
 		h.n++
-		q := &try{Arrival: Arrival{ID: id(h.n), Caller: h.rng.IntN(h.s.Callers), Unread: h.rng.Float64() * 100,
-			KB: 5 + 40*h.rng.Float64(), Class: h.rng.IntN(len(h.s.Classes)), HintOK: h.rng.IntN(2) == 0,
+		q := &try{Arrival: Arrival{ID: id(h.n), Caller: h.rng.IntN(h.s.Callers), ReadDelay: h.rng.Float64() * 100,
+			MemoryKB: 5 + 40*h.rng.Float64(), Class: h.rng.IntN(len(h.s.Classes)), WorkKnown: h.rng.IntN(2) == 0,
 			Work: 400 * h.rng.Float64(), Tenant: h.rng.IntN(2)}}
 		sc := h.s.Classes[q.Class]
-		q.arrived = h.now - q.Unread
+		q.arrived = h.now - q.ReadDelay
 		q.due = q.arrived + sc.Deadline
 		if h.s.PassesDeadline {
 			q.Due = h.now + h.rng.Float64()*sc.Deadline
@@ -227,7 +227,7 @@
 				code = Error
 			}
 			out = append(out, h.end(q, code))
-		case q.running && h.s.Classes[q.Class].Calls && h.rng.IntN(60) == 0:
+		case q.running && h.s.Classes[q.Class].CallsDependency && h.rng.IntN(60) == 0:
 			q.running, q.atCall = false, true
 			out = append(out, AtCall{q.ID})
 		case q.out && h.rng.IntN(10) == 0:
@@ -235,7 +235,7 @@
 			q.out, q.atCall, q.running = false, code != OK, code == OK
 			q.unproven = q.unproven || code == Timeout || code == Reset
 			out = append(out, Called{q.ID, code, 30})
-		case !q.gone && h.s.TellsGone && h.rng.IntN(300) == 0:
+		case !q.gone && h.s.ReportsCancellation && h.rng.IntN(300) == 0:
 			q.gone = true
 			q.over = !q.running && !q.out && !q.atCall
 			out = append(out, Gone{q.ID})
@@ -281,16 +281,16 @@
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			s := settings()
-			s.Halt = []Halt{HaltNone, HaltAbort, HaltPause}[seed%3]
-			s.Say = []Say{SayWindow, SayThreshold, SayShare, SayNothing}[seed%4]
-			s.PassesDeadline, s.TellsGone, s.Cold = seed%5 != 0, seed%7 != 0, seed%6 == 0
+			s.Halt = []StopMode{StopNone, StopAbort, StopPause}[seed%3]
+			s.CreditMode = []CreditMode{CreditWindow, CreditThreshold, CreditShare, CreditNone}[seed%4]
+			s.PassesDeadline, s.ReportsCancellation, s.Cold = seed%5 != 0, seed%7 != 0, seed%6 == 0
 			s.WorthByWork = seed%2 == 0
 			s.Memory = 2000 + 8000*rng.Float64()
-			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe, Calls: true},
-				Class{Aim: 900, Deadline: 2500, Worth: 1, Repeat: Safe, Calls: true, SkipWorth: 0.3})
-			s.Classes[1].Calls = true
+			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe, CallsDependency: true},
+				Class{Aim: 900, Deadline: 2500, Worth: 1, Repeat: Safe, CallsDependency: true, SkipWorth: 0.3})
+			s.Classes[1].CallsDependency = true
 			if seed%2 == 0 {
-				s.Below, s.CallShare, s.CallShareWindow, s.CallLinger = BelowShared, 2.5, 5000, 200
+				s.Dependency, s.CallShare, s.CallShareWindow, s.CallLinger = DependencyShared, 2.5, 5000, 200
 				s.CallShare = []float64{0, 0.05, 0.5, 2.5, 50}[seed/2%5]
 				s.Tenants = []Tenant{{QuotaPerSecond: 20}, {}}
 			}
