--- a/internal/fit/fit_test.go
+++ b/internal/estimate/regression_test.go
@@ -1,4 +1,4 @@
-package fit
+package estimate
 
 import (
 	"math"
@@ -6,47 +6,47 @@
 )
 
 // The fit finds a line through points on it, ages, and stays between a mean and proportion.
-func TestLine(t *testing.T) {
-	var l Line
+func TestRegression(t *testing.T) {
+	var l Regression
 	for i := range 500 {
 		x := float64(1 + i%10)
 		l.Add(x, 20+3*x, 200)
 	}
 	for x, want := range map[float64]float64{0: l.Y, 2: 26, 8: 44} {
-		if got := l.At(x, 3); math.Abs(got-want) > 1 {
+		if got := l.Predict(x, 3); math.Abs(got-want) > 1 {
 			t.Errorf("at %v: %v, want about %v", x, got, want)
 		}
 	}
 	for range 2000 {
 		l.Add(5, 70, 200)
 	}
-	if got := l.At(5, 3); math.Abs(got-70) > 0.1 {
+	if got := l.Predict(5, 3); math.Abs(got-70) > 0.1 {
 		t.Errorf("%v after it changed, want 70", got)
 	}
-	one := Line{}
+	one := Regression{}
 	one.Add(4, 8, 200)
-	if got := one.At(2, 3); math.Abs(got-4) > 1e-9 {
+	if got := one.Predict(2, 3); math.Abs(got-4) > 1e-9 {
 		t.Errorf("%v from one point, want proportion: 4", got)
 	}
-	falling := Line{}
+	falling := Regression{}
 	falling.Add(1, 9, 200)
 	falling.Add(9, 1, 200)
-	if got := falling.At(9, 0); got != falling.Y {
+	if got := falling.Predict(9, 0); got != falling.Y {
 		t.Errorf("%v on a falling line, want the mean %v", got, falling.Y)
 	}
 }
 
 func TestCostIsALineAndNotAMeanOfRatios(t *testing.T) {
 	// Incident-free cause of bp-render-main at 0.21: 200 ms of disk on any request made tiny hints huge ratios.
-	var l Line
+	var l Regression
 	for n := range 200 {
 		hint := float64(1 + n%40*20)
 		l.Add(hint, 200+hint, 1000)
 	}
-	if got := l.At(10, 3); got < 150 || got > 280 {
+	if got := l.Predict(10, 3); got < 150 || got > 280 {
 		t.Errorf("cost at a hint of 10: %v, want about 210", got)
 	}
-	if got := l.At(800, 3); got < 850 || got > 1050 {
+	if got := l.Predict(800, 3); got < 850 || got > 1050 {
 		t.Errorf("cost at a hint of 800: %v, want about 1000", got)
 	}
 }
--- a/policy.go
+++ b/policy.go
@@ -10,7 +10,7 @@
 	"math"
 	"slices"
 
-	"whinrudder/internal/fit"
+	"whinrudder/internal/estimate"
 	"whinrudder/internal/order"
 )
 
@@ -106,22 +106,22 @@
 
 // class is what was learned about one class.
 type class struct {
-	base  fit.Line           // core time of a request by its hinted work, slowly aging
-	prior fit.Line           // what others learned of it: n is what it counts for beside the own
-	learn float64            // when the own was last added to
-	runs  float64            // runs in it
-	asked float64            // worth of arrivals lately
-	waits [waitsKept]float64 // how long callers of the last arrivals still waited, as a ring
-	seen  int                // arrivals so far
-	told  int                // waits among them that were adopted
+	base  estimate.Regression // core time of a request by its hinted work, slowly aging
+	prior estimate.Regression // what others learned of it: n is what it counts for beside the own
+	learn float64             // when the own was last added to
+	runs  float64             // runs in it
+	asked float64             // worth of arrivals lately
+	waits [waitsKept]float64  // how long callers of the last arrivals still waited, as a ring
+	seen  int                 // arrivals so far
+	told  int                 // waits among them that were adopted
 }
 
 // at is what a request takes on a warm server. A prior's relation of classes goes by this server's speed.
 func (c *class) at(work, speed float64) float64 {
 	if c.prior.N <= 0 || speed <= 0 {
-		return c.base.At(work, fitPull)
+		return c.base.Predict(work, fitPull)
 	}
-	own, others := c.base.N*c.base.At(work, fitPull), c.prior.N*speed*c.prior.At(work, fitPull)
+	own, others := c.base.N*c.base.Predict(work, fitPull), c.prior.N*speed*c.prior.Predict(work, fitPull)
 	return (own + others) / (c.base.N + c.prior.N)
 }
 
@@ -164,10 +164,10 @@
 
 	heard   []*caller
 	byID    map[int]*caller
-	sum, sq float64  // requests of callers heard lately, and sum of the squares by caller
-	idle    fit.Idle // cost of closing at each idle time, lately, in time a connection is kept
-	trim    float64  // what was told last
-	unread  float64  // time that requests waited before they were read, lately
+	sum, sq float64           // requests of callers heard lately, and sum of the squares by caller
+	idle    estimate.IdleCost // cost of closing at each idle time, lately, in time a connection is kept
+	trim    float64           // what was told last
+	unread  float64           // time that requests waited before they were read, lately
 	said    float64
 
 	callLimit, callLat, callMin float64
@@ -214,7 +214,7 @@
 }
 
 // Reconfigure takes settings that have passed their check in place of the old ones. Classes keep their places
-// and what was learned of them, except those that are fresh; one that is no more keeps it for requests in hand.
+// and what was learned of them, except those that are fresh; one that is gone keeps it for requests in hand.
 func (p *Policy) Reconfigure(s Settings, fresh ...int) {
 	p.s, p.cores = s, float64(s.Cores)
 	p.aimLeast, p.aimMost = s.Classes[0].Aim, 0
@@ -435,7 +435,7 @@
 	if c.base.N < fitPull && (c.base.N == 0 || c.prior.N > 0) {
 		// A prior must not keep a class from showing what it takes.
 		usual := cmp.Or(r.Work, p.s.Classes[r.Class].Aim/priorCost)
-		cost = min(cmp.Or(cost, usual), max(usual, c.base.At(r.Work, fitPull)*p.slow))
+		cost = min(cmp.Or(cost, usual), max(usual, c.base.Predict(r.Work, fitPull)*p.slow))
 	}
 	r.cost = max(cost/p.warm(), p.s.Tick, 1e-3)
 	worth := p.worth(r)
@@ -568,7 +568,7 @@
 		p.byID[id] = c
 		p.heard = append(p.heard, c)
 	} else if c.open == 0 {
-		p.idle.Back(p.now-c.last, p.s.KeepAlive, connWorth)
+		p.idle.AddReturn(p.now-c.last, p.s.KeepAlive, connWorth)
 	}
 	p.sum++
 	p.sq += 2*c.count + 1
@@ -602,16 +602,16 @@
 		if c.open > 0 {
 			return false
 		}
-		costs.Away(p.now-c.last, p.s.KeepAlive)
+		costs.AddAbsence(p.now-c.last, p.s.KeepAlive)
 		old := p.now-c.last > max(callerSpan, p.s.KeepAlive)
 		if old {
-			p.idle.Away(p.now-c.last, p.s.KeepAlive)
+			p.idle.AddAbsence(p.now-c.last, p.s.KeepAlive)
 			delete(p.byID, c.id)
 		}
 		return old
 	})
-	p.idle.Fade(math.Exp(-leasePeriod / max(leasePeriod, p.s.KeepAlive)))
-	if at := max(closeLeast, costs.Least(p.s.KeepAlive)); at != p.trim && p.s.KeepAlive > 0 {
+	p.idle.Decay(math.Exp(-leasePeriod / max(leasePeriod, p.s.KeepAlive)))
+	if at := max(closeLeast, costs.BestTimeout(p.s.KeepAlive)); at != p.trim && p.s.KeepAlive > 0 {
 		p.trim = at
 		p.do(CloseIdle{at})
 	}
@@ -753,7 +753,7 @@
 	c := &p.classes[r.Class]
 	base, used := &c.base, r.used*p.warm()
 	if c.prior.N > 0 && whole {
-		p.own, p.like = p.own+used, p.like+c.prior.At(r.Work, fitPull)
+		p.own, p.like = p.own+used, p.like+c.prior.Predict(r.Work, fitPull)
 	} else if base.N == 0 && whole {
 		base.Add(r.Work, used, baseMemory)
 	}
@@ -775,7 +775,7 @@
 	for i := range min(len(p.classes), len(k.Classes)) {
 		c, l := &p.classes[i], k.Classes[i]
 		f := l.Cost
-		c.prior = fit.Line{N: f.N, X: f.Work, Y: f.Time, XX: f.WorkWork, XY: f.WorkTime}
+		c.prior = estimate.Regression{N: f.N, X: f.Work, Y: f.Time, XX: f.WorkWork, XY: f.WorkTime}
 		p.led = max(p.led, min(1, c.prior.N/ledRuns))
 		if c.asked == 0 {
 			c.asked = l.Share
--- a/policy_test.go
+++ b/policy_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"whinrudder/internal/fit"
+	"whinrudder/internal/estimate"
 )
 
 // settings returns a plain server: four cores, one safe class and one keyed class.
@@ -160,7 +160,7 @@
 
 func TestLimitFallsWithCrowdedLatencyToTheCores(t *testing.T) {
 	s := newServer(t, nil)
-	s.p.classes[0].base = fit.Line{N: 100, Y: 100}
+	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
 	s.p.limit = 12
 	for range 5 {
 		for n := range 10 {
@@ -191,7 +191,7 @@
 func TestSlownessSeesRunsThatNeverEnd(t *testing.T) {
 	// Incident id1e05b: a server ten times slower kept its old costs, since nothing ended to learn from.
 	s := newServer(t, nil)
-	s.p.classes[0].base = fit.Line{N: 100, Y: 100}
+	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
 	s.busy(4)
 	for range 60 {
 		s.after(50, gauges(1, 4))
@@ -204,7 +204,7 @@
 func TestLoneSlowServerFailsChecks(t *testing.T) {
 	// Incident id1e05b: ten times slower, a server did nothing but read what was too late already.
 	s := newServer(t, nil)
-	s.p.classes[0] = class{base: fit.Line{N: 100, Y: 100}, asked: 10}
+	s.p.classes[0] = class{base: estimate.Regression{N: 100, Y: 100}, asked: 10}
 	s.p.unread, s.p.press = 1500, 0.1
 	if got := find[Health](s.after(4)); len(got) != 1 || got[0].Healthy {
 		t.Fatalf("want checks to fail, got %v", got)
@@ -218,7 +218,7 @@
 func TestOverloadedFleetStaysHealthyAndKeepsRetriesHome(t *testing.T) {
 	// Incident ib8aaf1: refused requests went down the whole list and were read by every server.
 	s := newServer(t, nil)
-	s.p.classes[0] = class{base: fit.Line{N: 100, Y: 100}, asked: 10}
+	s.p.classes[0] = class{base: estimate.Regression{N: 100, Y: 100}, asked: 10}
 	s.p.slow, s.p.press, s.p.busy = 15, 1.5, 1
 	if got := find[Health](s.after(4)); len(got) != 0 {
 		t.Fatalf("want health unchanged, got %v", got)
@@ -250,7 +250,7 @@
 func TestHoldsOnlyWhatIsAnsweredSoon(t *testing.T) {
 	// Incident ic8b790: a line of three seconds stood for good, though all in it kept their aim by our clock.
 	s := newServer(t, nil)
-	s.p.classes[0].base = fit.Line{N: 100, Y: 100}
+	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
 	s.busy(4)
 	for n := range 40 {
 		s.step(arrival(n, 0, s.now))
@@ -532,7 +532,7 @@
 func TestOverloadDoesNotMakeAServerSick(t *testing.T) {
 	// cordoba-later big-1: unread time under a shared slowness made all servers fail checks, and the list emptied.
 	s := newServer(t, nil)
-	s.p.classes[0] = class{base: fit.Line{N: 100, Y: 100}, asked: 10}
+	s.p.classes[0] = class{base: estimate.Regression{N: 100, Y: 100}, asked: 10}
 	s.p.unread, s.p.press = 1500, 0.9
 	if got := find[Health](s.after(4)); len(got) != 0 {
 		t.Fatalf("want health unchanged, got %v", got)
@@ -571,7 +571,7 @@
 	// cordoba-later quiet: the mean of long-tailed costs had large writes refused by idle slow machines.
 	for cost, want := range map[float64]int{1200: 1, 1500: 0} {
 		s := newServer(t, nil)
-		s.p.classes[0].base = fit.Line{N: 100, Y: cost}
+		s.p.classes[0].base = estimate.Regression{N: 100, Y: cost}
 		if got := find[Run](s.step(arrival(1, 0, s.now))); len(got) != want {
 			t.Errorf("cost %v within an aim of 1000: %d started, want %d", cost, len(got), want)
 		}
@@ -581,7 +581,7 @@
 func TestSlowReadingLeavesTimeToWait(t *testing.T) {
 	// calc-later: reading alone took an eighth of the aim on slow machines, so nothing was ever held there.
 	s := newServer(t, nil)
-	s.p.classes[0].base = fit.Line{N: 100, Y: 100}
+	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
 	s.busy(4)
 	a := arrival(1, 0, s.now)
 	a.ReadDelay = 200
