--- a/internal/emu/rivals/server.go
+++ b/internal/emu/rivals/server.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"whinrudder/internal/core"
-	"whinrudder/internal/order"
+	"whinrudder/internal/queue"
 )
 
 // Node is a node without its wires: the core is one, and so are all rivals.
@@ -81,7 +81,7 @@
 	reqs    map[string]*request
 	line    []*request
 	running int
-	due     order.Heap[*request]
+	due     queue.Heap[*request]
 	leaving bool
 	stopAt  float64
 	grace   float64
@@ -92,7 +92,7 @@
 	*core.Request
 	open, runs bool
 	inFlight   int
-	timer      order.Due[*request]
+	timer      queue.HeapEntry[*request]
 }
 
 // NewServer returns a node with a line of so many at most; grace is for how long after the notice to leave what comes may
@@ -160,7 +160,7 @@
 			return
 		}
 		r := &request{Request: i.Request, open: true}
-		r.timer.What = r
+		r.timer.Value = r
 		s.reqs[r.ID] = r
 		s.due.Set(&r.timer, r.Due)
 		if s.leaving && r.Came > s.notice+s.grace || len(s.line) >= s.most && float64(s.running) >= s.limiter.Limit() {
--- a/internal/emu/workers/workers.go
+++ b/internal/emu/workers/workers.go
@@ -8,7 +8,7 @@
 import (
 	"math"
 
-	"whinrudder/internal/order"
+	"whinrudder/internal/queue"
 	"whinrudder/internal/vtime"
 )
 
@@ -63,8 +63,8 @@
 	reading bool
 	half    bool // the wait is over
 	begun   float64
-	target  order.Due[*job] // by the service that it needs to have
-	wake    vtime.Timer     // ends its wait
+	target  queue.HeapEntry[*job] // by the service that it needs to have
+	wake    vtime.Timer           // ends its wait
 }
 
 // Pool is one worker pool.
@@ -82,7 +82,7 @@
 	slow    float64 // how many times slower than usual it is
 	paused  bool
 	fallen  bool
-	on      order.Heap[*job] // on the cores
+	on      queue.Heap[*job] // on the cores
 	reading int
 	unread  []*job // in order of arrival
 	runs    map[int]*job
@@ -139,14 +139,14 @@
 // Arrive puts a request before the pool, unread.
 func (l *Pool) Arrive(id int, w Work) {
 	j := &job{id: id, w: w, reading: true}
-	j.target.What = j
+	j.target.Value = j
 	l.change(func() { l.unread = append(l.unread, j) })
 }
 
 // Start begins the run of a request that does not run.
 func (l *Pool) Start(id int, w Work) {
 	j := &job{id: id, w: w, begun: l.k.Now()}
-	j.target.What = j
+	j.target.Value = j
 	j.wake.Do = func(float64) { l.change(func() { j.half = true; l.need(j, j.w.Run/2) }) }
 	l.change(func() {
 		l.runs[id] = j
--- a/internal/emu/workers/workers_test.go
+++ b/internal/emu/workers/workers_test.go
@@ -12,9 +12,9 @@
 	"whinrudder/internal/vtime"
 )
 
-// queue plays a pool to which runs come by chance, and returns the mean number in it, the mean time that one took and the
+// simulateQueue plays a pool to which runs come by chance, and returns the mean number in it, the mean time that one took and the
 // rate of ends, after a time of warming up.
-func queue(p Params, seed vtime.Seed, rate float64, n int, draw func() float64) (number, took, ends float64) {
+func simulateQueue(p Params, seed vtime.Seed, rate float64, n int, draw func() float64) (number, took, ends float64) {
 	var k vtime.Kernel
 	arrive := distuv.Exponential{Rate: rate, Src: seed.Split("arrivals", 0).Rand()}
 	in, area, last, from := 0, 0.0, 0.0, -1.0
@@ -84,7 +84,7 @@
 			seed := vtime.Seed(1)
 			work := distuv.Exponential{Rate: 0.01, Src: seed.Split("work", 0).Rand()} // 100 ms in the mean
 			rate := c.rho * float64(c.cores) / 100
-			number, took, ends := queue(Params{Cores: c.cores, Speed: 1, ColdFrom: 1}, seed, rate, 400000, work.Rand)
+			number, took, ends := simulateQueue(Params{Cores: c.cores, Speed: 1, ColdFrom: 1}, seed, rate, 400000, work.Rand)
 			a := c.rho * float64(c.cores)
 			want := a + erlangC(c.cores, a)*c.rho/(1-c.rho)
 			near(t, "number", number, want, 0.03)
@@ -119,7 +119,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			seed := vtime.Seed(3)
-			number, took, _ := queue(Params{Cores: 1, Speed: 1, ColdFrom: 1}, seed, 0.007, 500000, of(seed.Split("work", 0)))
+			number, took, _ := simulateQueue(Params{Cores: 1, Speed: 1, ColdFrom: 1}, seed, 0.007, 500000, of(seed.Split("work", 0)))
 			near(t, "time", took, 100/(1-0.7), 0.04)
 			near(t, "number", number, 0.7/(1-0.7), 0.04)
 		})
--- a/internal/ops/disk.go
+++ b/internal/ops/disk.go
@@ -124,7 +124,7 @@
 	}
 	o = &op{key: r.Key, run: r.Run, at: r.At, by: r.By}
 	copy(o.digest[:], r.Digest)
-	o.age.What = o
+	o.age.Value = o
 	t.ops[o.key], t.runs[o.run] = o, o
 	t.setPlace(o, p)
 	if o.state = Running; r.Kind != journal.Intended {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -16,7 +16,7 @@
 	"slices"
 
 	"whinrudder/internal/journal"
-	"whinrudder/internal/order"
+	"whinrudder/internal/queue"
 )
 
 // State is how far an operation has come.
@@ -139,9 +139,9 @@
 	result  []byte   // until it lasts
 	by      string
 
-	age        order.Due[*op] // of those that are aged out
-	place      journal.Place  // of the record that counts; no segment: none
-	prev, next *op            // in its segment
+	age        queue.HeapEntry[*op] // of those that are aged out
+	place      journal.Place        // of the record that counts; no segment: none
+	prev, next *op                  // in its segment
 }
 
 const digestSize = 16
@@ -167,7 +167,7 @@
 	ops    map[string]*op
 	runs   map[string]*op // by the id that they are run under
 	waits  map[string]*op // by the ids of requests that wait
-	ages   order.Heap[*op]
+	ages   queue.Heap[*op]
 	doubts int
 	ends   int  // operations that are done
 	closed bool // no new ones are taken
@@ -235,7 +235,7 @@
 		return Verdict{Kind: Fails, Why: WhyOtherBody} // the id is that of a run for another key
 	case o == nil:
 		o = &op{key: key, digest: digest, run: id, led: true, at: now}
-		o.age.What = o
+		o.age.Value = o
 		t.ops[key], t.runs[id] = o, o
 		return Verdict{Kind: Leads}
 	case o.digest != digest:
--- a/internal/order/order_test.go
+++ b/internal/queue/queue_test.go
@@ -1,4 +1,4 @@
-package order
+package queue
 
 import (
 	"cmp"
@@ -13,9 +13,9 @@
 func TestHeapAgainstSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Heap[int]
-		all := make([]Due[int], 40)
+		all := make([]HeapEntry[int], 40)
 		for i := range all {
-			all[i].What = i
+			all[i].Value = i
 		}
 		in := map[int]float64{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -27,8 +27,8 @@
 				delete(in, i)
 				h.Remove(&all[i])
 			}
-			if _, is := in[i]; all[i].In() != is || h.Len() != len(in) {
-				t.Fatalf("%d in: %v, %d entries, want %d", i, all[i].In(), h.Len(), len(in))
+			if _, is := in[i]; all[i].Queued() != is || h.Len() != len(in) {
+				t.Fatalf("%d in: %v, %d entries, want %d", i, all[i].Queued(), h.Len(), len(in))
 			}
 		}
 		by := float64(rapid.IntRange(0, 30).Draw(t, "by"))
@@ -53,26 +53,26 @@
 }
 
 // A hold keeps its order and its bounds, and a walk visits what it must, while places come and go and values change.
-func TestHoldAgainstSorting(t *testing.T) {
+func TestGroupedAgainstSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type item struct {
-			Place[int]
+			Item[int]
 			line int
 		}
 		all := map[int]*item{}
-		h := NewHold(func(i int) int { return i % 3 }, func(i int) int { return i % 3 })
+		h := NewGrouped(func(i int) int { return i % 3 }, func(i int) int { return i % 3 })
 		n := 0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			li := rapid.IntRange(0, 2).Draw(t, "line")
 			for range rapid.IntRange(0, 100).Draw(t, "more") {
 				id := 3*n + li
-				p := &item{Place: Place[int]{What: id, Key: float64(n / 3), Seq: uint64(n)}, line: li}
+				p := &item{Item: Item[int]{Value: id, Key: float64(n / 3), Seq: uint64(n)}, line: li}
 				if rapid.IntRange(0, 3).Draw(t, "out of turn") == 0 {
 					p.Key = float64(rapid.IntRange(0, 100).Draw(t, "key"))
 				}
-				p.Low = [3]float64{float64(rapid.IntRange(0, 9).Draw(t, "low")), p.Key, -p.Key}
+				p.Attributes = [3]float64{float64(rapid.IntRange(0, 9).Draw(t, "low")), p.Key, -p.Key}
 				all[id] = p
-				h.Add(&p.Place)
+				h.Add(&p.Item)
 				n++
 			}
 			var values [3]float64
@@ -86,11 +86,11 @@
 				want = append(want, p)
 			}
 			slices.SortFunc(want, func(a, b *item) int {
-				return cmp.Or(cmp.Compare(values[b.line], values[a.line]), a.compare(&b.Place))
+				return cmp.Or(cmp.Compare(values[b.line], values[a.line]), a.compare(&b.Item))
 			})
 			var order, met []int
 			for _, p := range want {
-				order = append(order, p.What)
+				order = append(order, p.Value)
 			}
 			h.Walk(func(int, int, [3]float64) bool { return false }, func(i int) { met = append(met, i) })
 			if diff := gocmp.Diff(order, met); diff != "" {
@@ -104,16 +104,16 @@
 					} else {
 						last = at
 					}
-					if p := all[i]; p.Low[0] < low {
-						if p.Like() != p.line {
-							t.Fatalf("%d of line %d is in line %d", i, p.line, p.Like())
+					if p := all[i]; p.Attributes[0] < low {
+						if p.Representative() != p.line {
+							t.Fatalf("%d of line %d is in line %d", i, p.line, p.Representative())
 						}
 						p.Remove()
 						delete(all, i)
 					}
 				})
 			for i, p := range all {
-				if p.Low[0] < low {
+				if p.Attributes[0] < low {
 					t.Fatalf("%d was passed over", i)
 				}
 			}
@@ -128,7 +128,7 @@
 func TestBlocksStayFull(t *testing.T) {
 	var l line[int]
 	for i := range 6400 {
-		l.add(&Place[int]{What: i, Key: float64(i)})
+		l.add(&Item[int]{Value: i, Key: float64(i)})
 	}
 	if len(l.blocks) > 110 {
 		t.Errorf("%d blocks for 6400 places", len(l.blocks))
--- a/policy.go
+++ b/policy.go
@@ -11,7 +11,7 @@
 	"slices"
 
 	"whinrudder/internal/estimate"
-	"whinrudder/internal/order"
+	"whinrudder/internal/queue"
 )
 
 // Tunables. Times are relative to aims, ticks and periods; counts are relative to cores and limits.
@@ -91,9 +91,9 @@
 	kb      float64 // memory that it is counted with
 	sharers int     // requests that wait for its answer
 
-	timer order.Due[*request]   // in Policy.due
-	entry order.Due[*request]   // in Policy.keys
-	place order.Place[*request] // in its line of the hold
+	timer queue.HeapEntry[*request] // in Policy.due
+	entry queue.HeapEntry[*request] // in Policy.keys
+	place queue.Item[*request]      // in its line of the hold
 }
 
 // alike is what requests of the hold have in common that are expected to cost and earn the same.
@@ -139,9 +139,9 @@
 	seq   uint64
 	count [over + 1]int        // requests by phase
 	kb    float64              // memory of them all
-	due   order.Heap[*request] // those that are owed an answer, by when guard must look at them
-	keys  order.Heap[*request] // those with a key entry, by its end
-	hold  *order.Hold[alike, *request]
+	due   queue.Heap[*request] // those that are owed an answer, by when guard must look at them
+	keys  queue.Heap[*request] // those with a key entry, by its end
+	hold  *queue.Grouped[alike, *request]
 	queue []*request // waiting
 
 	classes []class
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	p := &Policy{reqs: map[RequestID]*request{}, byID: map[int]*caller{}, said: -1, trim: s.KeepAlive}
-	p.hold = order.NewHold((*request).alike, func(r *request) *request { like := *r; return &like })
+	p.hold = queue.NewGrouped((*request).alike, func(r *request) *request { like := *r; return &like })
 	p.Reconfigure(s)
 	p.limit, p.pace, p.slow, p.callLimit = p.cores, p.cores, 1, max(1, s.CallShare/2)
 	return p, nil
@@ -342,7 +342,7 @@
 
 // drop forgets a request about which nothing more can come.
 func (p *Policy) drop(r *request) {
-	if r.phase == over && !r.entry.In() {
+	if r.phase == over && !r.entry.Queued() {
 		delete(p.reqs, r.ID)
 	}
 }
@@ -463,7 +463,7 @@
 	}
 	p.seq++
 	r := &request{Arrival: a, arrived: p.now - a.ReadDelay, seq: p.seq}
-	r.timer.What, r.entry.What, r.place.What = r, r, r
+	r.timer.Value, r.entry.Value, r.place.Value = r, r, r
 	p.reqs[a.ID] = r
 	p.count[held]++
 	p.hear(a.Caller)
@@ -516,7 +516,7 @@
 		p.keep(r)
 	}
 	p.move(r, held, r.MemoryKB)
-	r.place.Key, r.place.Seq, r.place.Low = r.aim, r.seq, [3]float64{r.soon, r.aim, r.mem - r.MemoryKB}
+	r.place.Key, r.place.Seq, r.place.Attributes = r.aim, r.seq, [3]float64{r.soon, r.aim, r.mem - r.MemoryKB}
 	p.hold.Add(&r.place)
 	p.due.Set(&r.timer, r.due)
 	p.do(Wake{At: r.due})
@@ -635,7 +635,7 @@
 		o.sharers--
 	}
 	p.move(r, over, 0)
-	if !r.ran && r.entry.In() {
+	if !r.ran && r.entry.Queued() {
 		p.keys.Remove(&r.entry)
 		p.do(Forget{r.ID})
 	}
@@ -878,7 +878,7 @@
 		ahead += float64(n) * like.cost
 		return true
 	}, func(r *request) {
-		r.cost = r.place.Like().cost
+		r.cost = r.place.Representative().cost
 		on := float64(p.count[running])
 		switch can := fits(r.mem - r.MemoryKB); {
 		case can && p.now+likely*r.cost*max(1, (on+1+p.extra)/p.cores) <= r.aim:
