--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -67,9 +67,9 @@
 	return fmt.Sprint(v)
 }
 
-// JSON sends an event to a logger of zerolog, as an object with time (RFC 3339 in milliseconds), word, code and the
-// pairs. An event that names no code has its word for it.
-func JSON(to *zerolog.Logger, at time.Time, word string, pairs []any) {
+// WriteJSON sends an event to a logger of zerolog, as an object with time (RFC 3339 in milliseconds), word, code and
+// the pairs. An event that names no code has its word for it.
+func WriteJSON(to *zerolog.Logger, at time.Time, word string, pairs []any) {
 	e := to.Log().Str("time", at.UTC().Format("2006-01-02T15:04:05.000Z07:00")).Str("word", word)
 	coded := false
 	for i := 0; i+1 < len(pairs); i += 2 {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -36,7 +36,7 @@
 		}
 		var b bytes.Buffer
 		l := zerolog.New(&b)
-		JSON(&l, at, c.word, c.pairs)
+		WriteJSON(&l, at, c.word, c.pairs)
 		if diff := cmp.Diff(c.json+"\n", b.String()); diff != "" {
 			t.Error(diff)
 		}
@@ -73,7 +73,7 @@
 		b.ReportAllocs()
 		l := zerolog.New(copier{}) // as the node's queue of lines must
 		for b.Loop() {
-			JSON(&l, time.Now(), "conn", []any{"front", "http", "peer", peer, "code", "eof", "served", n})
+			WriteJSON(&l, time.Now(), "conn", []any{"front", "http", "peer", peer, "code", "eof", "served", n})
 		}
 	})
 }
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -54,7 +54,7 @@
 // event writes a line if there is room for it: for more than all connections at once, if anybody reads the log.
 func (l *logger) event(word string, pairs ...any) {
 	if l.json != nil {
-		eventlog.JSON(l.json, time.Now(), word, pairs)
+		eventlog.WriteJSON(l.json, time.Now(), word, pairs)
 		return
 	}
 	l.put(eventlog.AppendText(make([]byte, 0, lineSize), time.Now(), word, pairs))
