--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"whinrudder"
-	"whinrudder/internal/wire"
+	"whinrudder/internal/simproto"
 )
 
 func main() {
@@ -21,11 +21,11 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	dec := simproto.NewDecoder(in)
 	policies := map[int]*whinrudder.Policy{}
 	var (
-		batch   wire.Batch
-		reply   wire.Reply
+		batch   simproto.Batch
+		reply   simproto.Reply
 		events  = map[int][]whinrudder.Event{}
 		order   []int
 		actions []whinrudder.Action
@@ -40,7 +40,7 @@
 		order = order[:0]
 		for _, it := range batch.Items {
 			switch {
-			case it.Died:
+			case it.Stopped:
 				delete(policies, it.Instance)
 				events[it.Instance] = events[it.Instance][:0]
 				continue
@@ -73,10 +73,10 @@
 			actions, fault = step(p, batch.Now, events[i], actions[:0])
 			events[i] = events[i][:0]
 			if fault != "" {
-				reply.Fault(i, fmt.Sprintf("instance %d: %s", i, fault))
+				reply.AppendCrash(i, fmt.Sprintf("instance %d: %s", i, fault))
 				continue
 			}
-			reply.From(i, actions)
+			reply.AppendActions(i, actions)
 		}
 		if _, err := reply.WriteTo(out); err != nil {
 			return err
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's text protocol: batches of events in, replies of actions out.
+// Package simproto reads and writes the simulator's text protocol: batches of events in, replies of actions out.
 // It translates and checks; it decides nothing.
-package wire
+package simproto
 
 import (
 	"bufio"
@@ -15,11 +15,11 @@
 	"whinrudder/internal/settings"
 )
 
-// Item is one event of a batch with the instance it is for. Exactly one of Start, Died and Event is set.
+// Item is one event of a batch with the instance it is for. Exactly one of Start, Stopped and Event is set.
 type Item struct {
 	Instance int
 	Start    *Start
-	Died     bool
+	Stopped  bool
 	Event    whinrudder.Event
 }
 
@@ -215,7 +215,7 @@
 		it.Start = &Start{Seed: seed, Settings: s.Policy}
 		return nil
 	case "STOP":
-		it.Died = true
+		it.Stopped = true
 	case "ACCEPT":
 		a := whinrudder.Arrival{ID: f.id(), Due: f.num(), Caller: f.count(), ReadDelay: f.num()}
 		bits := f.count()
@@ -279,8 +279,8 @@
 // Reply collects the lines of one answer.
 type Reply struct{ buf []byte }
 
-// From appends the actions of one instance.
-func (r *Reply) From(instance int, actions []whinrudder.Action) {
+// AppendActions appends the actions of one instance.
+func (r *Reply) AppendActions(instance int, actions []whinrudder.Action) {
 	if len(actions) == 0 {
 		return
 	}
@@ -328,14 +328,14 @@
 			r.buf = append(r.buf, "RECORD "...)
 			r.buf = append(r.buf, oneLine(a.Text)...)
 		default:
-			panic(fmt.Sprintf("wire: unknown action %T", a))
+			panic(fmt.Sprintf("simproto: unknown action %T", a))
 		}
 		r.buf = append(r.buf, '\n')
 	}
 }
 
-// Fault appends the action that reports a failed policy.
-func (r *Reply) Fault(instance int, reason string) {
+// AppendCrash appends the action that reports a failed policy.
+func (r *Reply) AppendCrash(instance int, reason string) {
 	r.open(instance)
 	r.buf = append(r.buf, "CRASH "...)
 	r.buf = append(r.buf, oneLine(reason)...)
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bytes"
@@ -52,7 +52,7 @@
 			t.Errorf("event %d: %+v, want %+v", i, it.Event, w)
 		}
 	}
-	if n := len(b.Items); b.Now != 8412.25 || n != 10 || !b.Items[n-1].Died || b.Items[n-1].Instance != 5 {
+	if n := len(b.Items); b.Now != 8412.25 || n != 10 || !b.Items[n-1].Stopped || b.Items[n-1].Instance != 5 {
 		t.Errorf("batch: %+v", b)
 	}
 }
@@ -85,14 +85,14 @@
 
 func TestReplyTranscript(t *testing.T) {
 	var r Reply
-	r.From(3, []whinrudder.Action{whinrudder.Run{ID: "a"}, whinrudder.Stop{ID: "a"},
+	r.AppendActions(3, []whinrudder.Action{whinrudder.Run{ID: "a"}, whinrudder.Stop{ID: "a"},
 		whinrudder.Refuse{ID: "a", RetryAfter: 250, NoRetryElsewhere: true}, whinrudder.Fail{ID: "a"},
 		whinrudder.Call{ID: "a", Timeout: 80}, whinrudder.Skip{ID: "a"}, whinrudder.Keep{ID: "a", TTL: 8000.0004},
 		whinrudder.Forget{ID: "a"}, whinrudder.Reuse{ID: "a"}, whinrudder.Health{Cached: true},
 		whinrudder.Advertise{Credit: 0.25}, whinrudder.CloseIdle{After: 2000}, whinrudder.Wake{At: 8912.25, Token: 77},
 		whinrudder.Log{Text: "two\nlines"}})
-	r.From(4, nil)
-	r.Fault(5, "index out of range")
+	r.AppendActions(4, nil)
+	r.AppendCrash(5, "index out of range")
 	var out bytes.Buffer
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 		var b Batch
 		for d.Decode(&b) == nil {
 			for _, it := range b.Items {
-				if it.Instance < 0 || (it.Start == nil && !it.Died && it.Event == nil) {
+				if it.Instance < 0 || (it.Start == nil && !it.Stopped && it.Event == nil) {
 					t.Fatalf("empty item %+v", it)
 				}
 			}
