--- a/cmd/whinrudder/peers.go
+++ b/cmd/whinrudder/peers.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				return fmt.Errorf("knowledge: %w", err)
 			}
-			knowledge.Write(out, r)
+			knowledge.WriteReport(out, r)
 			return nil
 		}}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -312,8 +312,8 @@
 	shares bool              // ids that are read are kept for it
 	fresh  []string          // those that it was not told of
 
-	taught *knowledge.Prior // waits for the module to be there
-	trial  *knowledge.Trial // of a prior, against own runs; nil without one
+	taught *knowledge.Prior          // waits for the module to be there
+	trial  *knowledge.PriorValidator // of a prior, against own runs; nil without one
 
 	leaving   bool
 	succeeded bool // another process of this node takes over
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -28,7 +28,7 @@
 		c.log("prior", "code", "leaving", "donors", strings.Join(p.Donors, ","))
 		return
 	}
-	trial, k, remarks, use := knowledge.Begin(c.now, p, c.policy.Knowledge())
+	trial, k, remarks, use := knowledge.NewPriorValidator(c.now, p, c.policy.Knowledge())
 	c.remark(remarks)
 	if !use {
 		c.log("prior", "code", "unused", "donors", strings.Join(p.Donors, ","))
@@ -41,14 +41,14 @@
 
 // watch holds the prior against own runs whenever one has ended.
 func (c *Core) watch(events []whinrudder.Event) {
-	if !c.trial.Open() {
+	if !c.trial.Active() {
 		return
 	}
 	for _, e := range events {
 		if _, ok := e.(whinrudder.Ended); !ok {
 			continue
 		}
-		k, remarks, changed := c.trial.Watch(c.now, c.policy.Knowledge())
+		k, remarks, changed := c.trial.Recheck(c.now, c.policy.Knowledge())
 		c.remark(remarks)
 		if changed {
 			c.policy.Adopt(k)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c *Core) remark(all []knowledge.Remark) {
+func (c *Core) remark(all []knowledge.LogEntry) {
 	for _, r := range all {
 		c.log("prior", r.Pairs()...)
 	}
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -12,9 +12,9 @@
 )
 
 func priorOf(times ...float64) knowledge.Prior {
-	p := knowledge.Prior{Donors: []string{"d"}, Trust: knowledge.DefaultTrust}
+	p := knowledge.Prior{Donors: []string{"d"}, Trust: knowledge.DefaultTrustParams}
 	for i, t := range times {
-		p.Names = append(p.Names, fmt.Sprint("c", i))
+		p.ClassNames = append(p.ClassNames, fmt.Sprint("c", i))
 		p.Classes = append(p.Classes, whinrudder.ClassKnowledge{Cost: whinrudder.CostModel{N: 15, Time: t}})
 	}
 	return p
--- a/internal/core/retune.go
+++ b/internal/core/retune.go
@@ -46,6 +46,6 @@
 	s.Cold = c.cold
 	c.policy.Reconfigure(s, r.Fresh...)
 	for _, i := range r.Fresh {
-		c.trial.Forget(i)
+		c.trial.DropClass(i)
 	}
 }
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -12,15 +12,15 @@
 	"whinrudder"
 )
 
-var need = Need{Names: []string{"status", "rate", "book"}, Settings: whinrudder.Settings{
+var need = Recipient{ClassNames: []string{"status", "rate", "book"}, Settings: whinrudder.Settings{
 	Classes: []whinrudder.Class{{Deadline: 9000}, {Deadline: 6000}, {Deadline: 8000}}}}
 
 // report is a donor's whose classes take so many milliseconds each; 0 is a class it knows nothing of.
 func report(node string, age float64, times ...float64) Report {
-	r := Report{Node: node, Life: 60e3, Cores: 6, Warm: true, Limit: whinrudder.Estimate{Value: 2, N: 40, Age: age}}
+	r := Report{Node: node, Uptime: 60e3, Cores: 6, Warm: true, Limit: whinrudder.Estimate{Value: 2, N: 40, Age: age}}
 	for i, t := range times {
 		if t > 0 {
-			r.Classes = append(r.Classes, Class{need.Names[i], whinrudder.ClassKnowledge{Share: 1,
+			r.Classes = append(r.Classes, Class{need.ClassNames[i], whinrudder.ClassKnowledge{Share: 1,
 				Cost: whinrudder.CostModel{N: 150, Age: age, Time: t}, Waits: []float64{4000, 4000, 4000}}})
 		}
 	}
@@ -38,7 +38,7 @@
 	return k
 }
 
-func codes(remarks []Remark) (out []string) {
+func codes(remarks []LogEntry) (out []string) {
 	for _, r := range remarks {
 		out = append(out, fmt.Sprintf("%s %v=%v", r.Code, r.Details[0], r.Details[1]))
 	}
@@ -57,7 +57,7 @@
 		"":                       func(*Report) {},
 		"node is":                func(r *Report) { r.Node = "n 1" },
 		"cores is 0":             func(r *Report) { r.Cores = 0 },
-		"life is -1":             func(r *Report) { r.Life = -1 },
+		"life is -1":             func(r *Report) { r.Uptime = -1 },
 		"class status cost.time": func(r *Report) { r.Classes[0].Cost.Time = 0 },
 		"class rate cost.n":      func(r *Report) { r.Classes[1].Cost.N = 1e9 },
 		"class rate cost.age":    func(r *Report) { r.Classes[1].Cost.Age = math.NaN() },
@@ -66,8 +66,8 @@
 		"class book waits is 17": func(r *Report) { r.Classes[2].Waits = make([]float64, 17) },
 		"status twice":           func(r *Report) { r.Classes[1].Name = "status" },
 		"limit is 1e+06":         func(r *Report) { r.Limit.Value = 1e6 },
-		"pace is 2":              func(r *Report) { r.Pace = whinrudder.Estimate{Value: 2, N: 1} },
-		"slow is 1000":           func(r *Report) { r.Slow = whinrudder.Estimate{Value: 1000, N: 1} },
+		"pace is 2":              func(r *Report) { r.CoreShare = whinrudder.Estimate{Value: 2, N: 1} },
+		"slow is 1000":           func(r *Report) { r.Slowdown = whinrudder.Estimate{Value: 1000, N: 1} },
 	} {
 		r := report("a", 0, 100, 50, 200)
 		change(&r)
@@ -102,7 +102,7 @@
 			[]float64{0, 0, 0}, []string{"contradiction field=scale"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, remarks := Merge(DefaultTrust, need, c.reports)
+			p, remarks := Merge(DefaultTrustParams, need, c.reports)
 			if diff := cmp.Diff(c.times, times(p)); diff != "" {
 				t.Error(diff)
 			}
@@ -117,16 +117,16 @@
 	r := report("a", 0, 100, 50, 200)
 	r.Classes[0], r.Classes[2] = r.Classes[2], r.Classes[0]
 	r.Classes[1].Name = "renamed"
-	p, _ := Merge(DefaultTrust, need, []Report{r})
+	p, _ := Merge(DefaultTrustParams, need, []Report{r})
 	if diff := cmp.Diff([]float64{100, 0, 200}, times(p)); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestWeightFadesToNothing(t *testing.T) {
-	d := DefaultTrust
-	if d.weight(0) != 1 || d.weight(d.HalfLife) != 0.5 || d.weight(d.End) != 0 || d.weight(math.NaN()) != 0 {
-		t.Error(d.weight(0), d.weight(d.HalfLife), d.weight(d.End))
+	d := DefaultTrustParams
+	if d.weight(0) != 1 || d.weight(d.HalfLife) != 0.5 || d.weight(d.MaxAge) != 0 || d.weight(math.NaN()) != 0 {
+		t.Error(d.weight(0), d.weight(d.HalfLife), d.weight(d.MaxAge))
 	}
 }
 
@@ -146,12 +146,12 @@
 			[]string{"distrusted class=status", "distrusted class=rate", "distrusted class=book"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, _ := Merge(DefaultTrust, need, []Report{report("a", 0, 100, 50, 200)})
-			trial, _, remarks, use := Begin(1000, p, own(0, 0, 0))
+			p, _ := Merge(DefaultTrustParams, need, []Report{report("a", 0, 100, 50, 200)})
+			trial, _, remarks, use := NewPriorValidator(1000, p, own(0, 0, 0))
 			if !use || len(remarks) > 0 {
 				t.Fatal("not begun", remarks)
 			}
-			_, remarks, changed := trial.Watch(2000, c.own)
+			_, remarks, changed := trial.Recheck(2000, c.own)
 			if diff := cmp.Diff(c.left, times(trial.prior)); diff != "" {
 				t.Error(diff)
 			}
@@ -164,19 +164,19 @@
 
 // A class that nobody asks for must not keep a prior for ever: it goes when the fact in it has reached its end.
 func TestPriorThatIsNeverTriedGetsTooOld(t *testing.T) {
-	p, _ := Merge(DefaultTrust, need, []Report{report("a", 300e3, 100, 50, 200)})
-	trial, _, _, _ := Begin(1000, p, own(0, 0, 0))
-	if _, _, changed := trial.Watch(1000+DefaultTrust.End-300e3-1, own(100, 0, 0)); changed {
+	p, _ := Merge(DefaultTrustParams, need, []Report{report("a", 300e3, 100, 50, 200)})
+	trial, _, _, _ := NewPriorValidator(1000, p, own(0, 0, 0))
+	if _, _, changed := trial.Recheck(1000+DefaultTrustParams.MaxAge-300e3-1, own(100, 0, 0)); changed {
 		t.Error("given up before its end")
 	}
-	k, _, changed := trial.Watch(1000+DefaultTrust.End-300e3, own(100, 0, 0))
-	if !changed || k.Classes[1].Cost.N != 0 || trial.Open() {
-		t.Errorf("want all given up, got %+v, open %t", k.Classes, trial.Open())
+	k, _, changed := trial.Recheck(1000+DefaultTrustParams.MaxAge-300e3, own(100, 0, 0))
+	if !changed || k.Classes[1].Cost.N != 0 || trial.Active() {
+		t.Errorf("want all given up, got %+v, open %t", k.Classes, trial.Active())
 	}
 }
 
 func TestNodeThatKnowsEnoughTakesNothing(t *testing.T) {
-	p, _ := Merge(DefaultTrust, need, []Report{report("a", 0, 100, 50, 200)})
+	p, _ := Merge(DefaultTrustParams, need, []Report{report("a", 0, 100, 50, 200)})
 	known := own(100, 50, 200)
 	for i := range known.Classes {
 		known.Classes[i].Cost.N = 100
@@ -186,7 +186,7 @@
 	for i := range p.Classes {
 		p.Classes[i].Waits = nil
 	}
-	_, _, remarks, use := Begin(1000, p, known)
+	_, _, remarks, use := NewPriorValidator(1000, p, known)
 	if diff := cmp.Diff([]string{"enough class=status", "enough class=rate", "enough class=book"}, codes(remarks)); diff != "" || use {
 		t.Error(diff, use)
 	}
@@ -216,7 +216,7 @@
 		all := append([]Report{}, honest...)
 		at := rapid.IntRange(0, len(honest)).Draw(t, "place")
 		all = append(all[:at], append([]Report{liar}, all[at:]...)...)
-		p, _ := Merge(DefaultTrust, need, all)
+		p, _ := Merge(DefaultTrustParams, need, all)
 
 		within := func(what string, got float64, of func(Report) float64) {
 			low, high := math.Inf(1), 0.0
@@ -231,7 +231,7 @@
 			return median([]float64{r.Classes[0].Cost.Time, r.Classes[1].Cost.Time, r.Classes[2].Cost.Time})
 		}
 		within("limit", p.Limit.Value, func(r Report) float64 { return r.Limit.Value })
-		for i := range need.Names {
+		for i := range need.ClassNames {
 			lowS, highS, lowR, highR := math.Inf(1), 0.0, math.Inf(1), 0.0
 			for _, r := range honest {
 				lowS, highS = min(lowS, scale(r)), max(highS, scale(r))
@@ -250,10 +250,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		age := rapid.Float64Range(0, 1e6).Draw(t, "age")
 		r := report("a", age, 100, 50, 200)
-		young, _ := Merge(DefaultTrust, need, []Report{r})
-		old, _ := Merge(DefaultTrust, need, []Report{r.Older(rapid.Float64Range(0, 1e6).Draw(t, "more"))})
-		for i := range need.Names {
-			if n := old.Classes[i].Cost.N; n > young.Classes[i].Cost.N || n > DefaultTrust.MostRuns {
+		young, _ := Merge(DefaultTrustParams, need, []Report{r})
+		old, _ := Merge(DefaultTrustParams, need, []Report{r.AgedBy(rapid.Float64Range(0, 1e6).Draw(t, "more"))})
+		for i := range need.ClassNames {
+			if n := old.Classes[i].Cost.N; n > young.Classes[i].Cost.N || n > DefaultTrustParams.MaxRunWeight {
 				t.Fatalf("counts for %v when older, %v before", n, young.Classes[i].Cost.N)
 			}
 		}
@@ -262,11 +262,11 @@
 			all = append(all, report(string(rune('a'+i)), age, rapid.Float64Range(1, 1000).Draw(t, "s"),
 				rapid.Float64Range(1, 1000).Draw(t, "r"), rapid.Float64Range(1, 1000).Draw(t, "b")))
 		}
-		p, _ := Merge(DefaultTrust, need, all)
+		p, _ := Merge(DefaultTrustParams, need, all)
 		for i, j := 0, len(all)-1; i < j; i, j = i+1, j-1 {
 			all[i], all[j] = all[j], all[i]
 		}
-		q, _ := Merge(DefaultTrust, need, all)
+		q, _ := Merge(DefaultTrustParams, need, all)
 		if diff := cmp.Diff(times(p), times(q)); diff != "" {
 			t.Fatal(diff)
 		}
--- a/internal/knowledge/merge.go
+++ b/internal/knowledge/merge.go
@@ -8,57 +8,58 @@
 	"whinrudder"
 )
 
-// Trust says how much is given to what others say.
-type Trust struct {
-	HalfLife  float64 // weight halves with each of these of age
-	End       float64 // a fact of this age has no weight
-	MostRuns  float64 // own runs of a class that a fresh and well founded prior counts for, at most
-	HalfRuns  float64 // runs at the donor at which half of that is given
-	MostRules float64 // own renewals of the limit that a fresh prior counts for, at most
-	Agree     float64 // figures within this factor of each other agree
-	Disagree  float64 // a prior that own figures contradict by more than this factor is dropped
-	FirstRuns float64 // own runs of a class after which it may be judged
-	Scale     float64 // a factor of speed between two machines beyond which a donor is no measure at all
+// TrustParams says how much is given to what others say.
+type TrustParams struct {
+	HalfLife         float64 // weight halves with each of these of age
+	MaxAge           float64 // a fact of this age has no weight
+	MaxRunWeight     float64 // own runs of a class that a fresh and well founded prior counts for, at most
+	HalfWeightRuns   float64 // runs at the donor at which half of that is given
+	MaxRenewalWeight float64 // own renewals of the limit that a fresh prior counts for, at most
+	AgreeFactor      float64 // figures within this factor of each other agree
+	ContradictFactor float64 // a prior that own figures contradict by more than this factor is dropped
+	MinOwnRuns       float64 // own runs of a class after which it may be judged
+	MaxSpeedRatio    float64 // a factor of speed between two machines beyond which a donor is no measure at all
 }
 
-// DefaultTrust is what holds where an operator says nothing else. Agree covers the noise of two donors' means over long
-// tails (a coefficient of variation of 0.7 over 20 runs gives 0.16); Disagree that of the first own runs.
-var DefaultTrust = Trust{HalfLife: 180e3, End: 900e3, MostRuns: 15, HalfRuns: 20, MostRules: 4, Agree: 1.6,
-	Disagree: 2.2, FirstRuns: 1, Scale: 12}
+// DefaultTrustParams is what holds where an operator says nothing else. AgreeFactor covers the noise of two donors'
+// means over long tails (a coefficient of variation of 0.7 over 20 runs gives 0.16); ContradictFactor that of the first
+// own runs.
+var DefaultTrustParams = TrustParams{HalfLife: 180e3, MaxAge: 900e3, MaxRunWeight: 15, HalfWeightRuns: 20,
+	MaxRenewalWeight: 4, AgreeFactor: 1.6, ContradictFactor: 2.2, MinOwnRuns: 1, MaxSpeedRatio: 12}
 
 // weight is what is left of a fact at an age: 1 when it is fresh, 0 from the end on.
-func (t Trust) weight(age float64) float64 {
-	if !(age >= 0 && age < t.End) {
+func (t TrustParams) weight(age float64) float64 {
+	if !(age >= 0 && age < t.MaxAge) {
 		return 0
 	}
 	return math.Exp2(-age / t.HalfLife)
 }
 
 // runs is what a fit counts for in own runs.
-func (t Trust) runs(f whinrudder.CostModel) float64 {
-	return t.MostRuns * t.weight(f.Age) * f.N / (f.N + t.HalfRuns)
+func (t TrustParams) runs(f whinrudder.CostModel) float64 {
+	return t.MaxRunWeight * t.weight(f.Age) * f.N / (f.N + t.HalfWeightRuns)
 }
 
 // rules is what a figure of the limit counts for in own renewals.
-func (t Trust) rules(f whinrudder.Estimate) float64 {
-	return t.MostRules * t.weight(f.Age) * f.N / (f.N + t.HalfRuns)
+func (t TrustParams) rules(f whinrudder.Estimate) float64 {
+	return t.MaxRenewalWeight * t.weight(f.Age) * f.N / (f.N + t.HalfWeightRuns)
 }
 
-// Remark is something that an operator should hear of: a code for the log, then names and values in turn.
-type Remark struct {
+// LogEntry is something that an operator should hear of: a code for the log, then names and values in turn.
+type LogEntry struct {
 	Code    string
 	Details []any
 }
 
 // Pairs returns the code and the details as names and values in turn.
-func (r Remark) Pairs() []any { return append([]any{"code", r.Code}, r.Details...) }
+func (r LogEntry) Pairs() []any { return append([]any{"code", r.Code}, r.Details...) }
 
 // Prior is what several donors say together, for one node.
 type Prior struct {
 	whinrudder.Knowledge          // classes in the node's own order; N is what each counts for
-	Names                []string // of the classes
+	ClassNames           []string // of the classes
 	Donors               []string
-	Trust                Trust
+	Trust                TrustParams
 }
 
 // Empty tells that nothing in the prior has weight.
@@ -71,40 +72,40 @@
 	return p.Limit.N == 0 && p.BaseCallLatency.N == 0
 }
 
-// Need is what a node must know of itself to take a prior.
-type Need struct {
-	Names    []string
-	Settings whinrudder.Settings
+// Recipient is what a node must know of itself to take a prior.
+type Recipient struct {
+	ClassNames []string
+	Settings   whinrudder.Settings
 }
 
 // Merge makes one prior of reports that have passed Check. Every field is a weighted median in which no donor has half
 // of the weight, so that one that is wrong does not move it beyond what the others span; where there are two that
 // contradict each other, neither is believed in that field.
-func Merge(t Trust, need Need, reports []Report) (Prior, []Remark) {
+func Merge(t TrustParams, need Recipient, reports []Report) (Prior, []LogEntry) {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(a, b Report) int { return strings.Compare(a.Node, b.Node) })
-	m := merger{trust: t, need: need, prior: Prior{Names: need.Names, Trust: t}}
-	m.prior.Classes = make([]whinrudder.ClassKnowledge, len(need.Names))
+	m := merger{trust: t, need: need, prior: Prior{ClassNames: need.ClassNames, Trust: t}}
+	m.prior.Classes = make([]whinrudder.ClassKnowledge, len(need.ClassNames))
 	for _, r := range reports {
 		m.prior.Donors = append(m.prior.Donors, r.Node)
 	}
 	m.costs(reports)
 	m.prior.Limit = m.figure("limit", reports, func(r Report) whinrudder.Estimate { return r.Limit })
-	m.prior.BaseCallLatency = m.figure("call_base", reports, func(r Report) whinrudder.Estimate { return r.CallBase })
+	m.prior.BaseCallLatency = m.figure("call_base", reports, func(r Report) whinrudder.Estimate { return r.BaseCallLatency })
 	m.waits(reports)
 	m.shares(reports)
 	return m.prior, m.remarks
 }
 
 type merger struct {
-	trust   Trust
-	need    Need
+	trust   TrustParams
+	need    Recipient
 	prior   Prior
-	remarks []Remark
+	remarks []LogEntry
 }
 
 func (m *merger) remark(code string, details ...any) {
-	m.remarks = append(m.remarks, Remark{code, details})
+	m.remarks = append(m.remarks, LogEntry{code, details})
 }
 
 // vote is what one donor says of a field.
@@ -185,7 +186,7 @@
 	known := func(r Report) map[string]whinrudder.CostModel {
 		fits := map[string]whinrudder.CostModel{}
 		for _, c := range r.Classes {
-			if slices.Contains(m.need.Names, c.Name) && m.trust.runs(c.Cost) > 0 {
+			if slices.Contains(m.need.ClassNames, c.Name) && m.trust.runs(c.Cost) > 0 {
 				fits[c.Name] = c.Cost
 			}
 		}
@@ -200,7 +201,7 @@
 			count[n]++
 		}
 	}
-	for _, n := range m.need.Names {
+	for _, n := range m.need.ClassNames {
 		if 2*count[n] > with {
 			common = append(common, n)
 		}
@@ -237,14 +238,14 @@
 		votes = append(votes, vote{scales[i], weight, i})
 	}
 	// Two machines may differ by their models: only a difference that no two models have is a contradiction.
-	scale, _, ok := decide(votes, m.trust.Scale)
+	scale, _, ok := decide(votes, m.trust.MaxSpeedRatio)
 	if !ok {
 		if len(votes) > 0 {
 			m.remark("contradiction", "field", "scale", "donors", names(reports, votes))
 		}
 		return
 	}
-	for at, n := range m.need.Names {
+	for at, n := range m.need.ClassNames {
 		var votes []vote
 		for _, i := range believed {
 			for _, c := range reports[i].Classes {
@@ -253,7 +254,7 @@
 				}
 			}
 		}
-		v, share, ok := decide(votes, m.trust.Agree)
+		v, share, ok := decide(votes, m.trust.AgreeFactor)
 		if !ok {
 			if len(votes) > 0 {
 				m.remark("contradiction", "field", "cost", "class", n, "donors", names(reports, votes))
@@ -279,7 +280,7 @@
 			votes = append(votes, vote{of(r).Value, w, i})
 		}
 	}
-	v, share, ok := decide(votes, m.trust.Agree)
+	v, share, ok := decide(votes, m.trust.AgreeFactor)
 	if !ok {
 		if len(votes) > 0 {
 			m.remark("contradiction", "field", name, "donors", names(reports, votes))
@@ -302,7 +303,7 @@
 
 // waits takes over the waits that are usual at more than half of the donors, by weight.
 func (m *merger) waits(reports []Report) {
-	for at, n := range m.need.Names {
+	for at, n := range m.need.ClassNames {
 		near := waitsAlike * m.need.Settings.Classes[at].Deadline
 		var votes []vote
 		usual := map[int][]float64{}
@@ -361,7 +362,7 @@
 
 // shares merges the shares of the traffic, each as a part of the whole.
 func (m *merger) shares(reports []Report) {
-	for at, n := range m.need.Names {
+	for at, n := range m.need.ClassNames {
 		var votes []vote
 		for i, r := range reports {
 			whole := 0.0
--- a/internal/knowledge/write.go
+++ b/internal/knowledge/write.go
@@ -7,9 +7,9 @@
 	"whinrudder"
 )
 
-// Write writes a report as people read it, with the age of each fact.
-func Write(w io.Writer, r Report) {
-	fmt.Fprintf(w, "node %s  life %.0f s  cores %d  warm %t  draining %t\n", r.Node, r.Life/1000, r.Cores, r.Warm, r.Draining)
+// WriteReport writes a report as people read it, with the age of each fact.
+func WriteReport(w io.Writer, r Report) {
+	fmt.Fprintf(w, "node %s  life %.0f s  cores %d  warm %t  draining %t\n", r.Node, r.Uptime/1000, r.Cores, r.Warm, r.Draining)
 	fmt.Fprintf(w, "%-24s %6s %8s %10s %8s  %s\n", "class", "runs", "age s", "core ms", "share", "usual waits ms")
 	whole := 0.0
 	for _, c := range r.Classes {
@@ -29,7 +29,7 @@
 	for _, f := range []struct {
 		name string
 		f    whinrudder.Estimate
-	}{{"limit a core", r.Limit}, {"pace", r.Pace}, {"slowness", r.Slow}, {"call base ms", r.CallBase}} {
+	}{{"limit a core", r.Limit}, {"pace", r.CoreShare}, {"slowness", r.Slowdown}, {"call base ms", r.BaseCallLatency}} {
 		if f.f.N > 0 {
 			fmt.Fprintf(w, "%-24s %6.0f %8.1f %10.3f\n", f.name, f.f.N, f.f.Age/1000, f.f.Value)
 		}
--- a/internal/lab/warmup.go
+++ b/internal/lab/warmup.go
@@ -83,7 +83,7 @@
 	h.run(donorFor)
 	var r knowledge.Report
 	h.tell(core.Ask{To: func(k whinrudder.Knowledge, _ bool) { r = knowledge.NewReport(Classes(), k) }})
-	r.Node, r.Life, r.Cores, r.Warm = name, donorFor, cores, true
+	r.Node, r.Uptime, r.Cores, r.Warm = name, donorFor, cores, true
 	return r, r.Check()
 }
 
@@ -142,7 +142,7 @@
 		out = append(out, give("other", !old, d.traffic))
 	case "stale":
 		was := drifted(stream(d.seed, "drift"), d.traffic)
-		out = append(out, give("stale", old, was).Older(staleFor))
+		out = append(out, give("stale", old, was).AgedBy(staleFor))
 	case "wrong":
 		out = append(out, wrong(stream(d.seed, "wrong"), give("fresh", old, d.traffic)))
 	case "two-good-one-wrong":
@@ -161,8 +161,8 @@
 
 // play plays the successors, fed by some reports or by none.
 func (d *warmDay) play(reports []knowledge.Report) (o outcome, err error) {
-	need := knowledge.Need{Names: Classes(), Settings: nodeSettings(true)}
-	prior, _ := knowledge.Merge(knowledge.DefaultTrust, need, reports)
+	need := knowledge.Recipient{ClassNames: Classes(), Settings: nodeSettings(true)}
+	prior, _ := knowledge.Merge(knowledge.DefaultTrustParams, need, reports)
 	for _, day := range d.streams {
 		h, err := newHost(d.machine, d.traffic, day, dayFrom)
 		if err != nil {
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -40,7 +40,7 @@
 		n.in <- core.Drained{On: true, Done: func() { n.away.Store(true) }}
 	}
 	names, s := n.present()
-	prior, remarks := knowledge.Merge(knowledge.DefaultTrust, knowledge.Need{Names: names, Settings: s}, []knowledge.Report{n.taken.Report})
+	prior, remarks := knowledge.Merge(knowledge.DefaultTrustParams, knowledge.Recipient{ClassNames: names, Settings: s}, []knowledge.Report{n.taken.Report})
 	for _, r := range remarks {
 		n.log("prior", r.Pairs()...)
 	}
--- a/internal/peer/exchange_test.go
+++ b/internal/peer/exchange_test.go
@@ -19,7 +19,7 @@
 var record = flag.Bool("record", false, "write the transcripts of the exchanges anew")
 
 func sample() knowledge.Report {
-	return knowledge.Report{Node: "n3", Life: 90000, Cores: 6, Warm: true, Classes: []knowledge.Class{
+	return knowledge.Report{Node: "n3", Uptime: 90000, Cores: 6, Warm: true, Classes: []knowledge.Class{
 		{Name: "status-lookup", ClassKnowledge: whinrudder.ClassKnowledge{Share: 40, Waits: []float64{5580, 5580},
 			Cost: whinrudder.CostModel{N: 120, Age: 250, Time: 512.5}}},
 		{Name: "payout-book", ClassKnowledge: whinrudder.ClassKnowledge{Share: 35.5, Cost: whinrudder.CostModel{N: 44, Age: 3000,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -70,7 +70,7 @@
 
 func reports(t *rapid.T) knowledge.Report {
 	f := rapid.Float64Range(1, 1000)
-	r := knowledge.Report{Node: "n3", Life: f.Draw(t, "life"), Cores: 6, Warm: true}
+	r := knowledge.Report{Node: "n3", Uptime: f.Draw(t, "life"), Cores: 6, Warm: true}
 	for i := range rapid.IntRange(0, 5).Draw(t, "classes") {
 		c := knowledge.Class{Name: fmt.Sprint("c", i)}
 		c.Cost = whinrudder.CostModel{N: rapid.Float64Range(1, 200).Draw(t, "n"), Age: f.Draw(t, "age"), Time: f.Draw(t, "time")}
--- a/internal/peer/section.go
+++ b/internal/peer/section.go
@@ -23,7 +23,7 @@
 
 // HeadOf returns the head of a report.
 func HeadOf(r knowledge.Report) Head {
-	return Head{r.Node, r.Life, r.Cores, r.Warm, r.Draining, r.Runs()}
+	return Head{r.Node, r.Uptime, r.Cores, r.Warm, r.Draining, r.Runs()}
 }
 
 type end struct {
@@ -78,7 +78,7 @@
 }
 
 func figuresOf(r *knowledge.Report) map[string]*whinrudder.Estimate {
-	return map[string]*whinrudder.Estimate{"limit": &r.Limit, "pace": &r.Pace, "slow": &r.Slow, "call_base": &r.CallBase}
+	return map[string]*whinrudder.Estimate{"limit": &r.Limit, "pace": &r.CoreShare, "slow": &r.Slowdown, "call_base": &r.BaseCallLatency}
 }
 
 // Gatherer puts the sections of one report together. A section counts once it is whole.
@@ -90,7 +90,7 @@
 
 // NewGatherer returns the gatherer of what a giver with that head gives.
 func NewGatherer(h Head) *Gatherer {
-	return &Gatherer{report: knowledge.Report{Node: h.Node, Life: h.Life, Cores: h.Cores, Warm: h.Warm,
+	return &Gatherer{report: knowledge.Report{Node: h.Node, Uptime: h.Life, Cores: h.Cores, Warm: h.Warm,
 		Draining: h.Draining}}
 }
 
@@ -131,7 +131,7 @@
 	}
 	if err := next.Check(); err != nil {
 		// Who says what no node can have is not believed in what came before it either.
-		g.report.Classes, g.report.Limit, g.report.CallBase = nil, whinrudder.Estimate{}, whinrudder.Estimate{}
+		g.report.Classes, g.report.Limit, g.report.BaseCallLatency = nil, whinrudder.Estimate{}, whinrudder.Estimate{}
 		return fault("bad-figure", "%v", err)
 	}
 	g.report = next
--- a/internal/peer/snapshot.go
+++ b/internal/peer/snapshot.go
@@ -67,7 +67,7 @@
 	if r.Buffered() > 0 {
 		return knowledge.Report{}, fault("torn", "%d bytes behind the end", r.Buffered())
 	}
-	report := g.report.Older(now - w.At)
+	report := g.report.AgedBy(now - w.At)
 	if err := report.Check(); err != nil {
 		return knowledge.Report{}, fault("old", "%v", err)
 	}
--- a/internal/rehearse/peers.go
+++ b/internal/rehearse/peers.go
@@ -63,7 +63,7 @@
 
 // report is what the donor knows.
 func (d *donorStandIn) report() knowledge.Report {
-	r := knowledge.Report{Node: d.name, Life: 60000, Cores: 2, Warm: d.f["cold"] == "", Draining: d.f["draining"] != "",
+	r := knowledge.Report{Node: d.name, Uptime: 60000, Cores: 2, Warm: d.f["cold"] == "", Draining: d.f["draining"] != "",
 		Limit: whinrudder.Estimate{Value: 2, N: 50, Age: d.num("age")}}
 	wrong, by, _ := strings.Cut(d.f["wrong"], ":")
 	for i, n := range []string{"status-lookup", "rate-quote", "payout-book"} {
--- a/internal/warmup/take.go
+++ b/internal/warmup/take.go
@@ -169,7 +169,7 @@
 	var part knowledge.Report
 	if l.taker != nil {
 		part, _ = l.taker.Report()
-		part = part.Older(now() - l.asked)
+		part = part.AgedBy(now() - l.asked)
 	}
 	if l.dropped != "" && code != "taken" {
 		code, text = l.dropped, ""
@@ -226,7 +226,7 @@
 		case peer.NewsWhole:
 			// The request and its answer crossed the net: facts aged by no more than that.
 			e.report, _ = taker.Report()
-			e.report = e.report.Older(now() - l.asked)
+			e.report = e.report.AgedBy(now() - l.asked)
 		}
 		l.mu.Unlock()
 		switch news {
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,6 +1,6 @@
 // Package warmup drives what a node learns from other nodes and gives to them: the peer port, the connections to
 // donors and the snapshot. It decides nothing: whom to take from is peer.Round's, what giving may cost peer.Budget's,
-// what the donors say together knowledge.Merge's, and what of it holds knowledge.Trial's in the core. It never keeps
+// what the donors say together knowledge.Merge's, and what of it holds knowledge.PriorValidator's in the core. It never keeps
 // the node from being ready.
 package warmup
 
@@ -188,7 +188,7 @@
 	w.mu.Lock()
 	t := now()
 	if w.reportAt > 0 && t < w.reportAt+freshFor {
-		r = w.report.Older(t - w.reportAt)
+		r = w.report.AgedBy(t - w.reportAt)
 		w.mu.Unlock()
 		return w.dress(r), true
 	}
@@ -224,7 +224,7 @@
 	_, s := w.h.Terms()
 	r.Node, r.Cores, r.Draining = w.h.Name, s.Cores, w.leaving
 	if w.ready > 0 {
-		r.Life, r.Warm = now()-w.ready, now() >= w.warmAt
+		r.Uptime, r.Warm = now()-w.ready, now() >= w.warmAt
 	}
 	return r
 }
@@ -300,9 +300,9 @@
 }
 
 // trust is how far others are believed.
-func (w *WarmUp) trust() knowledge.Trust {
-	t := knowledge.DefaultTrust
-	t.HalfLife, t.End = w.cfg.HalfLifeMs, w.cfg.EndMs
+func (w *WarmUp) trust() knowledge.TrustParams {
+	t := knowledge.DefaultTrustParams
+	t.HalfLife, t.MaxAge = w.cfg.HalfLifeMs, w.cfg.EndMs
 	return t
 }
 
@@ -312,7 +312,7 @@
 		return
 	}
 	names, s := w.h.Terms()
-	prior, remarks := knowledge.Merge(w.trust(), knowledge.Need{Names: names, Settings: s}, reports)
+	prior, remarks := knowledge.Merge(w.trust(), knowledge.Recipient{ClassNames: names, Settings: s}, reports)
 	for _, r := range remarks {
 		w.h.Log("prior", r.Pairs()...)
 	}
