--- a/cmd/whinrudder-kit/main.go
+++ b/cmd/whinrudder-kit/main.go
@@ -52,7 +52,7 @@
 // missing is the action where a sub-command is wanted: without one, or with one that does not exist.
 func missing(_ context.Context, c *cli.Command) error {
 	if word := c.Args().First(); word != "" {
-		return settings.UnknownCommand(c, word)
+		return settings.UnknownCommandError(c, word)
 	}
 	return cli.ShowSubcommandHelp(c)
 }
--- a/cmd/whinrudder/kept.go
+++ b/cmd/whinrudder/kept.go
@@ -33,7 +33,7 @@
 	return &cli.Command{Name: "kept", Usage: "look at kept operations and settle those in doubt, offline or beside a running node",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if word := c.Args().First(); word != "" {
-				return settings.UnknownCommand(c, word)
+				return settings.UnknownCommandError(c, word)
 			}
 			return errors.New("kept: want list, show, export, verify or resolve")
 		},
--- a/cmd/whinrudder/main.go
+++ b/cmd/whinrudder/main.go
@@ -52,7 +52,7 @@
 						return err
 					}
 					if c.Bool("print") {
-						fmt.Fprintln(out, op.Print())
+						fmt.Fprintln(out, op.EffectiveJSON())
 						return nil
 					}
 					fmt.Fprintln(out, "config ok")
@@ -116,14 +116,14 @@
 		op.UpgradeDir = os.Getenv("TMPDIR")
 	}
 	if err == nil {
-		_, err = op.KeptOf(cfg)
+		_, err = op.KeptClassNames(cfg)
 	}
 	return cfg, op, err
 }
 
 func serve(ctx context.Context, c *cli.Command, out io.Writer) error {
 	if word := c.Args().First(); word != "" { // the default command gets what is no command
-		return settings.UnknownCommand(c.Root(), word)
+		return settings.UnknownCommandError(c.Root(), word)
 	}
 	// First of all: a signal that nobody takes ends the process.
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -28,7 +28,7 @@
 
 // New returns a catalog of the classes that settings begin with, each in its place there.
 func New(s settings.Settings) *Catalog {
-	return &Catalog{slices.Clone(s.Classes), slices.Clone(s.Policy.Classes), make([]float64, len(s.Classes))}
+	return &Catalog{slices.Clone(s.ClassNames), slices.Clone(s.Policy.Classes), make([]float64, len(s.ClassNames))}
 }
 
 // View is the catalog after a change. What reads it must not change it.
@@ -66,7 +66,7 @@
 		return -1
 	}
 	stays := map[int]bool{}
-	for i, n := range s.Classes {
+	for i, n := range s.ClassNames {
 		stays[place(n, s.Policy.Classes[i])] = true
 	}
 	for i := range next.names {
@@ -74,7 +74,7 @@
 			next.free[i] = now + next.classes[i].Deadline + restFor
 		}
 	}
-	for i, n := range s.Classes {
+	for i, n := range s.ClassNames {
 		at := place(n, s.Policy.Classes[i])
 		if at < 0 {
 			at = slices.IndexFunc(next.free, func(t float64) bool { return t > 0 && t <= now })
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,7 +13,7 @@
 )
 
 func terms(classes ...string) settings.Settings {
-	s := settings.Settings{Classes: classes}
+	s := settings.Settings{ClassNames: classes}
 	for _, n := range classes {
 		k := whinrudder.Class{Aim: 1000, Deadline: 3000, Repeat: whinrudder.Safe}
 		if n[0] == 'p' {
@@ -98,7 +98,7 @@
 				t.Fatal(err)
 			}
 			seen := map[int]bool{}
-			for i, n := range s.Classes {
+			for i, n := range s.ClassNames {
 				at, ok := w.Serves[n]
 				if !ok || seen[at] || w.Names[at] != n || w.Settings.Classes[at] != s.Policy.Classes[i] {
 					t.Fatalf("%s at %d: %+v", n, at, w)
@@ -108,7 +108,7 @@
 					t.Fatalf("%s moved from %d to %d", n, was, at)
 				}
 			}
-			if len(w.Serves) != len(s.Classes) {
+			if len(w.Serves) != len(s.ClassNames) {
 				t.Fatal(w.Serves)
 			}
 			for i, n := range v.Names {
--- a/internal/emu/experiment/reader.go
+++ b/internal/emu/experiment/reader.go
@@ -49,7 +49,7 @@
 	}
 	o.Visit(func(key []byte, _ *fastjson.Value) {
 		if !slices.Contains(known, string(key)) {
-			r.fault(join(path, string(key)), "is not known%s", settings.Nearest(string(key), known))
+			r.fault(join(path, string(key)), "is not known%s", settings.Suggestion(string(key), known))
 		}
 	})
 	return v
@@ -177,7 +177,7 @@
 	word := r.text(o, path, key, "")
 	i := slices.Index(names, word)
 	if i < 0 {
-		r.fault(join(path, key), "is %q, want one of %s%s", word, strings.Join(names, ", "), settings.Nearest(word, names))
+		r.fault(join(path, key), "is %q, want one of %s%s", word, strings.Join(names, ", "), settings.Suggestion(word, names))
 		return usual
 	}
 	return i
--- a/internal/emu/live/live_test.go
+++ b/internal/emu/live/live_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(d.Settings(true), c.Settings.Policy); diff != "" || c.Seed != 7 || c.Settings.Classes[2] != "payout-book" {
+	if diff := cmp.Diff(d.Settings(true), c.Settings.Policy); diff != "" || c.Seed != 7 || c.Settings.ClassNames[2] != "payout-book" {
 		t.Error(diff)
 	}
 }
--- a/internal/estimate/regression.go
+++ b/internal/estimate/regression.go
@@ -1,8 +1,8 @@
 // Package estimate holds the statistics that the decision module learns costs with. It decides nothing.
 package estimate
 
-// Regression is an aging straight fit of y by x, kept as the moments of both: N observations, means of x, y, x*x and x*y.
-// Without hints every x is 0 and it is a mean. It is not a mean of ratios: part of the time does not grow with the
+// Regression is an aging straight fit of y by x, kept as the moments of both: N observations, means of x, y, x*x and
+// x*y. Without hints every x is 0 and it is a mean. It is not a mean of ratios: part of the time does not grow with the
 // work, and small hints would make huge ratios.
 type Regression struct{ N, X, Y, XX, XY float64 }
 
--- a/internal/kept/crash_test.go
+++ b/internal/kept/crash_test.go
@@ -142,7 +142,7 @@
 func TestKilledAtEveryStepWith36000Subjects(t *testing.T) {
 	const subjects = 36000
 	full := usual
-	full.Keys, full.SegmentMB, full.DiskMB = subjects+10, 4000, 64 // segments of 1.2 MB
+	full.MaxOperations, full.SegmentMB, full.DiskMB = subjects+10, 4000, 64 // segments of 1.2 MB
 	base := memfolder.New(1)
 	fill(t, base, subjects, 1e6)
 	steps := []func(w *world){
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -53,13 +53,13 @@
 }
 
 // Limits returns the limits of a table.
-func Limits(o settings.Kept) ops.Limits {
-	return ops.Limits{Keys: o.Keys, DiskBytes: int64(o.DiskMB) << 20, SegmentBytes: int64(o.SegmentMB) << 20, AgeMs: o.AgeMs,
-		DoubtMs: o.DoubtMs}
+func Limits(o settings.KeptConfig) ops.Limits {
+	return ops.Limits{Keys: o.MaxOperations, DiskBytes: int64(o.DiskMB) << 20, SegmentBytes: int64(o.SegmentMB) << 20, AgeMs: o.ResultTTLMs,
+		DoubtMs: o.InDoubtTTLMs}
 }
 
 // Open recovers the operations of a folder. Nothing is written before Run.
-func Open(h Host, dir folder.Folder, o settings.Kept, now float64) (*Keeper, *ops.Table, error) {
+func Open(h Host, dir folder.Folder, o settings.KeptConfig, now float64) (*Keeper, *ops.Table, error) {
 	t := ops.New(Limits(o))
 	j, found, err := journal.Open(dir, journal.Options{Node: h.Name, SegmentBytes: int64(o.SegmentMB) << 20}, t.Recover)
 	if err != nil {
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -22,7 +22,7 @@
 type world struct {
 	now   float64
 	dir   *memfolder.Folder
-	limit settings.Kept
+	limit settings.KeptConfig
 	back  bool // the worker pool tells a new node of the runs of its earlier lives
 
 	core    *core.Core
@@ -74,17 +74,17 @@
 // Deliver implements core.Sink.
 func (a *try) Deliver(x core.Answer) { a.answers = append(a.answers, x) }
 
-func newWorld(seed uint64, limit settings.Kept) *world {
+func newWorld(seed uint64, limit settings.KeptConfig) *world {
 	return newWorldOn(memfolder.New(seed), limit)
 }
 
-func newWorldOn(dir *memfolder.Folder, limit settings.Kept) *world {
+func newWorldOn(dir *memfolder.Folder, limit settings.KeptConfig) *world {
 	w := &world{now: 1e6, dir: dir, limit: limit, runs: map[string]*run{}, asks: map[string]*try{}, free: map[string]bool{}, back: true}
 	w.boot()
 	return w
 }
 
-var usual = settings.Kept{Dir: "x", Classes: []string{"book"}, Keys: 1000, DiskMB: 64, SegmentMB: 1, AgeMs: 3600e3, DoubtMs: 7200e3}
+var usual = settings.KeptConfig{Dir: "x", Classes: []string{"book"}, MaxOperations: 1000, DiskMB: 64, SegmentMB: 1, ResultTTLMs: 3600e3, InDoubtTTLMs: 7200e3}
 
 // boot starts a node on the folder, with a link in step. It returns an error if the journal can't be opened.
 func (w *world) boot() {
@@ -95,8 +95,8 @@
 	if err != nil {
 		panic(err)
 	}
-	t := ops.New(ops.Limits{Keys: w.limit.Keys, DiskBytes: int64(w.limit.DiskMB) << 20, SegmentBytes: int64(w.limit.SegmentMB) * 300,
-		AgeMs: w.limit.AgeMs, DoubtMs: w.limit.DoubtMs})
+	t := ops.New(ops.Limits{Keys: w.limit.MaxOperations, DiskBytes: int64(w.limit.DiskMB) << 20, SegmentBytes: int64(w.limit.SegmentMB) * 300,
+		AgeMs: w.limit.ResultTTLMs, DoubtMs: w.limit.InDoubtTTLMs})
 	j, _, err := journal.Open(w.dir, journal.Options{Node: "n1", SegmentBytes: int64(w.limit.SegmentMB) * 300}, t.Recover)
 	if err != nil {
 		w.failed = err
--- a/internal/knowledge/prior_validator.go
+++ b/internal/knowledge/prior_validator.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Recheck looks at what the node knows by now. A prior that no own runs have replaced by its end is given up. If the prior has changed by it, it returns what the module is to adopt in
-// its place and true.
+// Recheck looks at what the node knows by now. A prior that no own runs have replaced by its end is given up. If the
+// prior has changed by it, it returns what the module is to adopt in its place and true.
 func (t *PriorValidator) Recheck(now float64, own whinrudder.Knowledge) (whinrudder.Knowledge, []LogEntry, bool) {
 	if !t.open {
 		return whinrudder.Knowledge{}, nil, false
--- a/internal/lab/kept.go
+++ b/internal/lab/kept.go
@@ -337,7 +337,7 @@
 		runtime.ReadMemStats(&before)
 		begin := time.Now()
 		k, t, err := kept.Open(kept.Host{Name: "lab", Log: func(string, ...any) {}}, f,
-			settings.Kept{Keys: n, DiskMB: 4096, SegmentMB: 8, AgeMs: 1e12, DoubtMs: 1e12}, now)
+			settings.KeptConfig{MaxOperations: n, DiskMB: 4096, SegmentMB: 8, ResultTTLMs: 1e12, InDoubtTTLMs: 1e12}, now)
 		if err != nil {
 			return out, err
 		}
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -120,8 +120,8 @@
 	defer reports.Close()
 	cfg := settings.Config{Name: "successor", Listen: "127.0.0.1:0", Pool: poolL.Addr().String(),
 		Announce: reports.LocalAddr().String(), Seed: 1, StopMs: 1000, Cores: 1, MemoryMB: 192, Sockets: 512,
-		Settings: settings.Settings{Policy: nodeSettings(s.machine.ColdFrom < 1), Classes: Classes(),
-			Gauges: []string{"cpu_busy", "runnable", "mem_used", "sockets"}}}
+		Settings: settings.Settings{Policy: nodeSettings(s.machine.ColdFrom < 1), ClassNames: Classes(),
+			GaugeNames: []string{"cpu_busy", "runnable", "mem_used", "sockets"}}}
 	var op settings.Operator
 	if s.report != nil {
 		donor, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,8 +130,8 @@
 		}
 		defer donor.Close()
 		go serveReport(donor, *s.report)
-		op.Peer = settings.Peer{Donors: []string{donor.Addr().String()}, Plain: true, TakeMs: 5000, HalfLifeMs: 180e3,
-			EndMs: 900e3}
+		op.Peer = settings.PeerConfig{Donors: []string{donor.Addr().String()}, Plaintext: true, FetchTimeoutMs: 5000, HalfLifeMs: 180e3,
+			MaxAgeMs: 900e3}
 	}
 	n, err := node.New(cfg, op, io.Discard)
 	if err != nil {
--- a/internal/lab/stall.go
+++ b/internal/lab/stall.go
@@ -63,8 +63,8 @@
 		return nil, err
 	}
 	path := filepath.Join(dir, "stall")
-	op := settings.Operator{Kept: settings.Kept{Dir: path, Classes: []string{"payout-book"}, Keys: 1e5, DiskMB: 512, SegmentMB: 8,
-		AgeMs: 1e9, DoubtMs: 1e9}}
+	op := settings.Operator{Kept: settings.KeptConfig{Dir: path, Classes: []string{"payout-book"}, MaxOperations: 1e5, DiskMB: 512, SegmentMB: 8,
+		ResultTTLMs: 1e9, InDoubtTTLMs: 1e9}}
 	n, err := node.New(cfg, op, io.Discard)
 	if err != nil {
 		return nil, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,11 +101,11 @@
 	if err != nil {
 		return nil, err
 	}
-	kept, err := op.KeptOf(cfg)
+	kept, err := op.KeptClassNames(cfg)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, op: op, site: front.NewSite(cfg.Settings.Classes, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
+	n := &Node{cfg: cfg, op: op, site: front.NewSite(cfg.Settings.ClassNames, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
 		addrs: map[string]string{}, sockets: map[string]net.Listener{}, in: make(chan core.Input, 4096), quit: make(chan struct{}), over: make(chan struct{})}
 	n.folderAt, n.catalog = folder.At, catalog.New(cfg.Settings)
 	n.view = n.catalog.View(cfg.Settings.Policy)
@@ -117,7 +117,7 @@
 	n.taking.Store(true)
 	n.stopMs = cfg.StopMs
 	n.reports = reporter{addr: cfg.Announce, wake: make(chan struct{}, 1)}
-	n.link = &link{node: n, addr: cfg.Pool, machine: pool.New(cfg.Settings.Classes, cfg.Settings.Gauges)}
+	n.link = &link{node: n, addr: cfg.Pool, machine: pool.New(cfg.Settings.ClassNames, cfg.Settings.GaugeNames)}
 	return n, nil
 }
 
@@ -139,7 +139,7 @@
 // long as the runtime does not notice, its place among those that run: a node that keeps results has one place more.
 func limits(cfg settings.Config, op settings.Operator, beside bool) {
 	places := max(1, int(cfg.Cores))
-	if op.Kept.On() {
+	if op.Kept.Enabled() {
 		places++
 	}
 	runtime.GOMAXPROCS(places)
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -41,7 +41,7 @@
 		n.parts = append(n.parts, opened{d})
 	}
 	peerAddr := ""
-	if n.op.Peer.On() {
+	if n.op.Peer.Enabled() {
 		h := warmup.Host{Name: n.cfg.Name, Terms: n.present, Seed: n.cfg.Seed,
 			Tell: n.tell, Log: n.log, InHand: n.InHand}
 		if len(n.op.Ensemble) > 0 {
@@ -69,7 +69,7 @@
 // keep recovers the operations whose results are kept, before any request is read; where another process of the node is
 // there, once that gives them up.
 func (n *Node) keep() error {
-	if !n.op.Kept.On() {
+	if !n.op.Kept.Enabled() {
 		return nil
 	}
 	dir, err := n.folderAt(n.op.Kept.Dir)
@@ -98,7 +98,7 @@
 
 // findDonors reads the peer addresses of the other nodes from their znodes.
 func (n *Node) findDonors(by float64) (addrs []string, err error) {
-	found, err := zk.Find(n.op.Ensemble, n.op.SessionMs, n.op.Path, by)
+	found, err := zk.Find(n.op.Ensemble, n.op.SessionMs, n.op.ZNodePath, by)
 	for _, data := range found {
 		if e, ok := membership.ParseEntry(data); ok && e.Name != n.cfg.Name && e.Peer != "" {
 			addrs = append(addrs, e.Peer)
@@ -134,10 +134,10 @@
 	}
 	auth, err := zk.ReadAuth(m.node.op.AuthFile)
 	if err != nil {
-		m.node.log("zk", "path", m.node.op.Path, "code", "off", "error", err)
+		m.node.log("zk", "path", m.node.op.ZNodePath, "code", "off", "error", err)
 		return
 	}
-	r := zk.Register(m.node.op.Ensemble, m.node.op.SessionMs, m.node.op.Path, m.self, auth, m.node.log)
+	r := zk.Register(m.node.op.Ensemble, m.node.op.SessionMs, m.node.op.ZNodePath, m.self, auth, m.node.log)
 	r.Drain(m.node.away.Load())
 	m.mu.Lock()
 	m.znode = r
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -38,10 +38,10 @@
 // reload moves the link and the reports to new addresses and applies the settings, the limits and stop_ms. The rest is
 // fixed for the life of the process. An error means that nothing was changed.
 func (n *Node) reload(cfg settings.Config, op settings.Operator) error {
-	if err := cfg.Lacks(n.cfg); err != nil {
+	if err := cfg.CheckMissingKeys(n.cfg); err != nil {
 		return err
 	}
-	if _, err := n.op.KeptOf(cfg); err != nil {
+	if _, err := n.op.KeptClassNames(cfg); err != nil {
 		return err
 	}
 	view, err := n.catalog.Change(cfg.Settings, now())
@@ -63,13 +63,13 @@
 	n.mu.Lock()
 	n.stopMs, n.granted = cfg.StopMs, cfg
 	n.mu.Unlock()
-	n.retune(view, cfg.Settings.Gauges)
+	n.retune(view, cfg.Settings.GaugeNames)
 	n.grant()
 	n.link.move(cfg.Pool)
 	n.reports.move(cfg.Announce)
 	n.parted(Part.Reload)
 	n.figures.ConfLoaded.Add(1)
-	n.log("reload", "code", "ok", "pool", cfg.Pool, "announce", cfg.Announce, "classes", len(cfg.Settings.Classes), "kept",
+	n.log("reload", "code", "ok", "pool", cfg.Pool, "announce", cfg.Announce, "classes", len(cfg.Settings.ClassNames), "kept",
 		strings.Join(kept, ","))
 	return nil
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// Grouped keeps what waits in lines: all of a line have the same key, and with it the same value. K tells what they have in
-// common.
+// Grouped keeps what waits in lines: all of a line have the same key, and with it the same value. K tells what they
+// have in common.
 type Grouped[K comparable, T any] struct {
 	lines []*line[T] // the best first, as of the last Sort
 	byKey map[K]*line[T]
--- a/internal/rehearse/peers.go
+++ b/internal/rehearse/peers.go
@@ -154,8 +154,8 @@
 }
 
 // operator is the section of an operator's file that names all donors, or lets them be found among the znodes.
-func (p *peers) operator(takeMs float64, discover bool) settings.Peer {
-	o := settings.Peer{Listen: "127.0.0.1:0", Plain: true, TakeMs: takeMs, HalfLifeMs: 180e3, EndMs: 900e3, Discover: discover}
+func (p *peers) operator(takeMs float64, discover bool) settings.PeerConfig {
+	o := settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true, FetchTimeoutMs: takeMs, HalfLifeMs: 180e3, MaxAgeMs: 900e3, Discover: discover}
 	for _, n := range p.names {
 		if discover {
 			break
--- a/internal/rehearse/process.go
+++ b/internal/rehearse/process.go
@@ -93,7 +93,7 @@
 	p.write()
 	op := settings.Operator{UWSGI: "127.0.0.1:0", H2C: "127.0.0.1:0"}
 	if p.zk != nil {
-		op.Ensemble, op.Path, op.SessionMs = []string{p.zk.l.Addr().String()}, "/payout-nodes", 4000
+		op.Ensemble, op.ZNodePath, op.SessionMs = []string{p.zk.l.Addr().String()}, "/payout-nodes", 4000
 	}
 	if auth := p.opts["auth"]; auth != "" {
 		f, err := os.CreateTemp("", "auth")
@@ -115,7 +115,7 @@
 			return err
 		}
 		keys, _ := strconv.Atoi(n)
-		op.Kept = settings.Kept{Dir: p.folder, Classes: []string{"payout-book"}, Keys: keys, DiskMB: 64, SegmentMB: 1, AgeMs: 3600e3, DoubtMs: 7200e3}
+		op.Kept = settings.KeptConfig{Dir: p.folder, Classes: []string{"payout-book"}, MaxOperations: keys, DiskMB: 64, SegmentMB: 1, ResultTTLMs: 3600e3, InDoubtTTLMs: 7200e3}
 	}
 	if p.opts["upgrade"] != "" {
 		if p.shared, err = os.MkdirTemp("", "shared"); err != nil {
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -65,7 +65,7 @@
 	if root.Get("settings") == nil {
 		r.fault("settings are absent")
 	}
-	s, err := FromValue(root.Get("settings"))
+	s, err := ParseValue(root.Get("settings"))
 	c.Settings, c.shape = s, shapeOf(v)
 	return c, errors.Join(errors.Join(r.faults...), err, s.Policy.Check(), s.serves())
 }
@@ -93,10 +93,10 @@
 	seen := map[string]bool{}
 	for i, c := range s.Policy.Classes {
 		// A name is the last part of a path and stands in commands to the worker pool.
-		if n := s.Classes[i]; n == "" || seen[n] || strings.Trim(n, nameChars) != "" {
+		if n := s.ClassNames[i]; n == "" || seen[n] || strings.Trim(n, nameChars) != "" {
 			fault("profiles[%d].name is %q, want a name of its own of letters, digits, . _ -", i, n)
 		}
-		seen[s.Classes[i]] = true
+		seen[s.ClassNames[i]] = true
 		if c.Repeat == whinrudder.Keyed {
 			fault("profiles[%d].repeat is by_key, which the protocols don't carry", i)
 		}
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -15,36 +15,36 @@
 	UWSGI     string   // address on which the uwsgi protocol is accepted; empty: off
 	H2C       string   // address on which HTTP/2 without TLS is accepted; empty: off
 	Ensemble  []string // addresses of a ZooKeeper ensemble; empty: off
-	Path      string   // the znode under which nodes register
+	ZNodePath string   // the znode under which nodes register
 	SessionMs float64  // how long the ensemble keeps the znode of a silent node
 	AuthFile  string   // file with USER:PASSWORD for the ensemble; empty: none
-	Peer      Peer
-	Kept      Kept
+	Peer      PeerConfig
+	Kept      KeptConfig
 	// UpgradeDir is a folder that a running process and its successor share; empty: no handover.
 	UpgradeDir string
 	JSONLog    bool // the log is JSON, one object a line
 }
 
-// Peer says how a node learns from others and gives to them.
-type Peer struct {
-	Listen                     string   // address on which the node gives; empty: it gives nothing
-	Donors                     []string // addresses of nodes that give
-	Discover                   bool     // donors are also found among the znodes of the ensemble
-	Cert, Key, Authority, Name string   // files of keys, and the name that peers' certificates must have
-	Plain                      bool     // without keys, on loopback addresses only
-	TakeMs                     float64  // all taking ends so long after the start
-	Snapshot                   string   // file for what the node knows; empty: none
-	SnapshotMs                 float64  // how often it is written
-	HalfLifeMs, EndMs          float64  // the weight of a fact halves with each of the one, and is nothing at the other
+// PeerConfig says how a node learns from others and gives to them.
+type PeerConfig struct {
+	Listen                                     string   // address on which the node gives; empty: it gives nothing
+	Donors                                     []string // addresses of nodes that give
+	Discover                                   bool     // donors are also found among the znodes of the ensemble
+	CertFile, KeyFile, AuthorityFile, PeerName string   // files of keys, and the name that peers' certificates must have
+	Plaintext                                  bool     // without keys, on loopback addresses only
+	FetchTimeoutMs                             float64  // all taking ends so long after the start
+	SnapshotFile                               string   // file for what the node knows; empty: none
+	SnapshotIntervalMs                         float64  // how often it is written
+	HalfLifeMs, MaxAgeMs                       float64  // the weight of a fact halves with each of the one, and is nothing at the other
 }
 
-// On tells whether anything of it is wanted.
-func (p Peer) On() bool {
-	return p.Listen != "" || len(p.Donors) > 0 || p.Discover || p.Snapshot != ""
+// Enabled tells whether anything of it is wanted.
+func (p PeerConfig) Enabled() bool {
+	return p.Listen != "" || len(p.Donors) > 0 || p.Discover || p.SnapshotFile != ""
 }
 
-// Takes tells whether other nodes are to be asked.
-func (p Peer) Takes() bool { return len(p.Donors) > 0 || p.Discover }
+// HasDonors tells whether other nodes are to be asked.
+func (p PeerConfig) HasDonors() bool { return len(p.Donors) > 0 || p.Discover }
 
 const maxDonors = 64
 
@@ -89,13 +89,13 @@
 	if z := r.object("zookeeper", root.Get("zookeeper")); z != nil {
 		r.only(z, "zookeeper.", "servers", "path", "session_ms", "auth_file")
 		o.Ensemble = r.addrs(z, "zookeeper.", "servers")
-		o.Path, o.SessionMs = r.text(z, "path"), r.num(z, "session_ms")
+		o.ZNodePath, o.SessionMs = r.text(z, "path"), r.num(z, "session_ms")
 		o.AuthFile = r.text(z, "auth_file")
 		if len(o.Ensemble) == 0 {
 			r.fault("zookeeper.servers is empty")
 		}
-		if !strings.HasPrefix(o.Path, "/") || len(o.Path) < 2 || strings.HasSuffix(o.Path, "/") {
-			r.fault("zookeeper.path is %q, want a path from the root", o.Path)
+		if !strings.HasPrefix(o.ZNodePath, "/") || len(o.ZNodePath) < 2 || strings.HasSuffix(o.ZNodePath, "/") {
+			r.fault("zookeeper.path is %q, want a path from the root", o.ZNodePath)
 		}
 		if !(o.SessionMs >= 1000 && o.SessionMs <= 60000) {
 			r.fault("zookeeper.session_ms is %v, want 1000 to 60000", o.SessionMs)
@@ -119,14 +119,14 @@
 	return o, errors.Join(r.faults...)
 }
 
-func (r *reader) peer(v *fastjson.Value) Peer {
+func (r *reader) peer(v *fastjson.Value) PeerConfig {
 	r.only(v, "peer.", "listen", "donors", "discover", "keys", "plain", "take_ms", "snapshot", "half_life_ms", "end_ms")
-	p := Peer{Listen: r.text(v, "listen"), Donors: r.addrs(v, "peer.", "donors"), Discover: r.flag(v, "discover"),
-		Plain: r.flag(v, "plain")}
+	p := PeerConfig{Listen: r.text(v, "listen"), Donors: r.addrs(v, "peer.", "donors"), Discover: r.flag(v, "discover"),
+		Plaintext: r.flag(v, "plain")}
 	within := r.within
-	p.TakeMs = within(v, "peer.", "take_ms", 5000, 100, 60000)
+	p.FetchTimeoutMs = within(v, "peer.", "take_ms", 5000, 100, 60000)
 	p.HalfLifeMs = within(v, "peer.", "half_life_ms", 180e3, 1000, 86400e3)
-	p.EndMs = within(v, "peer.", "end_ms", 900e3, 1000, 86400e3)
+	p.MaxAgeMs = within(v, "peer.", "end_ms", 900e3, 1000, 86400e3)
 	if p.Listen != "" {
 		if err := CheckAddr(p.Listen); err != nil {
 			r.fault("peer.listen: %v", err)
@@ -137,28 +137,28 @@
 	}
 	if s := r.object("peer.snapshot", v.Get("snapshot")); s != nil {
 		r.only(s, "peer.snapshot.", "file", "every_ms")
-		p.Snapshot = r.text(s, "file")
-		p.SnapshotMs = within(s, "peer.snapshot.", "every_ms", 60e3, 1000, 3600e3)
-		if p.Snapshot == "" {
+		p.SnapshotFile = r.text(s, "file")
+		p.SnapshotIntervalMs = within(s, "peer.snapshot.", "every_ms", 60e3, 1000, 3600e3)
+		if p.SnapshotFile == "" {
 			r.fault("peer.snapshot.file is empty")
 		}
 	}
 	k := r.object("peer.keys", v.Get("keys"))
 	if k != nil {
 		r.only(k, "peer.keys.", "cert", "key", "authority", "name")
-		p.Cert, p.Key, p.Authority, p.Name = r.text(k, "cert"), r.text(k, "key"), r.text(k, "authority"), r.text(k, "name")
-		if p.Cert == "" || p.Key == "" || p.Authority == "" {
+		p.CertFile, p.KeyFile, p.AuthorityFile, p.PeerName = r.text(k, "cert"), r.text(k, "key"), r.text(k, "authority"), r.text(k, "name")
+		if p.CertFile == "" || p.KeyFile == "" || p.AuthorityFile == "" {
 			r.fault("peer.keys wants cert, key and authority")
 		}
 	}
-	switch wired := p.Listen != "" || p.Takes(); {
-	case p.Plain && k != nil:
+	switch wired := p.Listen != "" || p.HasDonors(); {
+	case p.Plaintext && k != nil:
 		r.fault("peer.plain is true, and there are keys: want one of them")
-	case p.Plain && !(loopback(p.Listen) && !slices.ContainsFunc(p.Donors, func(a string) bool { return !loopback(a) })):
+	case p.Plaintext && !(loopback(p.Listen) && !slices.ContainsFunc(p.Donors, func(a string) bool { return !loopback(a) })):
 		r.fault("peer.plain is for loopback addresses only")
-	case wired && !p.Plain && k == nil:
+	case wired && !p.Plaintext && k == nil:
 		r.fault("peer.keys is absent: other nodes are met with keys, or on loopback addresses with plain")
-	case !p.On():
+	case !p.Enabled():
 		r.fault("peer wants listen, donors, discover or snapshot")
 	}
 	return p
@@ -201,13 +201,13 @@
 	}
 	o.GetObject().Visit(func(key []byte, _ *fastjson.Value) {
 		if !slices.Contains(known, string(key)) {
-			r.fault("%s%s is not known%s", path, key, Nearest(string(key), known))
+			r.fault("%s%s is not known%s", path, key, Suggestion(string(key), known))
 		}
 	})
 }
 
-// Print returns the effective value of an operator's file, as JSON: what is off is left out.
-func (o Operator) Print() string {
+// EffectiveJSON returns the effective value of an operator's file, as JSON: what is off is left out.
+func (o Operator) EffectiveJSON() string {
 	var a fastjson.Arena
 	list := func(in []string) *fastjson.Value {
 		l := a.NewArray()
@@ -227,7 +227,7 @@
 	if len(o.Ensemble) > 0 {
 		z := a.NewObject()
 		z.Set("servers", list(o.Ensemble))
-		z.Set("path", a.NewString(o.Path))
+		z.Set("path", a.NewString(o.ZNodePath))
 		z.Set("session_ms", a.NewNumberFloat64(o.SessionMs))
 		if o.AuthFile != "" {
 			z.Set("auth_file", a.NewString(o.AuthFile))
@@ -239,7 +239,7 @@
 		l.Set("form", a.NewString("json"))
 		root.Set("log", l)
 	}
-	if o.Kept.On() {
+	if o.Kept.Enabled() {
 		root.Set("kept", o.Kept.print(&a, list))
 	}
 	if o.UpgradeDir != "" {
@@ -247,13 +247,13 @@
 		u.Set("dir", a.NewString(o.UpgradeDir))
 		root.Set("upgrade", u)
 	}
-	if o.Peer.On() {
+	if o.Peer.Enabled() {
 		root.Set("peer", o.Peer.print(&a, list))
 	}
 	return string(root.MarshalTo(nil))
 }
 
-func (p Peer) print(a *fastjson.Arena, list func([]string) *fastjson.Value) *fastjson.Value {
+func (p PeerConfig) print(a *fastjson.Arena, list func([]string) *fastjson.Value) *fastjson.Value {
 	v := a.NewObject()
 	flag := func(on bool) *fastjson.Value {
 		if on {
@@ -271,23 +271,23 @@
 		v.Set("donors", list(p.Donors))
 	}
 	v.Set("discover", flag(p.Discover))
-	v.Set("plain", flag(p.Plain))
-	if p.Cert != "" {
+	v.Set("plain", flag(p.Plaintext))
+	if p.CertFile != "" {
 		k := a.NewObject()
-		text(k, "cert", p.Cert)
-		text(k, "key", p.Key)
-		text(k, "authority", p.Authority)
-		text(k, "name", p.Name)
+		text(k, "cert", p.CertFile)
+		text(k, "key", p.KeyFile)
+		text(k, "authority", p.AuthorityFile)
+		text(k, "name", p.PeerName)
 		v.Set("keys", k)
 	}
-	if p.Snapshot != "" {
+	if p.SnapshotFile != "" {
 		s := a.NewObject()
-		text(s, "file", p.Snapshot)
-		s.Set("every_ms", a.NewNumberFloat64(p.SnapshotMs))
+		text(s, "file", p.SnapshotFile)
+		s.Set("every_ms", a.NewNumberFloat64(p.SnapshotIntervalMs))
 		v.Set("snapshot", s)
 	}
-	v.Set("take_ms", a.NewNumberFloat64(p.TakeMs))
+	v.Set("take_ms", a.NewNumberFloat64(p.FetchTimeoutMs))
 	v.Set("half_life_ms", a.NewNumberFloat64(p.HalfLifeMs))
-	v.Set("end_ms", a.NewNumberFloat64(p.EndMs))
+	v.Set("end_ms", a.NewNumberFloat64(p.MaxAgeMs))
 	return v
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,9 +14,9 @@
 
 // Settings is what the object holds: the module's own settings, and the names that are used on the wires.
 type Settings struct {
-	Policy  whinrudder.Settings
-	Classes []string // names of the classes, in the order of Policy.Classes
-	Gauges  []string // names of the gauges, in the order in which the worker pool gives them
+	Policy     whinrudder.Settings
+	ClassNames []string // names of the classes, in the order of Policy.Classes
+	GaugeNames []string // names of the gauges, in the order in which the worker pool gives them
 }
 
 // Parse reads the object. Unknown keys are passed over and absent ones are 0; a value of the wrong type or an
@@ -26,11 +26,11 @@
 	if err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	return FromValue(v)
+	return ParseValue(v)
 }
 
-// FromValue is Parse for an object that is part of a larger one. It keeps nothing of v.
-func FromValue(v *fastjson.Value) (Settings, error) {
+// ParseValue is Parse for an object that is part of a larger one. It keeps nothing of v.
+func ParseValue(v *fastjson.Value) (Settings, error) {
 	r := reader{what: "settings"}
 	root := r.object("settings", v)
 	sp, ru := r.object("specifics", root.Get("specifics")), r.object("rules", root.Get("rules"))
@@ -74,14 +74,14 @@
 			c.SkipWorth = skips[i].GetFloat64()
 		}
 		s.Policy.Classes = append(s.Policy.Classes, c)
-		s.Classes = append(s.Classes, r.text(o, "name"))
+		s.ClassNames = append(s.ClassNames, r.text(o, "name"))
 	}
 	for i, e := range r.list(root, "parties") {
 		o := r.object(fmt.Sprintf("parties[%d]", i), e)
 		s.Policy.Tenants = append(s.Policy.Tenants, whinrudder.Tenant{QuotaPerSecond: r.num(o, "quota_per_s")})
 	}
 	for _, e := range r.list(sp, "own_stats") {
-		s.Gauges = append(s.Gauges, string(e.GetStringBytes()))
+		s.GaugeNames = append(s.GaugeNames, string(e.GetStringBytes()))
 	}
 	return s, errors.Join(r.faults...)
 }
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// Lacks names the keys that an earlier configuration had and this one has not. One that takes the place of another
-// must have them all: an absent key would pass for 0, and the node would serve by a file that lost a part on its way.
-// An empty list says nothing of what is in it.
-func (c Config) Lacks(earlier Config) error {
+// CheckMissingKeys names the keys that an earlier configuration had and this one has not. One that takes the place of
+// another must have them all: an absent key would pass for 0, and the node would serve by a file that lost a part on
+// its way. An empty list says nothing of what is in it.
+func (c Config) CheckMissingKeys(earlier Config) error {
 	var missing []string
 	for p := range earlier.shape {
 		last := strings.LastIndex(p, "[].")
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -35,7 +35,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := ""
-			if err := of(strings.Replace(whole, c.from, c.to, 1)).Lacks(of(whole)); err != nil {
+			if err := of(strings.Replace(whole, c.from, c.to, 1)).CheckMissingKeys(of(whole)); err != nil {
 				got = strings.TrimSuffix(strings.TrimPrefix(err.Error(), "config: lacks "), ", which the configuration before it has")
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
--- a/internal/settings/nearest.go
+++ b/internal/settings/suggestion.go
@@ -7,17 +7,17 @@
 	"github.com/urfave/cli/v3"
 )
 
-// UnknownCommand names a sub-command that does not exist, and the nearest that does.
-func UnknownCommand(c *cli.Command, word string) error {
+// UnknownCommandError names a sub-command that does not exist, and the nearest that does.
+func UnknownCommandError(c *cli.Command, word string) error {
 	var names []string
 	for _, s := range c.Commands {
 		names = append(names, s.Name)
 	}
-	return fmt.Errorf("no command %q%s", word, Nearest(word, names))
+	return fmt.Errorf("no command %q%s", word, Suggestion(word, names))
 }
 
-// Nearest returns a remark that names the known word that is nearest to one, or nothing if none is near.
-func Nearest(word string, known []string) string {
+// Suggestion returns a remark that names the known word that is nearest to one, or nothing if none is near.
+func Suggestion(word string, known []string) string {
 	best, least := "", len(word)/2+1
 	for _, k := range known {
 		if d := levenshtein.ComputeDistance(word, k); d < least {
--- a/internal/warmup/take.go
+++ b/internal/warmup/take.go
@@ -17,10 +17,10 @@
 func (w *WarmUp) learn() {
 	reports := w.former()
 	w.teach(reports)
-	if !w.cfg.Takes() {
+	if !w.cfg.HasDonors() {
 		return
 	}
-	by := now() + w.cfg.TakeMs
+	by := now() + w.cfg.FetchTimeoutMs
 	addrs := w.donors(by)
 	rng := rand.New(rand.NewPCG(w.h.Seed, 7))
 	// Successors that start together must not all ask the same donors first.
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,7 +1,7 @@
 // Package warmup drives what a node learns from other nodes and gives to them: the peer port, the connections to
 // donors and the snapshot. It decides nothing: whom to take from is peer.Round's, what giving may cost peer.Budget's,
-// what the donors say together knowledge.Merge's, and what of it holds knowledge.PriorValidator's in the core. It never keeps
-// the node from being ready.
+// what the donors say together knowledge.Merge's, and what of it holds knowledge.PriorValidator's in the core.
+// It never keeps the node from being ready.
 package warmup
 
 import (
@@ -50,7 +50,7 @@
 // WarmUp is this part of one node. Create it with Start.
 type WarmUp struct {
 	h     Host
-	cfg   settings.Peer
+	cfg   settings.PeerConfig
 	ring  *keys.Ring // nil where peers are met in plain text
 	l     net.Listener
 	over  chan struct{} // closed by Ended
@@ -75,11 +75,11 @@
 func at(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
 
 // Start opens the peer port and begins to ask donors. An error means that nothing was started.
-func Start(h Host, cfg settings.Peer) (*WarmUp, error) {
+func Start(h Host, cfg settings.PeerConfig) (*WarmUp, error) {
 	w := &WarmUp{h: h, cfg: cfg, over: make(chan struct{}), stop: make(chan struct{}), write: make(chan struct{}, 1),
 		budget: peer.NewBudget(now()), takers: map[net.Conn]bool{}}
-	if cfg.Cert != "" {
-		ring, err := keys.Open(keys.Files{Cert: cfg.Cert, Key: cfg.Key, Authority: cfg.Authority, Name: cfg.Name})
+	if cfg.CertFile != "" {
+		ring, err := keys.Open(keys.Files{Cert: cfg.CertFile, Key: cfg.KeyFile, Authority: cfg.AuthorityFile, Name: cfg.PeerName})
 		if err != nil {
 			return nil, err
 		}
@@ -99,7 +99,7 @@
 		w.wait.Go(w.accept)
 	}
 	w.wait.Go(w.learn)
-	if cfg.Snapshot != "" {
+	if cfg.SnapshotFile != "" {
 		w.wait.Go(w.snapshots)
 	}
 	return w, nil
@@ -247,10 +247,10 @@
 			return
 		case <-w.write:
 			last = true
-		case <-time.After(time.Until(at(now() + w.cfg.SnapshotMs))):
+		case <-time.After(time.Until(at(now() + w.cfg.SnapshotIntervalMs))):
 		}
 		if r, ok := w.known(); ok && r.Runs() > 0 {
-			if err := renameio.WriteFile(w.cfg.Snapshot, peer.AppendSnapshot(nil, r, now()), 0o600); err != nil {
+			if err := renameio.WriteFile(w.cfg.SnapshotFile, peer.AppendSnapshot(nil, r, now()), 0o600); err != nil {
 				w.h.Log("peer", "side", "snapshot", "code", "write-failed", "error", err)
 			} else if last {
 				w.h.Log("peer", "side", "snapshot", "code", "written", "runs", r.Runs())
@@ -264,10 +264,10 @@
 
 // former reads what an earlier life of this node left.
 func (w *WarmUp) former() (out []knowledge.Report) {
-	if w.cfg.Snapshot == "" {
+	if w.cfg.SnapshotFile == "" {
 		return nil
 	}
-	text, err := readFile(w.cfg.Snapshot)
+	text, err := readFile(w.cfg.SnapshotFile)
 	if os.IsNotExist(err) {
 		w.h.Log("peer", "side", "snapshot", "code", "none")
 		return nil
@@ -302,7 +302,7 @@
 // trust is how far others are believed.
 func (w *WarmUp) trust() knowledge.TrustParams {
 	t := knowledge.DefaultTrustParams
-	t.HalfLife, t.MaxAge = w.cfg.HalfLifeMs, w.cfg.EndMs
+	t.HalfLife, t.MaxAge = w.cfg.HalfLifeMs, w.cfg.MaxAgeMs
 	return t
 }
 
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -41,14 +41,14 @@
 	inHand int
 }
 
-func node(t *testing.T, name string, cfg settings.Peer) *toy {
+func node(t *testing.T, name string, cfg settings.PeerConfig) *toy {
 	n := &toy{t: t, known: true}
-	cfg.HalfLifeMs, cfg.EndMs = 180e3, 900e3
-	if cfg.TakeMs == 0 {
-		cfg.TakeMs = 5000
+	cfg.HalfLifeMs, cfg.MaxAgeMs = 180e3, 900e3
+	if cfg.FetchTimeoutMs == 0 {
+		cfg.FetchTimeoutMs = 5000
 	}
-	if cfg.SnapshotMs == 0 {
-		cfg.SnapshotMs = 3600e3
+	if cfg.SnapshotIntervalMs == 0 {
+		cfg.SnapshotIntervalMs = 3600e3
 	}
 	class := whinrudder.Class{Aim: 1000, Deadline: 3000, Repeat: whinrudder.Safe}
 	h := Host{Name: name, Tell: n.tell, Log: n.log, InHand: func() int { return n.inHand },
@@ -124,8 +124,8 @@
 	return a
 }
 
-func with(f keys.Files, p settings.Peer) settings.Peer {
-	p.Cert, p.Key, p.Authority, p.Name = f.Cert, f.Key, f.Authority, f.Name
+func with(f keys.Files, p settings.PeerConfig) settings.PeerConfig {
+	p.CertFile, p.KeyFile, p.AuthorityFile, p.PeerName = f.Cert, f.Key, f.Authority, f.Name
 	return p
 }
 
@@ -167,7 +167,7 @@
 		{"plain text", keys.Files{}, "unreached", "no-tls"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := node(t, "giver", with(good, settings.Peer{Listen: "127.0.0.1:0"}))
+			n := node(t, "giver", with(good, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 			n.t = t
 			r, code := ask(n, c.files)
 			if code != c.taker || (len(r.Classes) > 0) != (c.taker == "") {
@@ -180,7 +180,7 @@
 		})
 	}
 	t.Run("another name", func(t *testing.T) {
-		n := node(t, "giver", with(good, settings.Peer{Listen: "127.0.0.1:0"}))
+		n := node(t, "giver", with(good, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 		f := lend(t, ours, "other-fleet", -time.Hour, time.Hour)
 		if _, code := ask(n, f); code != "cert-name" {
 			t.Errorf("want cert-name, got %q", code)
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	old := lend(t, ours, "fleet", -time.Hour, time.Hour)
-	n := node(t, "giver", with(f, settings.Peer{Listen: "127.0.0.1:0"}))
+	n := node(t, "giver", with(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 	ring, err := keys.Open(old)
 	if err != nil {
 		t.Fatal(err)
@@ -256,7 +256,7 @@
 // Twenty successors at once cost the donor's core one export, some are served, and the rest are told when to come back.
 func TestTwentyTakersAtOnce(t *testing.T) {
 	for _, full := range []bool{false, true} {
-		n := node(t, "giver", settings.Peer{Listen: "127.0.0.1:0", Plain: true})
+		n := node(t, "giver", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
 		if full {
 			n.inHand = 100
 		}
@@ -293,11 +293,11 @@
 	f := lend(t, a, "fleet", -time.Hour, time.Hour)
 	var donors []string
 	for i := range 3 {
-		d := node(t, fmt.Sprint("d", i), with(f, settings.Peer{Listen: "127.0.0.1:0"}))
+		d := node(t, fmt.Sprint("d", i), with(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 		d.w.Ready(false)
 		donors = append(donors, d.w.Addr())
 	}
-	n := node(t, "s", with(f, settings.Peer{Donors: donors}))
+	n := node(t, "s", with(f, settings.PeerConfig{Donors: donors}))
 	n.line("code=over", "donors=3")
 	for late := time.Now().Add(patience); time.Now().Before(late) && len(n.taught()) == 0; time.Sleep(time.Millisecond) {
 	}
@@ -319,7 +319,7 @@
 // A node's earlier life is a donor; a file that is torn, another node's or from the future is refused by a code.
 func TestSnapshots(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "knowledge")
-	cfg := settings.Peer{Snapshot: file}
+	cfg := settings.PeerConfig{SnapshotFile: file}
 	first := node(t, "n1", cfg)
 	first.line("side=snapshot", "code=none")
 	first.w.Ready(false)
@@ -355,7 +355,7 @@
 
 // A donor that is told to leave between its welcome and the take gives nothing any more, and says so.
 func TestDonorThatBeginsToDrain(t *testing.T) {
-	n := node(t, "giver", settings.Peer{Listen: "127.0.0.1:0", Plain: true})
+	n := node(t, "giver", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
 	c, err := net.Dial("tcp", n.w.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -394,11 +394,11 @@
 	defer l.Close()
 	var donors []string
 	for i := range 3 {
-		d := node(t, fmt.Sprint("d", i), with(f, settings.Peer{Listen: "127.0.0.1:0"}))
+		d := node(t, fmt.Sprint("d", i), with(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 		d.w.Ready(false)
 		donors = append(donors, d.w.Addr())
 	}
-	n := node(t, "s", with(f, settings.Peer{Donors: append(donors, l.Addr().String())}))
+	n := node(t, "s", with(f, settings.PeerConfig{Donors: append(donors, l.Addr().String())}))
 	n.line("code=over", "donors=3")
 	n.line("side=take peer=" + l.Addr().String() + " ")
 	n.mu.Lock()
@@ -416,7 +416,7 @@
 // A taker that connects and says nothing, or no more after a part, is cut by the deadline of its connection and by the
 // end of the node, and leaves one line.
 func TestSilentTakersEndWithTheNode(t *testing.T) {
-	n := node(t, "giver", settings.Peer{Listen: "127.0.0.1:0", Plain: true})
+	n := node(t, "giver", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
 	var open []net.Conn
 	for range maxTakers + 3 {
 		c, err := net.Dial("tcp", n.w.Addr())
