--- a/internal/peer/section.go
+++ b/internal/peer/section.go
@@ -23,7 +23,7 @@
 
 // SummaryOf returns the head of a report.
 func SummaryOf(r knowledge.Report) Summary {
-	return Summary{r.Node, r.Life, r.Cores, r.Warm, r.Draining, r.Runs()}
+	return Summary{r.Node, r.Uptime, r.Cores, r.Warm, r.Draining, r.Runs()}
 }
 
 type end struct {
@@ -77,8 +77,8 @@
 	return frame(b, KindEnd, end{len(r.Classes) + 1})
 }
 
-func figuresOf(r *knowledge.Report) map[string]*whinrudder.Figure {
-	return map[string]*whinrudder.Figure{"limit": &r.Limit, "pace": &r.Pace, "slow": &r.Slow, "call_base": &r.CallBase}
+func figuresOf(r *knowledge.Report) map[string]*whinrudder.Estimate {
+	return map[string]*whinrudder.Estimate{"limit": &r.Limit, "pace": &r.CoreShare, "slow": &r.Slowdown, "call_base": &r.BaseCallLatency}
 }
 
 // ReportAssembler puts the sections of one report together. A section counts once it is whole.
@@ -90,7 +90,7 @@
 
 // NewReportAssembler returns the gatherer of what a giver with that head gives.
 func NewReportAssembler(h Summary) *ReportAssembler {
-	return &ReportAssembler{report: knowledge.Report{Node: h.Node, Life: h.UptimeMs, Cores: h.Cores, Warm: h.Warm,
+	return &ReportAssembler{report: knowledge.Report{Node: h.Node, Uptime: h.UptimeMs, Cores: h.Cores, Warm: h.Warm,
 		Draining: h.Draining}}
 }
 
@@ -121,17 +121,17 @@
 	next := g.report
 	if s.Class != "" {
 		next.Classes = append(next.Classes[:len(next.Classes):len(next.Classes)], knowledge.Class{Name: s.Class,
-			ClassKnowledge: whinrudder.ClassKnowledge{Share: s.Share, Waits: s.Waits, Cost: whinrudder.Fit{N: s.Runs, Age: s.Age,
+			ClassKnowledge: whinrudder.ClassKnowledge{Share: s.Share, Waits: s.Waits, Cost: whinrudder.CostModel{N: s.Runs, Age: s.Age,
 				Time: s.Time, Work: s.Work, WorkWork: s.WorkWork, WorkTime: s.WorkTime}}})
 	}
 	for name, to := range figuresOf(&next) {
 		if f, ok := s.Figures[name]; ok {
-			*to = whinrudder.Figure{Value: f.Value, N: f.N, Age: f.Age}
+			*to = whinrudder.Estimate{Value: f.Value, N: f.N, Age: f.Age}
 		}
 	}
 	if err := next.Check(); err != nil {
 		// Who says what no node can have is not believed in what came before it either.
-		g.report.Classes, g.report.Limit, g.report.CallBase = nil, whinrudder.Figure{}, whinrudder.Figure{}
+		g.report.Classes, g.report.Limit, g.report.BaseCallLatency = nil, whinrudder.Estimate{}, whinrudder.Estimate{}
 		return fault("bad-figure", "%v", err)
 	}
 	g.report = next
--- a/internal/rehearse/peers.go
+++ b/internal/rehearse/peers.go
@@ -63,8 +63,8 @@
 
 // report is what the donor knows.
 func (d *donorStandIn) report() knowledge.Report {
-	r := knowledge.Report{Node: d.name, Life: 60000, Cores: 2, Warm: d.f["cold"] == "", Draining: d.f["draining"] != "",
-		Limit: whinrudder.Figure{Value: 2, N: 50, Age: d.num("age")}}
+	r := knowledge.Report{Node: d.name, Uptime: 60000, Cores: 2, Warm: d.f["cold"] == "", Draining: d.f["draining"] != "",
+		Limit: whinrudder.Estimate{Value: 2, N: 50, Age: d.num("age")}}
 	wrong, by, _ := strings.Cut(d.f["wrong"], ":")
 	for i, n := range []string{"status-lookup", "rate-quote", "payout-book"} {
 		t := d.num("time") * []float64{1, 0.6, 1.1}[i]
@@ -73,7 +73,7 @@
 			t *= f
 		}
 		r.Classes = append(r.Classes, knowledge.Class{Name: n, ClassKnowledge: whinrudder.ClassKnowledge{Share: 1,
-			Cost: whinrudder.Fit{N: d.num("runs"), Age: d.num("age"), Time: t}}})
+			Cost: whinrudder.CostModel{N: d.num("runs"), Age: d.num("age"), Time: t}}})
 	}
 	return r
 }
@@ -154,8 +154,8 @@
 }
 
 // operator is the section of an operator's file that names all donors, or lets them be found among the znodes.
-func (p *peers) operator(takeMs float64, discover bool) settings.Peer {
-	o := settings.Peer{Listen: "127.0.0.1:0", Plain: true, TakeMs: takeMs, HalfLifeMs: 180e3, EndMs: 900e3, Discover: discover}
+func (p *peers) operator(takeMs float64, discover bool) settings.PeerConfig {
+	o := settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true, FetchTimeoutMs: takeMs, HalfLifeMs: 180e3, MaxAgeMs: 900e3, Discover: discover}
 	for _, n := range p.names {
 		if discover {
 			break
--- a/internal/warmup/take.go
+++ b/internal/warmup/take.go
@@ -17,10 +17,10 @@
 func (w *WarmUp) learn() {
 	reports := w.former()
 	w.teach(reports)
-	if !w.cfg.Takes() {
+	if !w.cfg.HasDonors() {
 		return
 	}
-	by := now() + w.cfg.TakeMs
+	by := now() + w.cfg.FetchTimeoutMs
 	addrs := w.donors(by)
 	rng := rand.New(rand.NewPCG(w.h.Seed, 7))
 	// Successors that start together must not all ask the same donors first.
@@ -169,7 +169,7 @@
 	var part knowledge.Report
 	if l.taker != nil {
 		part, _ = l.taker.Report()
-		part = part.Older(now() - l.asked)
+		part = part.AgedBy(now() - l.asked)
 	}
 	if l.dropped != "" && code != "taken" {
 		code, text = l.dropped, ""
@@ -226,7 +226,7 @@
 		case peer.EventComplete:
 			// The request and its answer crossed the net: facts aged by no more than that.
 			e.report, _ = taker.Report()
-			e.report = e.report.Older(now() - l.asked)
+			e.report = e.report.AgedBy(now() - l.asked)
 		}
 		l.mu.Unlock()
 		switch news {
