--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,149 +23,149 @@
 
 // The outcomes.
 const (
-	Served  Outcome = iota // with the result of its run
-	Refused                // this try never ran
-	Failed                 // no promise
-	Doubled                // its id is that of an earlier request: nothing was done for it
-	Unlike                 // its operation is that of an earlier request with another body: nothing was done for it
+	Served       Outcome = iota // with the result of its run
+	Refused                     // this try never ran
+	Failed                      // no promise
+	Duplicate                   // its id is that of an earlier request: nothing was done for it
+	BodyMismatch                // its operation is that of an earlier request with another body: nothing was done for it
 )
 
 // Request is one try of a request, as a front read it.
 type Request struct {
-	ID        string
-	Class     int
-	Caller    int
-	Came, Due float64 // when it reached the machine, and when its caller stops waiting
-	KB, Rank  float64
-	Key       string
-	Token     string // names the operation that the request is a try of; empty: none
-	Body      []byte
-	To        Sink
+	ID             string
+	Class          int
+	Caller         int
+	ArrivedAt, Due float64 // when it reached the machine, and when its caller stops waiting
+	KB, Rank       float64
+	Key            string
+	Token          string // names the operation that the request is a try of; empty: none
+	Body           []byte
+	ReplyTo        Sink
 }
 
 // Answer is the final answer to a request, or to a health check (Served is good, Failed is bad).
 type Answer struct {
-	ID      string // of the request; empty for a check
-	Outcome Outcome
-	Result  []byte
-	Load    float64 // the free value; negative: none is said
-	Wait    float64 // how long the caller should keep away; 0: no advice
-	Last    bool    // wish that no other node be tried
-	Kept    string  // what is known of the operation; empty: nothing special
-	Close   bool    // this node leaves: no further request is wanted on the connection
-	WriteBy float64 // a peer that has not taken the answer by then is cut
+	ID            string // of the request; empty for a check
+	Outcome       Outcome
+	Result        []byte
+	Credit        float64 // the free value; negative: none is said
+	RetryAfter    float64 // how long the caller should keep away; 0: no advice
+	NotElsewhere  bool    // wish that no other node be tried
+	Kept          string  // what is known of the operation; empty: nothing special
+	Close         bool    // this node leaves: no further request is wanted on the connection
+	WriteDeadline float64 // a peer that has not taken the answer by then is cut
 }
 
 // Sink takes the answers of one connection. Deliver must not block.
 type Sink interface{ Deliver(Answer) }
 
-// End is how a run ended.
-type End uint8
+// RunEnd is how a run ended.
+type RunEnd uint8
 
 // The ends of runs.
 const (
-	EndOK End = iota
-	EndError
-	EndStopped
-	EndMoot
+	RunOK RunEnd = iota
+	RunError
+	RunStopped
+	RunMoot
 )
 
-var endCodes = [...]whinrudder.Code{EndOK: whinrudder.OK, EndError: whinrudder.Error,
-	EndStopped: whinrudder.Cancelled, EndMoot: whinrudder.Moot}
+var endCodes = [...]whinrudder.Code{RunOK: whinrudder.OK, RunError: whinrudder.Error,
+	RunStopped: whinrudder.Cancelled, RunMoot: whinrudder.Moot}
 
 // An Input is something that happened outside.
 type Input interface{ input() }
 
 type (
-	// Arrived is a request that a front has read whole.
-	Arrived struct{ *Request }
-	// Left tells that the caller of a request closed its connection.
-	Left struct{ ID string }
-	// Checked is a health check; a deep one wants to know whether work gets done.
-	Checked struct {
-		Deep bool
-		To   Sink
-	}
-	// Leave is the notice to drain: the process is stopped at the given time. Where another process has taken over,
+	// RequestArrived is a request that a front has read whole.
+	RequestArrived struct{ *Request }
+	// CallerGone tells that the caller of a request closed its connection.
+	CallerGone struct{ ID string }
+	// HealthCheck is a health check; a deep one wants to know whether work gets done.
+	HealthCheck struct {
+		Deep    bool
+		ReplyTo Sink
+	}
+	// StopNotice is the notice to drain: the process is stopped at the given time. Where another process has taken over,
 	// nobody is to be sent away.
-	Leave struct {
-		StopAt    float64
-		Succeeded bool
+	StopNotice struct {
+		StopAt       float64
+		HasSuccessor bool
 	}
-	// Bound tells that the worker pool is up, and since when and how it started.
-	Bound struct {
+	// PoolReady tells that the worker pool is up, and since when and how it started.
+	PoolReady struct {
 		Cold bool
 		Age  float64
 	}
-	// Synced tells that the link to the worker pool is in step: all notices of the past have been read. Unsure
+	// LinkSynced tells that the link to the worker pool is in step: all notices of the past have been read. InDoubt
 	// names the runs whose start was handed to a link that broke and may not have been read there.
-	Synced struct{ Unsure []string }
-	// Lost tells that the link to the worker pool broke. Runs continue.
-	Lost struct{}
-	// Finished tells that a run is over.
-	Finished struct {
-		ID     string
-		End    End
-		Took   float64
-		Result []byte
-	}
-	// NotStarted tells that the worker pool did not carry out the start of a run.
-	NotStarted struct{ ID string }
-	// Gauged brings the gauges of the worker pool.
-	Gauged struct{ whinrudder.Gauges }
-	// Verified tells how the work of a deep check ended.
-	Verified struct {
+	LinkSynced struct{ InDoubt []string }
+	// LinkLost tells that the link to the worker pool broke. Runs continue.
+	LinkLost struct{}
+	// RunFinished tells that a run is over.
+	RunFinished struct {
+		ID      string
+		End     RunEnd
+		Latency float64
+		Result  []byte
+	}
+	// RunNotStarted tells that the worker pool did not carry out the start of a run.
+	RunNotStarted struct{ ID string }
+	// GaugesRead brings the gauges of the worker pool.
+	GaugesRead struct{ whinrudder.Gauges }
+	// CheckFinished tells how the work of a deep check ended.
+	CheckFinished struct {
 		Tag string
 		OK  bool
 	}
-	// Ask wants what the module has learned so far; none is told before the worker pool is up. To must not block.
-	Ask struct {
-		To func(k whinrudder.Knowledge, known bool)
+	// QueryKnowledge wants what the module has learned so far; none is told before the worker pool is up. Reply must not block.
+	QueryKnowledge struct {
+		Reply func(k whinrudder.Knowledge, known bool)
 	}
-	// Teach brings what other nodes have learned.
-	Teach struct{ knowledge.Prior }
-	// Share asks for what is in hand, and for the ids that were read since the last time, for another process of this
-	// node. To must not block. An end forgets what was told.
-	Share struct {
-		End bool
-		To  func(load whinrudder.Beside, ids []string)
+	// AdoptPrior brings what other nodes have learned.
+	AdoptPrior struct{ knowledge.Prior }
+	// QueryLoad asks for what is in hand, and for the ids that were read since the last time, for another process of this
+	// node. Reply must not block. Stop forgets what was told.
+	QueryLoad struct {
+		Stop  bool
+		Reply func(load whinrudder.Beside, ids []string)
 	}
-	// Beside brings what another process of this node shares.
-	Beside struct {
+	// SiblingLoad brings what another process of this node shares.
+	SiblingLoad struct {
 		whinrudder.Beside
 		IDs []string
 	}
-	// Drained tells that operators send the clients away, or take them back. Done must not block.
-	Drained struct {
+	// OperatorDrain tells that operators send the clients away, or take them back. Done must not block.
+	OperatorDrain struct {
 		On   bool
 		Done func()
 	}
-	// Retune brings new settings. Classes keep their places; Fresh are the places that begin anew.
-	Retune struct {
-		Settings whinrudder.Settings
-		Fresh    []int
-		Counts   []*figures.Class // by place
-		Kept     map[int]string   // names of the classes whose results are kept, by place
+	// ChangeSettings brings new settings. Classes keep their places; NewIndices are the places that begin anew.
+	ChangeSettings struct {
+		Settings    whinrudder.Settings
+		NewIndices  []int
+		Counters    []*figures.Class // by place
+		KeptClasses map[int]string   // names of the classes whose results are kept, by place
 	}
 )
 
-func (Arrived) input()    {}
-func (Left) input()       {}
-func (Checked) input()    {}
-func (Leave) input()      {}
-func (Bound) input()      {}
-func (Synced) input()     {}
-func (Lost) input()       {}
-func (Finished) input()   {}
-func (NotStarted) input() {}
-func (Gauged) input()     {}
-func (Verified) input()   {}
-func (Ask) input()        {}
-func (Teach) input()      {}
-func (Drained) input()    {}
-func (Share) input()      {}
-func (Beside) input()     {}
-func (Retune) input()     {}
+func (RequestArrived) input() {}
+func (CallerGone) input()     {}
+func (HealthCheck) input()    {}
+func (StopNotice) input()     {}
+func (PoolReady) input()      {}
+func (LinkSynced) input()     {}
+func (LinkLost) input()       {}
+func (RunFinished) input()    {}
+func (RunNotStarted) input()  {}
+func (GaugesRead) input()     {}
+func (CheckFinished) input()  {}
+func (QueryKnowledge) input() {}
+func (AdoptPrior) input()     {}
+func (OperatorDrain) input()  {}
+func (QueryLoad) input()      {}
+func (SiblingLoad) input()    {}
+func (ChangeSettings) input() {}
 
 // An Output is something that the drivers must do at once.
 type Output interface{ output() }
@@ -188,37 +188,37 @@
 	Poll struct{}
 	// Verify asks for the work of a deep check.
 	Verify struct{ Tag string }
-	// Idle sets how long connections may be idle.
-	Idle struct{ After float64 }
+	// SetIdleTimeout sets how long connections may be idle.
+	SetIdleTimeout struct{ After float64 }
 	// Ready tells that the worker pool is up and the module serves.
 	Ready struct{ Cold bool }
-	// Leaving tells that the node drains.
-	Leaving struct{}
-	// Closing tells that a node that leaves wants no more requests.
-	Closing struct{}
-	// Deaf tells that no new connection is wanted: the end is near.
-	Deaf struct{}
-	// Over tells that all is answered and the process may end.
-	Over struct{}
-	// Line is an event for the log: a word, then names and values in turn.
-	Line struct {
-		Word  string
+	// DrainStarted tells that the node drains.
+	DrainStarted struct{}
+	// DrainConns tells that a node that leaves wants no more requests.
+	DrainConns struct{}
+	// StopAccepting tells that no new connection is wanted: the end is near.
+	StopAccepting struct{}
+	// DrainFinished tells that all is answered and the process may end.
+	DrainFinished struct{}
+	// LogEvent is an event for the log: a word, then names and values in turn.
+	LogEvent struct {
+		Event string
 		Pairs []any
 	}
 )
 
-func (Reply) output()   {}
-func (Spawn) output()   {}
-func (Suspend) output() {}
-func (Poll) output()    {}
-func (Verify) output()  {}
-func (Idle) output()    {}
-func (Ready) output()   {}
-func (Leaving) output() {}
-func (Closing) output() {}
-func (Deaf) output()    {}
-func (Over) output()    {}
-func (Line) output()    {}
+func (Reply) output()          {}
+func (Spawn) output()          {}
+func (Suspend) output()        {}
+func (Poll) output()           {}
+func (Verify) output()         {}
+func (SetIdleTimeout) output() {}
+func (Ready) output()          {}
+func (DrainStarted) output()   {}
+func (DrainConns) output()     {}
+func (StopAccepting) output()  {}
+func (DrainFinished) output()  {}
+func (LogEvent) output()       {}
 
 // Times of the core's own, in milliseconds.
 const (
@@ -268,7 +268,7 @@
 }
 
 type check struct {
-	Checked
+	HealthCheck
 	tag string
 	by  float64
 }
@@ -399,7 +399,7 @@
 
 func (c *Core) do(o Output)                   { c.out = append(c.out, o) }
 func (c *Core) event(e whinrudder.Event)      { c.events = append(c.events, e) }
-func (c *Core) log(word string, pairs ...any) { c.do(Line{word, pairs}) }
+func (c *Core) log(word string, pairs ...any) { c.do(LogEvent{word, pairs}) }
 func id(s string) whinrudder.RequestID        { return whinrudder.RequestID(s) }
 func (c *Core) direct(to Sink, a Answer)      { c.do(Reply{to, c.dress(a)}) }
 func (c *Core) good(on bool) (a Answer) {
@@ -412,7 +412,7 @@
 // dress adds to an answer what all answers carry.
 func (c *Core) dress(a Answer) Answer {
 	// A node that leaves keeps connections for as long as the module calls it good: new ones cost the cores work.
-	a.Load, a.Close, a.WriteBy = c.load, c.leaving && !c.health.Good, c.now+writeWait
+	a.Credit, a.Close, a.WriteDeadline = c.load, c.leaving && !c.health.Good, c.now+writeWait
 	return a
 }
 
@@ -422,7 +422,7 @@
 		return
 	}
 	a.ID = r.ID
-	c.direct(r.To, a)
+	c.direct(r.ReplyTo, a)
 	c.told(r.Class, a.Outcome)
 	c.close(r)
 }
@@ -463,70 +463,70 @@
 
 func (c *Core) take(i Input) {
 	switch i := i.(type) {
-	case Arrived:
+	case RequestArrived:
 		c.arrived(i.Request)
-	case Left:
+	case CallerGone:
 		if r := c.reqs[i.ID]; r != nil && r.open {
 			c.event(whinrudder.Gone{ID: id(r.ID)})
 			c.close(r)
 		}
-	case Checked:
+	case HealthCheck:
 		c.checked(i)
-	case Leave:
+	case StopNotice:
 		if !c.leaving {
-			c.leaving, c.stopAt, c.succeeded = true, i.StopAt, i.Succeeded
-			c.event(whinrudder.Notice{StopAt: i.StopAt, Succeeded: i.Succeeded})
-			c.do(Leaving{})
+			c.leaving, c.stopAt, c.succeeded = true, i.StopAt, i.HasSuccessor
+			c.event(whinrudder.Notice{StopAt: i.StopAt, Succeeded: i.HasSuccessor})
+			c.do(DrainStarted{})
 		}
-	case Bound:
+	case PoolReady:
 		c.bound(i)
-	case Synced:
+	case LinkSynced:
 		c.linked = true
-		c.synced(i.Unsure)
-	case Lost:
+		c.synced(i.InDoubt)
+	case LinkLost:
 		c.linked = false
-	case Finished:
+	case RunFinished:
 		c.finished(i)
-	case NotStarted:
-		c.finished(Finished{ID: i.ID, End: EndMoot})
-	case Gauged:
+	case RunNotStarted:
+		c.finished(RunFinished{ID: i.ID, End: RunMoot})
+	case GaugesRead:
 		for _, w := range c.asked {
 			c.event(whinrudder.Timer{Token: w, Gauges: i.Gauges})
 		}
 		c.asked = c.asked[:0]
-	case Verified:
+	case CheckFinished:
 		c.verified(i)
-	case Ask:
+	case QueryKnowledge:
 		c.tell(i)
-	case Teach:
+	case AdoptPrior:
 		c.teach(i.Prior)
-	case Drained:
+	case OperatorDrain:
 		c.away = i.On
 		c.event(whinrudder.Drain{On: i.On})
 		c.log("clients", "code", map[bool]string{true: "sent-away", false: "taken-back"}[i.On])
 		if i.Done != nil {
 			i.Done()
 		}
-	case Share:
+	case QueryLoad:
 		c.share(i)
-	case Beside:
+	case SiblingLoad:
 		c.besides(i)
-	case Retune:
+	case ChangeSettings:
 		c.retune(i)
-	case Yield:
+	case YieldOps:
 		c.yield(i.On)
-	case Adopt:
+	case AdoptOps:
 		c.adopt(i.Table)
-	case Lasts:
-		c.ops.Durable(c.now, i.Places, i.Segments)
-	case Lapses:
+	case Appended:
+		c.ops.Durable(c.now, i.Positions, i.Segments)
+	case AppendFailed:
 		c.ops.Lost(c.now, i.N, i.Segments)
-	case Unread:
+	case CopyUnreadable:
 		c.ops.Unread(c.now)
-	case Fetched:
+	case RecordFetched:
 		c.fetched(i)
-	case Dropped:
-		c.ops.Dropped(c.now, i.Seg, i.Err == nil, i.Segments)
+	case SegmentDropped:
+		c.ops.Dropped(c.now, i.Segment, i.Err == nil, i.Segments)
 	case Resolve:
 		c.resolve(i)
 	}
@@ -535,7 +535,7 @@
 // bound creates the module once the worker pool is up. The first step for a cold server is taken at the instant at
 // which the pool started: that is when its warming began. Of a warm one the past says nothing, and the module would
 // take the timers of its first step, an hour late, for a stall.
-func (c *Core) bound(b Bound) {
+func (c *Core) bound(b PoolReady) {
 	if c.policy != nil {
 		return
 	}
@@ -568,17 +568,17 @@
 }
 
 func (c *Core) arrived(q *Request) {
-	if ahead := q.Came - c.now; ahead > maxAhead {
-		q.Came, q.Due = c.now, q.Due-ahead // a stamp of the future would keep its timers for as long
+	if ahead := q.ArrivedAt - c.now; ahead > maxAhead {
+		q.ArrivedAt, q.Due = c.now, q.Due-ahead // a stamp of the future would keep its timers for as long
 	}
 	sc := c.settings.Classes[q.Class]
-	q.Due = min(q.Due, q.Came+sc.Deadline) // no caller waits longer, and timers are kept for as long as it says
+	q.Due = min(q.Due, q.ArrivedAt+sc.Deadline) // no caller waits longer, and timers are kept for as long as it says
 	r := &request{Request: q, open: true}
 	if c.known(q.ID) {
 		// Never to the module, and never to the pool: an id that ran once must not run again.
 		c.log("request", "id", q.ID, "code", "duplicate")
-		c.direct(q.To, Answer{ID: q.ID, Outcome: Doubled})
-		c.told(q.Class, Doubled)
+		c.direct(q.ReplyTo, Answer{ID: q.ID, Outcome: Duplicate})
+		c.told(q.Class, Duplicate)
 		return
 	}
 	c.reqs[q.ID] = r
@@ -589,14 +589,14 @@
 	heap.Push(&c.latest, due[*request]{q.Due + backstop, r})
 	// Nothing can run: the worker pool is not up, or nobody waits any more. A stamp of long ago must not make the
 	// module believe that requests wait unread.
-	if c.policy == nil || c.now-q.Came > sc.Deadline {
+	if c.policy == nil || c.now-q.ArrivedAt > sc.Deadline {
 		c.answer(r, Answer{Outcome: Refused})
 		return
 	}
 	if q.Token != "" && c.keeps(q.Class) && !c.begin(r) {
 		return
 	}
-	a := whinrudder.Arrival{ID: id(q.ID), RepeatOf: id(r.of), Due: q.Due - wayBack, Caller: q.Caller, Unread: max(0, c.now-q.Came), KB: q.KB,
+	a := whinrudder.Arrival{ID: id(q.ID), RepeatOf: id(r.of), Due: q.Due - wayBack, Caller: q.Caller, Unread: max(0, c.now-q.ArrivedAt), KB: q.KB,
 		Rank: q.Rank, Key: q.Key, Class: q.Class, Write: sc.Repeat != whinrudder.Safe}
 	if c.settings.Fresh > 0 && sc.Repeat == whinrudder.Safe && q.Key != "" {
 		a.RepeatOf = id(c.keys.repeats(q, c.now))
@@ -652,19 +652,19 @@
 	c.queue = append(c.queue, id)
 }
 
-func (c *Core) finished(f Finished) {
+func (c *Core) finished(f RunFinished) {
 	r := c.reqs[f.ID]
 	keeps := c.ops != nil && c.opEnded(f) // one of an earlier life may be of use, too
 	if r == nil || !r.running {
 		return // of a life that is over, or told twice
 	}
 	r.running = false
-	c.event(whinrudder.Ended{ID: id(r.ID), Code: endCodes[f.End], Latency: f.Took})
-	c.keys.ended(r.ID, f.End == EndOK, f.Result, c.now, c.settings.Fresh, c.reuse)
+	c.event(whinrudder.Ended{ID: id(r.ID), Code: endCodes[f.End], Latency: f.Latency})
+	c.keys.ended(r.ID, f.End == RunOK, f.Result, c.now, c.settings.Fresh, c.reuse)
 	if keeps && r.open {
 		r.ending = true
 		heap.Push(&c.latest, due[*request]{r.Due - wayBack, r})
-	} else if f.End == EndOK {
+	} else if f.End == RunOK {
 		c.answer(r, Answer{Outcome: Served, Result: f.Result})
 	} else {
 		c.fail(r) // a run that ended without a result leaves nothing to wait for
@@ -688,14 +688,14 @@
 	c.event(whinrudder.Ended{ID: id(s), Code: code})
 }
 
-func (c *Core) checked(k Checked) {
+func (c *Core) checked(k HealthCheck) {
 	switch {
 	case c.policy == nil:
-		c.direct(k.To, c.good(false)) // the worker pool is not up
+		c.direct(k.ReplyTo, c.good(false)) // the worker pool is not up
 	case c.health.Stored || !k.Deep:
-		c.direct(k.To, c.good(c.health.Good))
+		c.direct(k.ReplyTo, c.good(c.health.Good))
 	case !c.linked || len(c.checks) >= maxChecks:
-		c.direct(k.To, c.good(false))
+		c.direct(k.ReplyTo, c.good(false))
 	default:
 		c.tags++
 		tag := fmt.Sprint("check", c.tags)
@@ -706,10 +706,10 @@
 
 const maxChecks = 64 // deep checks at work at a time; more are bad at once
 
-func (c *Core) verified(v Verified) {
+func (c *Core) verified(v CheckFinished) {
 	c.checks = slices.DeleteFunc(c.checks, func(k check) bool {
 		if k.tag == v.Tag {
-			c.direct(k.To, c.good(v.OK))
+			c.direct(k.ReplyTo, c.good(v.OK))
 		}
 		return k.tag == v.Tag
 	})
@@ -739,7 +739,7 @@
 	}
 	c.checks = slices.DeleteFunc(c.checks, func(k check) bool {
 		if c.now >= k.by {
-			c.direct(k.To, c.good(false))
+			c.direct(k.ReplyTo, c.good(false))
 		}
 		return c.now >= k.by
 	})
@@ -782,7 +782,7 @@
 			}
 		case whinrudder.Refuse:
 			if r := c.reqs[string(a.ID)]; r != nil {
-				c.answer(r, Answer{Outcome: Refused, Wait: a.RetryAfter, Last: a.NotElsewhere})
+				c.answer(r, Answer{Outcome: Refused, RetryAfter: a.RetryAfter, NotElsewhere: a.NotElsewhere})
 			}
 		case whinrudder.Fail:
 			if r := c.reqs[string(a.ID)]; r != nil {
@@ -803,12 +803,12 @@
 		case whinrudder.Health:
 			c.health = a
 			if c.leaving && !a.Good {
-				c.do(Closing{})
+				c.do(DrainConns{})
 			}
 		case whinrudder.Advertise:
 			c.load = a.Value
 		case whinrudder.CloseIdle:
-			c.do(Idle{a.After})
+			c.do(SetIdleTimeout{a.After})
 		case whinrudder.Wake:
 			heap.Push(&c.wakes, due[uint64]{a.At, a.Token})
 		case whinrudder.Log:
@@ -845,10 +845,10 @@
 	}
 	if !c.deaf && c.now >= c.stopAt-deafAt {
 		c.deaf = true
-		c.do(Deaf{})
+		c.do(StopAccepting{})
 	}
 	if c.deaf && (last || c.open == 0 && c.now >= c.stopAt-quietAt) {
 		c.ended = true
-		c.do(Over{})
+		c.do(DrainFinished{})
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -24,10 +24,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(1000, []Input{Bound{}, Synced{}})
+	c.Step(1000, []Input{PoolReady{}, LinkSynced{}})
 	c.health = whinrudder.Health{Good: true} // the module here always answers from store
 	reply := func(to string, o Outcome, at float64) Output {
-		return Reply{sink(to), Answer{Outcome: o, Load: -1, WriteBy: at + writeWait}}
+		return Reply{sink(to), Answer{Outcome: o, Credit: -1, WriteDeadline: at + writeWait}}
 	}
 	polls := cmpopts.IgnoreSliceElements(func(o Output) bool { _, poll := o.(Poll); return poll })
 	for _, s := range []struct {
@@ -35,11 +35,11 @@
 		in   []Input
 		want []Output
 	}{
-		{1001, []Input{Checked{false, sink("a")}, Checked{true, sink("b")}, Checked{true, sink("c")}},
+		{1001, []Input{HealthCheck{false, sink("a")}, HealthCheck{true, sink("b")}, HealthCheck{true, sink("c")}},
 			[]Output{reply("a", Served, 1001), Verify{"check1"}, Verify{"check2"}}},
-		{1002, []Input{Verified{"check1", false}, Verified{"nobody's", true}}, []Output{reply("b", Failed, 1002)}},
+		{1002, []Input{CheckFinished{"check1", false}, CheckFinished{"nobody's", true}}, []Output{reply("b", Failed, 1002)}},
 		{1001 + checkWait, nil, []Output{reply("c", Failed, 1001+checkWait)}},
-		{3000, []Input{Lost{}, Checked{true, sink("d")}}, []Output{reply("d", Failed, 3000)}},
+		{3000, []Input{LinkLost{}, HealthCheck{true, sink("d")}}, []Output{reply("d", Failed, 3000)}},
 	} {
 		got := append([]Output{}, c.Step(s.at, s.in)...)
 		if diff := cmp.Diff(s.want, got, polls, cmpopts.EquateEmpty()); diff != "" {
@@ -57,11 +57,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(1000, []Input{Bound{}, Synced{}, Leave{StopAt: 5000}})
+	c.Step(1000, []Input{PoolReady{}, LinkSynced{}, StopNotice{StopAt: 5000}})
 	for good, outcome := range map[bool]Outcome{true: Served, false: Failed} {
 		c.health.Good = good // the module here is not needed, and calls itself bad at once
-		want := []Output{Reply{sink("a"), Answer{Outcome: outcome, Load: -1, WriteBy: 1001 + writeWait, Close: !good}}}
-		if diff := cmp.Diff(want, append([]Output{}, c.Step(1001, []Input{Checked{false, sink("a")}})...)); diff != "" {
+		want := []Output{Reply{sink("a"), Answer{Outcome: outcome, Credit: -1, WriteDeadline: 1001 + writeWait, Close: !good}}}
+		if diff := cmp.Diff(want, append([]Output{}, c.Step(1001, []Input{HealthCheck{false, sink("a")}})...)); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	ask := func(id string, at float64) Outcome { // there is no worker pool, so that what is not known is refused
-		out := c.Step(at, []Input{Arrived{&Request{ID: id, Came: at, Due: at + 1000, To: sink("a")}}})
+		out := c.Step(at, []Input{RequestArrived{&Request{ID: id, ArrivedAt: at, Due: at + 1000, ReplyTo: sink("a")}}})
 		return out[len(out)-1].(Reply).Outcome
 	}
 	var got []Outcome
@@ -85,7 +85,7 @@
 		ask(fmt.Sprint(n), 1000+float64(n)/2)
 	}
 	got = append(got, ask("first", 5000), ask("last", 20000), ask("first", 20001))
-	if diff := cmp.Diff([]Outcome{Refused, Doubled, Refused, Refused}, got); diff != "" {
+	if diff := cmp.Diff([]Outcome{Refused, Duplicate, Refused, Refused}, got); diff != "" {
 		t.Error(diff)
 	}
 	if n := len(c.recent.ids) + len(c.recent.seen); n != 4 {
@@ -96,15 +96,15 @@
 // Who gave up has no use for an answer: one that is due by force comes while its caller still waits, for a run that
 // goes on and for a write that a broken link may have lost.
 func TestAnswersComeBeforeCallersStopWaiting(t *testing.T) {
-	for name, in := range map[string][]Input{"running": nil, "doubt": {Lost{}, Synced{Unsure: []string{"w"}}}} {
+	for name, in := range map[string][]Input{"running": nil, "doubt": {LinkLost{}, LinkSynced{InDoubt: []string{"w"}}}} {
 		c, err := New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, PassesDeadline: true, Halt: whinrudder.HaltAbort,
 			Say: whinrudder.SayNothing, Rules: whinrudder.Rules{FallMultiple: 8},
 			Classes: []whinrudder.Class{{Aim: 500, Deadline: 2000, Repeat: whinrudder.Unsafe}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(1000, []Input{Bound{}, Synced{}})
-		c.Step(1001, []Input{Arrived{&Request{ID: "w", Came: 1001, Due: 2001, KB: 1, To: sink("a")}}})
+		c.Step(1000, []Input{PoolReady{}, LinkSynced{}})
+		c.Step(1001, []Input{RequestArrived{&Request{ID: "w", ArrivedAt: 1001, Due: 2001, KB: 1, ReplyTo: sink("a")}}})
 		out := c.Step(1002, in)
 		for c.Open() > 0 {
 			out = c.Step(c.Next(), nil)
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	for n := range 3 { // there is no worker pool: all are refused
-		c.Step(1000, []Input{Arrived{&Request{ID: fmt.Sprint(n), Came: 1000, Due: 2000, Body: []byte("body"), To: sink("a")}}})
+		c.Step(1000, []Input{RequestArrived{&Request{ID: fmt.Sprint(n), ArrivedAt: 1000, Due: 2000, Body: []byte("body"), ReplyTo: sink("a")}}})
 	}
 	for _, d := range c.latest {
 		if d.what.Body != nil {
@@ -147,7 +147,7 @@
 			t.Fatal(err)
 		}
 		c.now = 1e7
-		c.take(Bound{Cold: cold, Age: 3600e3}) // the rest of a step would run the late timers
+		c.take(PoolReady{Cold: cold, Age: 3600e3}) // the rest of a step would run the late timers
 		if got := c.Next() > 1e7; got != want {
 			t.Errorf("cold %t: first timer ahead is %t", cold, got)
 		}
@@ -163,10 +163,10 @@
 		tb.Fatal(err)
 	}
 	now = 1000.0
-	c.Step(now, []Input{Bound{}, Synced{}})
+	c.Step(now, []Input{PoolReady{}, LinkSynced{}})
 	var in []Input
 	for i := range n {
-		in = append(in, Arrived{&Request{ID: fmt.Sprint(i), Came: now, Due: now + 3e6, KB: 30, To: sink("a")}})
+		in = append(in, RequestArrived{&Request{ID: fmt.Sprint(i), ArrivedAt: now, Due: now + 3e6, KB: 30, ReplyTo: sink("a")}})
 	}
 	for _, o := range c.Step(now, in) {
 		if s, ok := o.(Spawn); ok {
@@ -202,8 +202,8 @@
 			for b.Loop() {
 				now += 0.001
 				next++
-				out := c.Step(now, []Input{Finished{ID: runs[0], Took: 1},
-					Arrived{&Request{ID: fmt.Sprint(next), Came: now, Due: now + 3e6, KB: 30, To: sink("a")}}})
+				out := c.Step(now, []Input{RunFinished{ID: runs[0], Latency: 1},
+					RequestArrived{&Request{ID: fmt.Sprint(next), ArrivedAt: now, Due: now + 3e6, KB: 30, ReplyTo: sink("a")}}})
 				runs = runs[1:]
 				for _, o := range out {
 					if s, ok := o.(Spawn); ok {
@@ -219,19 +219,19 @@
 // Starts that wait for the link to the worker pool stay bounded while it is down, however many come and leave again.
 func TestQueueForTheLinkIsBounded(t *testing.T) {
 	c, now := sharing(t)
-	c.Step(now, []Input{Lost{}})
+	c.Step(now, []Input{LinkLost{}})
 	most := 0
 	for i := range 5000 {
 		now += 10
-		c.Step(now, []Input{Arrived{&Request{ID: fmt.Sprint(i), Came: now, Due: now + 2000, KB: 30, To: sink("a")}},
-			Left{fmt.Sprint(i - 2)}})
+		c.Step(now, []Input{RequestArrived{&Request{ID: fmt.Sprint(i), ArrivedAt: now, Due: now + 2000, KB: 30, ReplyTo: sink("a")}},
+			CallerGone{fmt.Sprint(i - 2)}})
 		most = max(most, len(c.queue))
 	}
 	if most == 0 || most > queueLeast {
 		t.Errorf("%d starts wait at most, want some and %d at most", most, queueLeast)
 	}
 	starts := 0
-	for _, o := range c.Step(now, []Input{Synced{}}) {
+	for _, o := range c.Step(now, []Input{LinkSynced{}}) {
 		if _, ok := o.(Spawn); ok {
 			starts++
 		}
@@ -245,7 +245,7 @@
 func TestWaitingForAResultLeavesNothingBehind(t *testing.T) {
 	c, now := sharing(t)
 	ask := func(id string, due float64) Input {
-		return Arrived{&Request{ID: id, Key: "k", Came: now, Due: due, KB: 30, To: sink(id)}}
+		return RequestArrived{&Request{ID: id, Key: "k", ArrivedAt: now, Due: due, KB: 30, ReplyTo: sink(id)}}
 	}
 	c.Step(now, []Input{ask("first", now+2000)})
 	for i := range 1000 {
@@ -253,7 +253,7 @@
 	}
 	c.Step(now, []Input{ask("due", now+100), ask("served", now+2000)})
 	for i := range 1000 {
-		c.Step(now, []Input{Left{fmt.Sprint("left", i)}})
+		c.Step(now, []Input{CallerGone{fmt.Sprint("left", i)}})
 	}
 	now += 200
 	c.Step(now, nil)
@@ -261,7 +261,7 @@
 		t.Errorf("%d repeats, %d open, want the last alone and the first", len(c.keys.repeat), c.Open())
 	}
 	served := 0
-	for _, o := range c.Step(now, []Input{Finished{ID: "first", Result: []byte("r")}}) {
+	for _, o := range c.Step(now, []Input{RunFinished{ID: "first", Result: []byte("r")}}) {
 		if r, ok := o.(Reply); ok && r.Outcome == Served {
 			served++
 		}
@@ -280,7 +280,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(1000, []Input{Bound{}, Synced{}})
+	c.Step(1000, []Input{PoolReady{}, LinkSynced{}})
 	return c, 1000
 }
 
@@ -292,20 +292,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(1000, []Input{Bound{}, Synced{}})
+		c.Step(1000, []Input{PoolReady{}, LinkSynced{}})
 		return c
 	}
 	old, next := newCore(), newCore()
 	arrive := func(id string) Input {
-		return Arrived{&Request{ID: id, Came: 1000, Due: 2500, KB: 10, To: sink(id)}}
+		return RequestArrived{&Request{ID: id, ArrivedAt: 1000, Due: 2500, KB: 10, ReplyTo: sink(id)}}
 	}
 	var told [][]string
-	share := Share{To: func(load whinrudder.Beside, ids []string) {
+	share := QueryLoad{Reply: func(load whinrudder.Beside, ids []string) {
 		slices.Sort(ids)
 		told = append(told, ids)
-		next.Step(1003, []Input{Beside{load, ids}})
+		next.Step(1003, []Input{SiblingLoad{load, ids}})
 	}}
-	old.Step(1001, []Input{arrive("a"), arrive("b"), Finished{ID: "a", End: EndOK}})
+	old.Step(1001, []Input{arrive("a"), arrive("b"), RunFinished{ID: "a", End: RunOK}})
 	old.Step(1002, []Input{share, arrive("c"), share, share})
 	if diff := cmp.Diff([][]string{{"a", "b"}, {"c"}, nil}, told, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
@@ -321,11 +321,11 @@
 				spawned = true
 			}
 		}
-		if known := id != "d"; known != slices.Equal(outcome, []Outcome{Doubled}) || known == spawned {
+		if known := id != "d"; known != slices.Equal(outcome, []Outcome{Duplicate}) || known == spawned {
 			t.Error(id, outcome, spawned)
 		}
 	}
-	old.Step(1005, []Input{Share{End: true}, arrive("e")})
+	old.Step(1005, []Input{QueryLoad{Stop: true}, arrive("e")})
 	if len(old.fresh) > 0 {
 		t.Error("ids are kept for nobody")
 	}
--- a/internal/core/kept.go
+++ b/internal/core/kept.go
@@ -12,41 +12,41 @@
 	"whinrudder/internal/ops"
 )
 
-// Inputs and outputs about operations whose results are kept. What stores them answers Append by Lasts or Lapses, in
+// Inputs and outputs about operations whose results are kept. What stores them answers Append by Appended or AppendFailed, in
 // the order of the appends, and need not be fast.
 type (
-	// Lasts tells that the first records that were to be appended last, where they stand, and what segments there are.
-	Lasts struct {
-		Places   []journal.Place
-		Segments []journal.Segment
+	// Appended tells that the first records that were to be appended last, where they stand, and what segments there are.
+	Appended struct {
+		Positions []journal.Place
+		Segments  []journal.Segment
 	}
-	// Lapses tells that the first so many do not.
-	Lapses struct {
+	// AppendFailed tells that the first so many do not.
+	AppendFailed struct {
 		N        int
 		Segments []journal.Segment
 	}
-	// Unread tells that the first one was to be copied from a record that is damaged.
-	Unread struct{}
-	// Fetched brings a record that was asked for.
-	Fetched struct {
-		ID     string
-		Place  journal.Place
-		Result []byte
-		Err    error
+	// CopyUnreadable tells that the first one was to be copied from a record that is damaged.
+	CopyUnreadable struct{}
+	// RecordFetched brings a record that was asked for.
+	RecordFetched struct {
+		ID       string
+		Position journal.Place
+		Result   []byte
+		Err      error
 	}
-	// Dropped tells whether a segment was removed.
-	Dropped struct {
-		Seg      uint32
+	// SegmentDropped tells whether a segment was removed.
+	SegmentDropped struct {
+		Segment  uint32
 		Err      error
 		Segments []journal.Segment
 	}
-	// Resolve is an operator's word on an operation in doubt. To must not block.
+	// Resolve is an operator's word on an operation in doubt. Done must not block.
 	Resolve struct {
 		Key    string
 		Kind   journal.Kind
 		Result []byte
 		By     string
-		To     func(error)
+		Done   func(error)
 	}
 
 	// Append is a record to be appended; if From is given, it is the one that stands there.
@@ -54,25 +54,25 @@
 	// Fetch asks for the record of a place.
 	Fetch struct{ ops.Fetch }
 	// DropSegment removes the oldest segment.
-	DropSegment struct{ Seg uint32 }
+	DropSegment struct{ Segment uint32 }
 )
 
-func (Lasts) input()        {}
-func (Lapses) input()       {}
-func (Unread) input()       {}
-func (Fetched) input()      {}
-func (Dropped) input()      {}
-func (Resolve) input()      {}
-func (Append) output()      {}
-func (Fetch) output()       {}
-func (DropSegment) output() {}
+func (Appended) input()       {}
+func (AppendFailed) input()   {}
+func (CopyUnreadable) input() {}
+func (RecordFetched) input()  {}
+func (SegmentDropped) input() {}
+func (Resolve) input()        {}
+func (Append) output()        {}
+func (Fetch) output()         {}
+func (DropSegment) output()   {}
 
 var errMoved = errors.New("another process of the node has the operations")
 
-// Keep lets the core keep the results of some classes, by their names, in a table that has been recovered; nil: it comes later, by
-// Adopt. It must be called before the first step. To the module these are classes whose repeats may share an answer; the window is 0, as what is kept takes
+// KeepResults lets the core keep the results of some classes, by their names, in a table that has been recovered; nil: it comes later, by
+// AdoptOps. It must be called before the first step. To the module these are classes whose repeats may share an answer; the window is 0, as what is kept takes
 // none of the worker pool's memory.
-func (c *Core) Keep(t *ops.Table, names map[int]string) {
+func (c *Core) KeepResults(t *ops.Table, names map[int]string) {
 	c.ops, c.kept = t, names
 	c.settings.Classes = c.keyed(c.settings.Classes)
 }
@@ -95,7 +95,7 @@
 func (c *Core) begin(r *request) bool {
 	if c.ops == nil {
 		a := c.unserved(ops.WhyMoved)
-		a.Wait = c.settings.MaxRetryAfter
+		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 		return false
 	}
@@ -109,7 +109,7 @@
 		c.answer(r, c.unserved(v.Why))
 	case ops.Refused:
 		a := c.unserved(v.Why)
-		a.Wait = c.settings.MaxRetryAfter
+		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	}
 	return v.Kind == ops.Leads || v.Kind == ops.Waits
@@ -120,7 +120,7 @@
 	a := Answer{Outcome: Failed, Kept: why.String()}
 	switch why {
 	case ops.WhyOtherBody:
-		a.Outcome = Unlike
+		a.Outcome = BodyMismatch
 	case ops.WhyFull, ops.WhyStalled, ops.WhyNotRun, ops.WhyMoved:
 		a.Outcome = Refused
 	}
@@ -158,7 +158,7 @@
 		c.answer(r, c.unserved(ops.WhyFailed))
 	case r.writing:
 		a := c.unserved(ops.WhyStalled)
-		a.Wait = c.settings.MaxRetryAfter
+		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	case r.queued:
 		c.answer(r, c.unserved(ops.WhyNotRun)) // the link is down, and its start never left
@@ -170,12 +170,12 @@
 }
 
 // opEnded takes the end of a run to its operation, and tells whether its requests are answered once that lasts.
-func (c *Core) opEnded(f Finished) bool {
-	if f.End == EndMoot {
+func (c *Core) opEnded(f RunFinished) bool {
+	if f.End == RunMoot {
 		c.ops.Moot(c.now, f.ID)
 		return false
 	}
-	return c.ops.Finish(c.now, f.ID, f.End == EndOK, f.Result)
+	return c.ops.Finish(c.now, f.ID, f.End == RunOK, f.Result)
 }
 
 // effects carries out what the operations want.
@@ -214,7 +214,7 @@
 	case ops.Refuse:
 		a := c.unserved(e.Why)
 		if e.Why == ops.WhyStalled {
-			a.Wait = c.settings.MaxRetryAfter
+			a.RetryAfter = c.settings.MaxRetryAfter
 		}
 		c.settle(e.ID, a, whinrudder.Moot)
 	case ops.Drop:
@@ -253,7 +253,7 @@
 }
 
 // fetched serves a request with the result of an earlier one. Its record may have been moved meanwhile.
-func (c *Core) fetched(f Fetched) {
+func (c *Core) fetched(f RecordFetched) {
 	r := c.reqs[f.ID]
 	if r == nil || !r.open {
 		return
@@ -262,7 +262,7 @@
 		c.settle(f.ID, Answer{Outcome: Served, Result: f.Result, Kept: "result"}, whinrudder.OK)
 		return
 	}
-	if p, ok := c.ops.Place(r.key); ok && p != f.Place {
+	if p, ok := c.ops.Place(r.key); ok && p != f.Position {
 		c.do(Fetch{ops.Fetch{ID: f.ID, Place: p}})
 		return
 	}
@@ -273,10 +273,10 @@
 // resolve takes an operator's word.
 func (c *Core) resolve(i Resolve) {
 	if c.ops == nil {
-		i.To(errMoved)
+		i.Done(errMoved)
 		return
 	}
-	i.To(c.ops.Resolve(c.now, i.Key, i.Kind, i.Result, i.By))
+	i.Done(c.ops.Resolve(c.now, i.Key, i.Kind, i.Result, i.By))
 }
 
 // Dump is the state of what is in hand as text, without times, for tests that compare states.
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -68,7 +68,7 @@
 // repeats returns the id of the request that q repeats, or an empty one.
 func (t *keyTable) repeats(q *Request, now float64) string {
 	e := t.byKey[keyOf(q)]
-	if e == nil || e.until < q.Came {
+	if e == nil || e.until < q.ArrivedAt {
 		return ""
 	}
 	t.repeat[q.ID] = repeat{entry: e}
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -8,12 +8,12 @@
 )
 
 // tell hands out what the module has learned by itself.
-func (c *Core) tell(a Ask) {
+func (c *Core) tell(a QueryKnowledge) {
 	if c.policy == nil {
-		a.To(whinrudder.Knowledge{}, false)
+		a.Reply(whinrudder.Knowledge{}, false)
 		return
 	}
-	a.To(c.policy.Knowledge(), true)
+	a.Reply(c.policy.Knowledge(), true)
 }
 
 // teach lets the module adopt what others have learned, as far as it is of use beside what it knows by now. A node
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -23,7 +23,7 @@
 // lines returns the lines of the log among outputs that tell of a prior.
 func lines(out []Output) (all []string) {
 	for _, o := range out {
-		if l, ok := o.(Line); ok && l.Word == "prior" {
+		if l, ok := o.(LogEvent); ok && l.Event == "prior" {
 			text := "prior"
 			for i := 0; i < len(l.Pairs); i += 2 {
 				text += fmt.Sprintf(" %v=%v", l.Pairs[i], l.Pairs[i+1])
@@ -37,16 +37,16 @@
 func TestPriorWaitsForTheModuleAndIsTried(t *testing.T) {
 	c := newCore(t)
 	told := func() (k whinrudder.Knowledge, known bool) {
-		c.Step(c.now, []Input{Ask{To: func(got whinrudder.Knowledge, ok bool) { k, known = got, ok }}})
+		c.Step(c.now, []Input{QueryKnowledge{Reply: func(got whinrudder.Knowledge, ok bool) { k, known = got, ok }}})
 		return k, known
 	}
 	if _, known := told(); known {
 		t.Error("something is known before the worker pool is up")
 	}
-	if got := lines(c.Step(1e12, []Input{Teach{priorOf(100, 50)}})); got != nil {
+	if got := lines(c.Step(1e12, []Input{AdoptPrior{priorOf(100, 50)}})); got != nil {
 		t.Errorf("adopted without a module: %q", got)
 	}
-	got := lines(c.Step(1e12, []Input{Bound{Cold: true, Age: 5}, Synced{}}))
+	got := lines(c.Step(1e12, []Input{PoolReady{Cold: true, Age: 5}, LinkSynced{}}))
 	if diff := cmp.Diff([]string{"prior code=adopted donors=d"}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -54,7 +54,7 @@
 		t.Errorf("what was adopted is told on: %+v", k)
 	}
 	if diff := cmp.Diff([]string{"prior code=leaving donors=d"},
-		lines(c.Step(1e12+1, []Input{Leave{StopAt: 1e12 + 3000}, Teach{priorOf(100, 50)}}))); diff != "" {
+		lines(c.Step(1e12+1, []Input{StopNotice{StopAt: 1e12 + 3000}, AdoptPrior{priorOf(100, 50)}}))); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -63,14 +63,14 @@
 func TestLatePriorIsNotTaken(t *testing.T) {
 	c := newCore(t)
 	now := 1e12
-	c.Step(now, []Input{Bound{}, Synced{}})
+	c.Step(now, []Input{PoolReady{}, LinkSynced{}})
 	for n := range 40 {
 		id := fmt.Sprintf("%016x", n)
-		c.Step(now, []Input{Arrived{&Request{ID: id, Class: n % 2, Came: now, Due: now + 3000, KB: 1, To: mailbox{}}}})
+		c.Step(now, []Input{RequestArrived{&Request{ID: id, Class: n % 2, ArrivedAt: now, Due: now + 3000, KB: 1, ReplyTo: mailbox{}}}})
 		now += 100
-		c.Step(now, []Input{Finished{ID: id, End: EndOK, Took: 100}})
+		c.Step(now, []Input{RunFinished{ID: id, End: RunOK, Latency: 100}})
 	}
-	got := lines(c.Step(now, []Input{Teach{priorOf(1000, 5)}}))
+	got := lines(c.Step(now, []Input{AdoptPrior{priorOf(1000, 5)}}))
 	if len(got) != 3 || !strings.HasPrefix(got[0], "prior code=enough class=c0") || got[2] != "prior code=unused donors=d" {
 		t.Errorf("want it unused, got %q", got)
 	}
@@ -102,14 +102,14 @@
 		b.Run(t.name, func(b *testing.B) {
 			c := newCore(b)
 			now := 1e12
-			c.Step(now, []Input{Bound{}, Synced{}})
-			ask := Ask{To: func(whinrudder.Knowledge, bool) {}}
+			c.Step(now, []Input{PoolReady{}, LinkSynced{}})
+			ask := QueryKnowledge{Reply: func(whinrudder.Knowledge, bool) {}}
 			n := 0
 			for b.Loop() {
 				id := fmt.Sprintf("%016x", n)
-				in := []Input{Arrived{&Request{ID: id, Class: n % 2, Caller: n % 3, Came: now, Due: now + 3000, KB: 1, To: mailbox{}}}}
+				in := []Input{RequestArrived{&Request{ID: id, Class: n % 2, Caller: n % 3, ArrivedAt: now, Due: now + 3000, KB: 1, ReplyTo: mailbox{}}}}
 				if n > 8 {
-					in = append(in, Finished{ID: fmt.Sprintf("%016x", n-8), End: EndOK, Took: 80})
+					in = append(in, RunFinished{ID: fmt.Sprintf("%016x", n-8), End: RunOK, Latency: 80})
 				}
 				if t.every > 0 && n%t.every == 0 {
 					for range t.asks {
--- a/internal/core/custody.go
+++ b/internal/core/ownership.go
@@ -6,19 +6,19 @@
 
 // Inputs and the output by which operations pass from one process of the node to another.
 type (
-	// Yield tells that another process shall have the operations: no new ones are taken, and once none is in hand they are
-	// Released. Off: it goes on as before.
-	Yield struct{ On bool }
-	// Adopt brings the operations, recovered from the journal.
-	Adopt struct{ Table *ops.Table }
+	// YieldOps tells that another process shall have the operations: no new ones are taken, and once none is in hand
+	// OpsReleased follows. Off: it goes on as before.
+	YieldOps struct{ On bool }
+	// AdoptOps brings the operations, recovered from the journal.
+	AdoptOps struct{ Table *ops.Table }
 
-	// Released tells that the journal may be closed: nothing of it is in hand.
-	Released struct{}
+	// OpsReleased tells that the journal may be closed: nothing of it is in hand.
+	OpsReleased struct{}
 )
 
-func (Yield) input()     {}
-func (Adopt) input()     {}
-func (Released) output() {}
+func (YieldOps) input()     {}
+func (AdoptOps) input()     {}
+func (OpsReleased) output() {}
 
 // yield begins to give the operations up, or goes on with them.
 func (c *Core) yield(on bool) {
@@ -44,5 +44,5 @@
 		}
 	}
 	c.ops, c.yields = nil, false
-	c.do(Released{})
+	c.do(OpsReleased{})
 }
--- a/internal/core/retune.go
+++ b/internal/core/settings.go
@@ -2,9 +2,9 @@
 
 import "whinrudder/internal/figures"
 
-// Count lets the core count what becomes of requests, by the place of their class. It must be called before the first
+// SetCounters lets the core count what becomes of requests, by the place of their class. It must be called before the first
 // step.
-func (c *Core) Count(counts []*figures.Class) { c.counts = counts }
+func (c *Core) SetCounters(counts []*figures.Class) { c.counts = counts }
 
 // told counts an answer.
 func (c *Core) told(class int, how Outcome) {
@@ -30,12 +30,12 @@
 }
 
 // retune takes over new settings. What is in hand keeps its class, whatever the new settings say of it.
-func (c *Core) retune(r Retune) {
+func (c *Core) retune(r ChangeSettings) {
 	if c.kept != nil {
-		c.kept = r.Kept
+		c.kept = r.KeptClasses
 	}
 	r.Settings.Classes = c.keyed(r.Settings.Classes)
-	c.settings, c.counts = r.Settings, r.Counts
+	c.settings, c.counts = r.Settings, r.Counters
 	for _, k := range c.settings.Classes {
 		c.recent.keep = max(c.recent.keep, k.Deadline+maxAhead)
 	}
@@ -44,8 +44,8 @@
 	}
 	s := c.settings
 	s.Cold = c.cold
-	c.policy.Retune(s, r.Fresh...)
-	for _, i := range r.Fresh {
+	c.policy.Retune(s, r.NewIndices...)
+	for _, i := range r.NewIndices {
 		c.trial.Forget(i)
 	}
 }
--- a/internal/core/share.go
+++ b/internal/core/share.go
@@ -4,8 +4,8 @@
 
 // share tells what is in hand, and which ids another process of this node must not run: first all that are known, then
 // those that were read since. A request belongs to the process that read it; the other one must only know it.
-func (c *Core) share(s Share) {
-	if s.End {
+func (c *Core) share(s QueryLoad) {
+	if s.Stop {
 		c.shares, c.fresh = false, nil
 		return
 	}
@@ -24,11 +24,11 @@
 	}
 	ids := c.fresh
 	c.fresh = nil
-	s.To(load, ids)
+	s.Reply(load, ids)
 }
 
 // besides takes what another process of this node shares. Its ids count as read here: one that comes again is doubled.
-func (c *Core) besides(b Beside) {
+func (c *Core) besides(b SiblingLoad) {
 	for _, id := range b.IDs {
 		if !c.known(id) {
 			c.recent.add(id, c.now)
--- a/internal/emu/fleet/server.go
+++ b/internal/emu/fleet/server.go
@@ -128,7 +128,7 @@
 	})
 	s.pool.Crawl(s.crawl)
 	s.tick.Do = func(float64) { s.step() }
-	s.tell(core.Bound{Cold: cold}, core.Synced{})
+	s.tell(core.PoolReady{Cold: cold}, core.LinkSynced{})
 	s.p.list.Join(s.p.k.Now(), s.no)
 	s.p.watch()
 }
@@ -179,7 +179,7 @@
 	}
 	s.draining, s.notice = true, s.p.k.Now()
 	life := s.life
-	s.tell(core.Leave{StopAt: s.notice + s.p.day.Stop})
+	s.tell(core.StopNotice{StopAt: s.notice + s.p.day.Stop})
 	s.p.list.Leave(s.notice, s.no)
 	s.p.watch()
 	s.p.k.After(s.p.day.Stop, func(float64) { s.over(life) })
@@ -224,7 +224,7 @@
 			if s.life != life {
 				break
 			}
-			if _, is := o.(core.Over); is {
+			if _, is := o.(core.DrainFinished); is {
 				over = true
 				break
 			}
@@ -274,12 +274,12 @@
 			return
 		}
 		t.clock = s.clock
-		s.tell(core.Arrived{Request: &core.Request{ID: t.name(), Class: t.q.Class, Caller: t.q.Caller, Came: t.came - t.clock, Due: t.due - t.clock,
-			KB: t.q.KB, Rank: t.q.Rank, To: t}})
+		s.tell(core.RequestArrived{Request: &core.Request{ID: t.name(), Class: t.q.Class, Caller: t.q.Caller, ArrivedAt: t.came - t.clock, Due: t.due - t.clock,
+			KB: t.q.KB, Rank: t.q.Rank, ReplyTo: t}})
 	case workers.Done:
-		s.ended(e, core.EndOK)
+		s.ended(e, core.RunOK)
 	case workers.Stopped:
-		s.ended(e, core.EndStopped)
+		s.ended(e, core.RunStopped)
 	case workers.Fell:
 		s.fall("fell")
 	}
@@ -301,10 +301,10 @@
 	return false
 }
 
-func (s *server) ended(e workers.Event, end core.End) {
+func (s *server) ended(e workers.Event, end core.RunEnd) {
 	if id, ok := s.others[e.ID]; ok {
 		delete(s.others, e.ID)
-		s.tell(core.Finished{ID: id, End: end, Took: e.Took})
+		s.tell(core.RunFinished{ID: id, End: end, Latency: e.Took})
 		return
 	}
 	t := s.runs[e.ID]
@@ -312,7 +312,7 @@
 	s.memory -= t.q.KB * (runFactor - 1)
 	t.running = false
 	s.p.settle(t)
-	s.tell(core.Finished{ID: t.name(), End: end, Took: e.Took})
+	s.tell(core.RunFinished{ID: t.name(), End: end, Latency: e.Took})
 }
 
 // carry does what the node wants.
@@ -337,7 +337,7 @@
 			s.p.broke("lost: %s is refused though it ran: %s", t.name(), t.tale())
 		}
 		s.forget(t)
-		r := reply{outcome: o.Outcome, load: o.Load, wait: o.Wait, stay: o.Last, leaves: o.Close && s.draining}
+		r := reply{outcome: o.Outcome, load: o.Credit, wait: o.RetryAfter, stay: o.NotElsewhere, leaves: o.Close && s.draining}
 		if s.absurd > 0 {
 			if r.load = s.absurd; o.Outcome == core.Refused {
 				r.wait = aDay
@@ -395,7 +395,7 @@
 		life := s.life
 		s.p.k.After(gaugeAfter, func(float64) {
 			if s.life == life {
-				s.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: s.pool.Busy(), Runnable: float64(s.pool.On()), Memory: s.memory / s.most,
+				s.tell(core.GaugesRead{Gauges: whinrudder.Gauges{CPU: s.pool.Busy(), Runnable: float64(s.pool.On()), Memory: s.memory / s.most,
 					Conns: float64(len(s.p.callers))}})
 			}
 		})
@@ -443,7 +443,7 @@
 	}
 	if t.read {
 		s.forget(t)
-		s.tell(core.Left{ID: t.name()})
+		s.tell(core.CallerGone{ID: t.name()})
 	}
 }
 
--- a/internal/emu/live/live.go
+++ b/internal/emu/live/live.go
@@ -183,7 +183,7 @@
 		if n.left.IsZero() {
 			n.left = time.Now()
 		}
-		n.out = append(n.out, core.Over{})
+		n.out = append(n.out, core.DrainFinished{})
 		n.mu.Unlock()
 		close(n.exited)
 	}()
@@ -260,25 +260,25 @@
 	defer n.mu.Unlock()
 	for _, i := range in {
 		switch i := i.(type) {
-		case core.Arrived:
+		case core.RequestArrived:
 			ctx, cancel := context.WithCancel(n.ctx)
 			n.calls[i.ID] = cancel
 			go n.send(ctx, i.Request)
-		case core.Left:
+		case core.CallerGone:
 			if cancel := n.calls[i.ID]; cancel != nil {
 				cancel()
 			}
-		case core.Finished:
-			how := map[core.End]string{core.EndOK: "OK", core.EndStopped: "STOPPED"}[i.End]
+		case core.RunFinished:
+			how := map[core.RunEnd]string{core.RunOK: "OK", core.RunStopped: "STOPPED"}[i.End]
 			n.serial++
-			n.tell(`{"msg":"finished","serial":%d,"call":"%s","how":%q,"duration":%.3f,"blob":"b2s="}`, n.serial, i.ID, how, i.Took)
-		case core.Gauged:
+			n.tell(`{"msg":"finished","serial":%d,"call":"%s","how":%q,"duration":%.3f,"blob":"b2s="}`, n.serial, i.ID, how, i.Latency)
+		case core.GaugesRead:
 			if len(n.cookies) > 0 {
 				g := i.Gauges
 				n.tell(`{"msg":"polled","cookie":%q,"stats":[%.4f,%.0f,%.4f,%.0f]}`, n.cookies[0], g.CPU, g.Runnable, g.Memory, g.Conns)
 				n.cookies = n.cookies[1:]
 			}
-		case core.Leave:
+		case core.StopNotice:
 			n.left = time.Now()
 			n.process.Process.Signal(syscall.SIGTERM)
 		}
@@ -314,10 +314,10 @@
 	switch {
 	case n.gone || errors.Is(err, context.Canceled): // it died, which the fleet knows, or its caller left
 	case err != nil:
-		n.out = append(n.out, fleet.Reset{Reply: core.Reply{To: r.To}, Why: err.Error()})
+		n.out = append(n.out, fleet.Reset{Reply: core.Reply{To: r.ReplyTo}, Why: err.Error()})
 	default:
 		a.ID = r.ID
-		n.out = append(n.out, core.Reply{To: r.To, Answer: a})
+		n.out = append(n.out, core.Reply{To: r.ReplyTo, Answer: a})
 	}
 }
 
@@ -332,9 +332,9 @@
 	if err != nil {
 		return a, err
 	}
-	came := float64(n.h.start.UnixNano())/1e6 + r.Came
+	came := float64(n.h.start.UnixNano())/1e6 + r.ArrivedAt
 	for k, v := range map[string]string{"Req-Id": r.ID, "Req-Time": fmt.Sprintf("%.3f", came), "Req-From": fmt.Sprint(r.Caller),
-		"Req-Wait-Ms": fmt.Sprintf("%.3f", r.Due-r.Came), "Req-Kb": fmt.Sprintf("%.1f", r.KB), "Req-Rank": fmt.Sprintf("%.4f", r.Rank)} {
+		"Req-Wait-Ms": fmt.Sprintf("%.3f", r.Due-r.ArrivedAt), "Req-Kb": fmt.Sprintf("%.1f", r.KB), "Req-Rank": fmt.Sprintf("%.4f", r.Rank)} {
 		req.Header.Set(k, v)
 	}
 	resp, err := n.client.Do(req)
@@ -343,12 +343,12 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	a.Load = -1
+	a.Credit = -1
 	if v, err := strconv.ParseFloat(resp.Header.Get("Srv-Load"), 64); err == nil {
-		a.Load = v
+		a.Credit = v
 	}
 	if v, err := strconv.ParseFloat(resp.Header.Get("Srv-Wait-Ms"), 64); err == nil {
-		a.Wait = v
+		a.RetryAfter = v
 	}
 	switch resp.StatusCode {
 	case 200:
--- a/internal/emu/rivals/rivals_test.go
+++ b/internal/emu/rivals/rivals_test.go
@@ -87,18 +87,18 @@
 						id := fmt.Sprint("r", n)
 						r := &req{came: now, due: min(now+float64(rapid.IntRange(1, 900).Draw(t, "wait")), stop)}
 						reqs[id] = r
-						step(core.Arrived{Request: &core.Request{ID: id, Came: now, Due: r.due, To: sink{}}})
+						step(core.RequestArrived{Request: &core.Request{ID: id, ArrivedAt: now, Due: r.due, ReplyTo: sink{}}})
 					case what < 8 && len(running) > 0:
 						i := rapid.IntRange(0, len(running)-1).Draw(t, "which")
 						id := running[i]
 						running = append(running[:i], running[i+1:]...)
-						end := core.End(rapid.IntRange(0, 3).Draw(t, "how"))
-						step(core.Finished{ID: id, End: end, Took: float64(rapid.IntRange(1, 900).Draw(t, "took"))})
+						end := core.RunEnd(rapid.IntRange(0, 3).Draw(t, "how"))
+						step(core.RunFinished{ID: id, End: end, Latency: float64(rapid.IntRange(1, 900).Draw(t, "took"))})
 					case what == 8:
 						for id, r := range reqs {
 							if !r.gone && r.answers == 0 && id == fmt.Sprint("r", n) {
 								r.gone = true
-								step(core.Left{ID: id})
+								step(core.CallerGone{ID: id})
 							}
 						}
 					case what == 9 && math.IsInf(notice, 1) && rapid.IntRange(0, 5).Draw(t, "leave") == 0:
@@ -106,14 +106,14 @@
 						for _, r := range reqs {
 							r.due = min(r.due, stop)
 						}
-						step(core.Leave{StopAt: stop})
+						step(core.StopNotice{StopAt: stop})
 					}
 				}
 				finish := func() {
 					for len(running) > 0 {
 						id := running[0]
 						running = running[1:]
-						step(core.Finished{ID: id, End: core.EndOK, Took: 5})
+						step(core.RunFinished{ID: id, End: core.RunOK, Latency: 5})
 					}
 				}
 				finish()
@@ -183,9 +183,9 @@
 		t.Fatal(err)
 	}
 	for _, n := range []Node{c, NewServer(Fixed(1), FIFO{}, 1, 2000)} {
-		n.Step(1000, []core.Input{core.Bound{}, core.Synced{}})
+		n.Step(1000, []core.Input{core.PoolReady{}, core.LinkSynced{}})
 		starts := 0
-		for _, o := range n.Step(1000, []core.Input{core.Arrived{Request: &core.Request{ID: "a", Came: 1000, Due: 2500, KB: 1, To: sink{}}}}) {
+		for _, o := range n.Step(1000, []core.Input{core.RequestArrived{Request: &core.Request{ID: "a", ArrivedAt: 1000, Due: 2500, KB: 1, ReplyTo: sink{}}}}) {
 			if _, ok := o.(core.Spawn); ok {
 				starts++
 			}
--- a/internal/emu/rivals/server.go
+++ b/internal/emu/rivals/server.go
@@ -154,52 +154,52 @@
 
 func (s *Server) take(i core.Input) {
 	switch i := i.(type) {
-	case core.Arrived:
+	case core.RequestArrived:
 		if s.reqs[i.ID] != nil {
-			s.out = append(s.out, core.Reply{To: i.To, Answer: core.Answer{ID: i.ID, Outcome: core.Doubled, Load: -1}})
+			s.out = append(s.out, core.Reply{To: i.ReplyTo, Answer: core.Answer{ID: i.ID, Outcome: core.Duplicate, Credit: -1}})
 			return
 		}
 		r := &request{Request: i.Request, open: true}
 		r.timer.What = r
 		s.reqs[r.ID] = r
 		s.due.Set(&r.timer, r.Due)
-		if s.leaving && r.Came > s.notice+s.grace || len(s.line) >= s.most && float64(s.running) >= s.limiter.Limit() {
+		if s.leaving && r.ArrivedAt > s.notice+s.grace || len(s.line) >= s.most && float64(s.running) >= s.limiter.Limit() {
 			s.refuse(r)
 			return
 		}
 		s.line = append(s.line, r)
-	case core.Left:
+	case core.CallerGone:
 		if r := s.reqs[i.ID]; r != nil && r.open {
 			s.settle(r)
 		}
-	case core.Finished:
+	case core.RunFinished:
 		r := s.reqs[i.ID]
 		if r == nil || !r.runs {
 			return
 		}
 		r.runs = false
 		s.running--
-		if i.End != core.EndMoot {
-			s.limiter.Sample(s.now, i.Took, r.inFlight, i.End == core.EndOK && r.open)
+		if i.End != core.RunMoot {
+			s.limiter.Sample(s.now, i.Latency, r.inFlight, i.End == core.RunOK && r.open)
 		}
-		if i.End == core.EndOK {
+		if i.End == core.RunOK {
 			s.answer(r, core.Answer{Outcome: core.Served, Result: i.Result})
 		} else {
 			s.answer(r, core.Answer{Outcome: core.Failed})
 		}
 		delete(s.reqs, r.ID)
-	case core.NotStarted:
-		s.take(core.Finished{ID: i.ID, End: core.EndMoot})
-	case core.Leave:
+	case core.RunNotStarted:
+		s.take(core.RunFinished{ID: i.ID, End: core.RunMoot})
+	case core.StopNotice:
 		s.leaving, s.stopAt, s.notice = true, i.StopAt, s.now
-		s.out = append(s.out, core.Leaving{}, core.Closing{})
-	case core.Checked:
-		a := core.Answer{Load: -1}
+		s.out = append(s.out, core.DrainStarted{}, core.DrainConns{})
+	case core.HealthCheck:
+		a := core.Answer{Credit: -1}
 		if s.leaving {
 			a.Outcome = core.Failed
 		}
-		s.out = append(s.out, core.Reply{To: i.To, Answer: a})
-	case core.Bound:
+		s.out = append(s.out, core.Reply{To: i.ReplyTo, Answer: a})
+	case core.PoolReady:
 		s.out = append(s.out, core.Ready{Cold: i.Cold})
 	}
 }
@@ -218,8 +218,8 @@
 	if !r.open {
 		return
 	}
-	a.ID, a.Load, a.Close = r.ID, -1, s.leaving
-	s.out = append(s.out, core.Reply{To: r.To, Answer: a})
+	a.ID, a.Credit, a.Close = r.ID, -1, s.leaving
+	s.out = append(s.out, core.Reply{To: r.ReplyTo, Answer: a})
 	s.settle(r)
 }
 
@@ -230,7 +230,7 @@
 	for len(s.line) > 0 && float64(s.running) < math.Floor(max(1, s.limiter.Limit())) {
 		line := make([]Waiting, len(s.line))
 		for i, r := range s.line {
-			line[i] = Waiting{r.Came, r.Due}
+			line[i] = Waiting{r.ArrivedAt, r.Due}
 		}
 		run, drop := s.how.Take(s.now, line)
 		var r *request
--- a/internal/emu/shrink/shrink_test.go
+++ b/internal/emu/shrink/shrink_test.go
@@ -25,9 +25,9 @@
 func (f *forgetful) Step(now float64, in []core.Input) (out []core.Output) {
 	for _, i := range in {
 		switch i := i.(type) {
-		case core.Arrived:
+		case core.RequestArrived:
 			f.came[i.ID] = now
-		case core.Leave:
+		case core.StopNotice:
 			f.leaving = now
 		}
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -140,7 +140,7 @@
 		to         *float64
 		ok         func(float64) bool
 	}{
-		{f.Time, "bad-time", &r.Came, func(v float64) bool { return v > 0 && v < 1e15 }},
+		{f.Time, "bad-time", &r.ArrivedAt, func(v float64) bool { return v > 0 && v < 1e15 }},
 		{f.KB, "bad-kb", &r.KB, func(v float64) bool { return v > 0 && v < 2000 }},
 		{f.Rank, "bad-rank", &r.Rank, func(v float64) bool { return v >= 0 && v < 1 }},
 		{f.Wait, "bad-wait", &wait, func(v float64) bool { return v > 0 && v <= maxWait }},
@@ -164,7 +164,7 @@
 		}
 		r.Token = f.Token
 	}
-	r.Due = r.Came + wait
+	r.Due = r.ArrivedAt + wait
 	return Message{Request: r}
 }
 
@@ -188,9 +188,9 @@
 		return 200
 	case core.Refused:
 		return 503
-	case core.Doubled:
+	case core.Duplicate:
 		return 409
-	case core.Unlike:
+	case core.BodyMismatch:
 		return 422
 	}
 	return 500
@@ -200,17 +200,17 @@
 // ends after it.
 func appendAnswer(b []byte, a core.Answer, last bool) []byte {
 	b = appendHead(b, Status(a))
-	if a.Load >= 0 {
+	if a.Credit >= 0 {
 		b = append(b, "Srv-Load: "...)
 		b = AppendLoad(b, a)
 		b = append(b, "\r\n"...)
 	}
-	if a.Outcome == core.Refused && a.Wait > 0 {
+	if a.Outcome == core.Refused && a.RetryAfter > 0 {
 		b = append(b, "Srv-Wait-Ms: "...)
 		b = AppendWait(b, a)
 		b = append(b, "\r\n"...)
 	}
-	if a.Outcome == core.Refused && a.Last {
+	if a.Outcome == core.Refused && a.NotElsewhere {
 		b = append(b, "Srv-Last: 1\r\n"...)
 	}
 	if a.Kept != "" {
@@ -223,12 +223,12 @@
 
 // AppendLoad appends the value of Srv-Load.
 func AppendLoad(b []byte, a core.Answer) []byte {
-	return strconv.AppendFloat(b, math.Round(a.Load*1e4)/1e4, 'f', -1, 64)
+	return strconv.AppendFloat(b, math.Round(a.Credit*1e4)/1e4, 'f', -1, 64)
 }
 
 // AppendWait appends the value of Srv-Wait-Ms.
 func AppendWait(b []byte, a core.Answer) []byte {
-	return strconv.AppendInt(b, int64(math.Ceil(a.Wait)), 10)
+	return strconv.AppendInt(b, int64(math.Ceil(a.RetryAfter)), 10)
 }
 
 // appendFault appends the answer to what could not be read. The connection ends after it.
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -113,14 +113,14 @@
 	if !s.busy || tag != s.tag {
 		return
 	}
-	last := s.last || a.Close || a.Outcome == core.Doubled
+	last := s.last || a.Close || a.Outcome == core.Duplicate
 	s.busy, s.owed = false, false
 	s.out = appendAnswer(s.out, a, last)
 	s.served++
 	s.since = now
 	switch {
 	case s.code != "":
-	case a.Outcome == core.Doubled:
+	case a.Outcome == core.Duplicate:
 		s.code = "twice-id"
 	case last:
 		s.code = "close"
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -226,7 +226,7 @@
 	if got := p.take(); len(got) != 1 {
 		t.Fatal(got)
 	}
-	p.c.Answer(p.now, 1, core.Answer{Load: 1.5})
+	p.c.Answer(p.now, 1, core.Answer{Credit: 1.5})
 	if diff := cmp.Diff([]string{"settings streams=2", "headers 1 200 end=false", "data 1 0 end=true"}, p.heard()); diff != "" {
 		t.Error(diff)
 	}
@@ -259,7 +259,7 @@
 		out := p.feed()
 		for _, e := range p.take() {
 			if e.Code == "" {
-				p.c.Answer(p.now, e.Tag, core.Answer{Load: -1})
+				p.c.Answer(p.now, e.Tag, core.Answer{Credit: -1})
 			}
 		}
 		return append(out, p.heard()...)
@@ -296,7 +296,7 @@
 	p.feed()
 	p.take()
 	for id := uint32(1); id < 6; id += 2 {
-		p.c.Answer(p.now, id, core.Answer{ID: "x", Load: 16, Result: make([]byte, 1500*id)})
+		p.c.Answer(p.now, id, core.Answer{ID: "x", Credit: 16, Result: make([]byte, 1500*id)})
 	}
 	if diff := cmp.Diff([]string{"headers 1 200 end=false", "data 1 1024 end=false", "headers 3 200 end=false", "data 3 1024 end=false",
 		"headers 5 200 end=false", "data 5 1024 end=false", "data 1 476 end=true", "data 3 976 end=false", "data 5 976 end=false"},
@@ -331,7 +331,7 @@
 	if got := p.take(); len(got) != 1 || !got[0].Gone || got[0].Tag != 3 {
 		t.Errorf("want stream 3 gone, got %v", got)
 	}
-	p.c.Answer(p.now, 3, core.Answer{ID: "x", Load: 1})
+	p.c.Answer(p.now, 3, core.Answer{ID: "x", Credit: 1})
 	if got := p.heard(); len(got) > 0 && strings.HasPrefix(got[0], "headers") {
 		t.Errorf("an answer to nobody: %v", got)
 	}
@@ -367,7 +367,7 @@
 					break
 				}
 				if e.Code == "" && !e.Gone {
-					c.Answer(1000, e.Tag, core.Answer{Load: 4, Result: make([]byte, 3000)})
+					c.Answer(1000, e.Tag, core.Answer{Credit: 4, Result: make([]byte, 3000)})
 				}
 			}
 			c.Out(1000, nil)
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -227,7 +227,7 @@
 
 // tell answers what can't be read. The connection goes on.
 func (c *Conn) tell(s *stream, f *front.Fault) {
-	s.status, s.answer, s.fault = f.Status, &core.Answer{Load: -1}, true
+	s.status, s.answer, s.fault = f.Status, &core.Answer{Credit: -1}, true
 	s.body = nil
 	c.ready = append(c.ready, s)
 	c.events = append(c.events, front.Event{Tag: s.id, Code: f.Code})
--- a/internal/h2/write.go
+++ b/internal/h2/write.go
@@ -35,13 +35,13 @@
 // Answer takes the final answer to the request of a stream.
 func (c *Conn) Answer(now float64, tag uint32, a core.Answer) {
 	c.now = max(c.now, now)
-	c.heed(a.Load)
+	c.heed(a.Credit)
 	s := c.streams[tag]
 	if s == nil || !s.inHand || c.code != "" {
 		return // it was given up
 	}
 	s.inHand = false
-	if a.Outcome == core.Doubled {
+	if a.Outcome == core.Duplicate {
 		c.events = append(c.events, front.Event{Tag: tag, Code: "twice-id"})
 	}
 	s.status, s.answer, s.rest = front.Status(a), &a, a.Result
@@ -157,13 +157,13 @@
 	var fields [6]hpack.HeaderField
 	f := append(fields[:0], hpack.HeaderField{Name: ":status", Value: strconv.Itoa(s.status)})
 	a := s.answer
-	if a.Load >= 0 {
+	if a.Credit >= 0 {
 		f = append(f, hpack.HeaderField{Name: "srv-load", Value: string(front.AppendLoad(nil, *a))})
 	}
-	if a.Outcome == core.Refused && a.Wait > 0 {
+	if a.Outcome == core.Refused && a.RetryAfter > 0 {
 		f = append(f, hpack.HeaderField{Name: "srv-wait-ms", Value: string(front.AppendWait(nil, *a))})
 	}
-	if a.Outcome == core.Refused && a.Last {
+	if a.Outcome == core.Refused && a.NotElsewhere {
 		f = append(f, hpack.HeaderField{Name: "srv-last", Value: "1"})
 	}
 	if a.Kept != "" {
--- a/internal/kept/crash_test.go
+++ b/internal/kept/crash_test.go
@@ -227,7 +227,7 @@
 	refused := 0
 	for i := range 20 {
 		w.lay()
-		if a := w.ask(fmt.Sprint("n", i), ""); len(a.answers) == 1 && a.answers[0].Kept == "stalled" && a.answers[0].Wait > 0 {
+		if a := w.ask(fmt.Sprint("n", i), ""); len(a.answers) == 1 && a.answers[0].Kept == "stalled" && a.answers[0].RetryAfter > 0 {
 			refused++
 		}
 		w.pass(100)
--- a/internal/kept/holder.go
+++ b/internal/kept/holder.go
@@ -37,7 +37,7 @@
 func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
 // Start begins. A process that succeeds no other must have the journal at once, and its table is returned; one that does
-// tries for it, and the table comes to the core as Adopt.
+// tries for it, and the table comes to the core as AdoptOps.
 func (h *Holder) Start(successor bool) (t *ops.Table, err error) {
 	if !successor {
 		if h.k, t, err = h.open(now()); err != nil {
@@ -77,10 +77,10 @@
 			continue
 		case custody.Yield:
 			h.host.Log("kept", "code", "yielding")
-			h.host.Tell(core.Yield{On: true})
+			h.host.Tell(core.YieldOps{On: true})
 			continue
 		case custody.Resume:
-			h.host.Tell(core.Yield{On: false})
+			h.host.Tell(core.YieldOps{On: false})
 			h.host.Log("kept", "code", "resumed")
 			continue
 		case custody.Close:
@@ -125,7 +125,7 @@
 	h.m.Opened(now(), err == nil)
 	h.mu.Unlock()
 	if err == nil {
-		h.host.Tell(core.Adopt{Table: t})
+		h.host.Tell(core.AdoptOps{Table: t})
 	}
 }
 
@@ -148,7 +148,7 @@
 
 // Carry takes an output of the core that is for the journal.
 func (h *Holder) Carry(o core.Output) {
-	if _, ok := o.(core.Released); ok {
+	if _, ok := o.(core.OpsReleased); ok {
 		h.tell((*custody.Machine).Released)
 		return
 	}
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -102,7 +102,7 @@
 	case core.Append:
 		k.writes = append(k.writes, o.Write)
 	case core.DropSegment:
-		k.drops = append(k.drops, o.Seg)
+		k.drops = append(k.drops, o.Segment)
 	case core.Fetch:
 		k.fetches, wake = append(k.fetches, o), k.wakeF
 	default:
@@ -154,7 +154,7 @@
 		all, drops := k.batch()
 		for _, seg := range drops {
 			err := k.j.DropOldest()
-			k.host.Tell(core.Dropped{Seg: seg, Err: err, Segments: k.j.Segments()})
+			k.host.Tell(core.SegmentDropped{Segment: seg, Err: err, Segments: k.j.Segments()})
 		}
 		ended := false
 		select {
@@ -198,17 +198,17 @@
 		places, err := k.j.Append(records)
 		if err != nil {
 			k.host.Log("kept", "code", "unwritten", "records", len(all), "error", err)
-			k.host.Tell(core.Lapses{N: len(all), Segments: k.j.Segments()})
+			k.host.Tell(core.AppendFailed{N: len(all), Segments: k.j.Segments()})
 			k.pause()
 			return false
 		}
-		k.host.Tell(core.Lasts{Places: places, Segments: k.j.Segments()})
+		k.host.Tell(core.Appended{Positions: places, Segments: k.j.Segments()})
 	}
 	if bad != nil {
 		if errors.Is(bad, journal.ErrDamage) {
-			k.host.Tell(core.Unread{})
+			k.host.Tell(core.CopyUnreadable{})
 		} else { // the disk may read it another time: nothing is given up
-			k.host.Tell(core.Lapses{N: 1, Segments: k.j.Segments()})
+			k.host.Tell(core.AppendFailed{N: 1, Segments: k.j.Segments()})
 			k.pause()
 		}
 		if rest := all[len(records)+1:]; len(rest) > 0 {
@@ -237,7 +237,7 @@
 		k.mu.Unlock()
 		for _, f := range all {
 			r, err := journal.Read(k.dir, f.Place)
-			k.host.Tell(core.Fetched{ID: f.ID, Place: f.Place, Result: r.Result, Err: err})
+			k.host.Tell(core.RecordFetched{ID: f.ID, Position: f.Place, Result: r.Result, Err: err})
 		}
 		if len(all) > 0 {
 			continue
--- a/internal/kept/resolve.go
+++ b/internal/kept/resolve.go
@@ -101,7 +101,7 @@
 		return "bad-word"
 	}
 	told := make(chan error, 1)
-	k.host.Tell(core.Resolve{Key: w.Key, Kind: w.Kind, Result: w.Result, By: w.By, To: func(err error) { told <- err }})
+	k.host.Tell(core.Resolve{Key: w.Key, Kind: w.Kind, Result: w.Result, By: w.By, Done: func(err error) { told <- err }})
 	t := time.NewTimer(time.Until(by))
 	defer t.Stop()
 	select {
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -103,7 +103,7 @@
 		return
 	}
 	t.Recovered(w.now, j.Segments())
-	c.Keep(t, map[int]string{0: "book"})
+	c.KeepResults(t, map[int]string{0: "book"})
 	w.core, w.table, w.j, w.link, w.dead = c, t, j, pool.New([]string{"book"}, nil), false
 	w.writes, w.fetches, w.drops, w.failed = nil, nil, nil, nil
 	w.n++
@@ -143,7 +143,7 @@
 		case core.Fetch:
 			w.fetches = append(w.fetches, o)
 		case core.DropSegment:
-			w.drops = append(w.drops, o.Seg)
+			w.drops = append(w.drops, o.Segment)
 		}
 	}
 	if w.linked {
@@ -200,14 +200,14 @@
 		return a
 	}
 	w.asks[a.id] = a
-	w.step(core.Arrived{Request: &core.Request{ID: a.id, Came: w.now, Due: a.due, KB: 20, Token: key, Body: []byte(body), To: a}})
+	w.step(core.RequestArrived{Request: &core.Request{ID: a.id, ArrivedAt: w.now, Due: a.due, KB: 20, Token: key, Body: []byte(body), ReplyTo: a}})
 	return a
 }
 
 // leave lets a caller give up.
 func (w *world) leave(a *try) {
 	a.gone = true
-	w.step(core.Left{ID: a.id})
+	w.step(core.CallerGone{ID: a.id})
 }
 
 // lay does what the keeper's goroutines do: one batch, what is to be read, what is to be removed.
@@ -219,20 +219,20 @@
 	w.writes, w.fetches, w.drops = nil, nil, nil
 	for _, seg := range drops {
 		err := w.j.DropOldest()
-		w.step(core.Dropped{Seg: seg, Err: err, Segments: w.j.Segments()})
+		w.step(core.SegmentDropped{Segment: seg, Err: err, Segments: w.j.Segments()})
 	}
 	for _, f := range fetches {
 		r, err := journal.Read(w.dir, f.Place)
-		w.step(core.Fetched{ID: f.ID, Place: f.Place, Result: r.Result, Err: err})
+		w.step(core.RecordFetched{ID: f.ID, Position: f.Place, Result: r.Result, Err: err})
 	}
 	k := Keeper{dir: w.dir, j: w.j, over: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Tell: func(i core.Input) {
-		if l, ok := i.(core.Lasts); ok {
-			for n := range l.Places {
+		if l, ok := i.(core.Appended); ok {
+			for n := range l.Positions {
 				if r := writes[n].Record; r.Kind != 0 {
 					w.free[r.Key] = r.Kind == journal.NotRun
 				}
 			}
-			writes = writes[len(l.Places):]
+			writes = writes[len(l.Positions):]
 		}
 		w.step(i)
 	}}}
@@ -258,7 +258,7 @@
 func (w *world) unlink() {
 	if w.linked {
 		w.linked, w.inbox = false, nil // what was not read is lost
-		w.step(core.Lost{})
+		w.step(core.LinkLost{})
 	}
 }
 
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -67,7 +67,7 @@
 		h.await()
 	}
 	h.await()
-	h.tell(core.Bound{Cold: cold}, core.Synced{})
+	h.tell(core.PoolReady{Cold: cold}, core.LinkSynced{})
 	return h, nil
 }
 
@@ -122,12 +122,12 @@
 	switch e.Kind {
 	case workers.Read:
 		a := h.arrivals[e.ID]
-		h.tell(core.Arrived{Request: &core.Request{ID: name(e.ID), Class: a.class, Caller: a.caller,
-			Came: a.at, Due: a.at + a.wait, KB: a.kb, Rank: a.rank, To: sink{e.ID, a.caller}}})
+		h.tell(core.RequestArrived{Request: &core.Request{ID: name(e.ID), Class: a.class, Caller: a.caller,
+			ArrivedAt: a.at, Due: a.at + a.wait, KB: a.kb, Rank: a.rank, ReplyTo: sink{e.ID, a.caller}}})
 	case workers.Done:
-		h.tell(core.Finished{ID: name(e.ID), End: core.EndOK, Took: e.Took})
+		h.tell(core.RunFinished{ID: name(e.ID), End: core.RunOK, Latency: e.Took})
 	case workers.Stopped:
-		h.tell(core.Finished{ID: name(e.ID), End: core.EndStopped, Took: e.Took})
+		h.tell(core.RunFinished{ID: name(e.ID), End: core.RunStopped, Latency: e.Took})
 	case workers.Fell:
 		h.fell = true
 		h.k.Cancel(&h.tick)
@@ -141,8 +141,8 @@
 		s := o.To.(sink)
 		c, a := &h.credit[s.caller], h.arrivals[s.n]
 		c.Out--
-		if o.Load >= 0 {
-			c.Value, c.Heard = o.Load, h.k.Now()
+		if o.Credit >= 0 {
+			c.Value, c.Heard = o.Credit, h.k.Now()
 		}
 		if o.Outcome == core.Served && h.k.Now() <= a.at+classes[a.class].aim {
 			h.served[s.n] = h.k.Now()
@@ -154,10 +154,10 @@
 		h.pool.Stop(number(o.ID))
 	case core.Poll:
 		h.k.After(gaugeAfter, func(float64) {
-			h.tell(core.Gauged{Gauges: whinrudder.Gauges{CPU: h.pool.Busy(), Runnable: float64(h.pool.On()), Memory: 0.1, Conns: callers}})
+			h.tell(core.GaugesRead{Gauges: whinrudder.Gauges{CPU: h.pool.Busy(), Runnable: float64(h.pool.On()), Memory: 0.1, Conns: callers}})
 		})
-	case core.Line:
-		h.lines = append(h.lines, string(eventlog.AppendText(nil, time.UnixMilli(int64(h.k.Now())), o.Word, o.Pairs)))
+	case core.LogEvent:
+		h.lines = append(h.lines, string(eventlog.AppendText(nil, time.UnixMilli(int64(h.k.Now())), o.Event, o.Pairs)))
 	}
 }
 
--- a/internal/lab/warmup.go
+++ b/internal/lab/warmup.go
@@ -82,7 +82,7 @@
 	}
 	h.run(donorFor)
 	var r knowledge.Report
-	h.tell(core.Ask{To: func(k whinrudder.Knowledge, _ bool) { r = knowledge.NewReport(Classes(), k) }})
+	h.tell(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, _ bool) { r = knowledge.NewReport(Classes(), k) }})
 	r.Node, r.Life, r.Cores, r.Warm = name, donorFor, cores, true
 	return r, r.Check()
 }
@@ -170,7 +170,7 @@
 		}
 		h.run(dayFrom + takenFor)
 		if len(reports) > 0 {
-			h.tell(core.Teach{Prior: prior})
+			h.tell(core.AdoptPrior{Prior: prior})
 		}
 		h.run(dayTo + dayAfter)
 		o.served, o.lines = append(o.served, h.served), append(o.lines, h.lines...)
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -149,8 +149,8 @@
 		k.proto.Leave(t)
 	}
 	for i, l := range k.letters {
-		if k.writeBy == 0 || l.answer.WriteBy < k.writeBy {
-			k.writeBy = l.answer.WriteBy
+		if k.writeBy == 0 || l.answer.WriteDeadline < k.writeBy {
+			k.writeBy = l.answer.WriteDeadline
 		}
 		k.close(l.tag)
 		k.unsaid++
@@ -190,7 +190,7 @@
 	code := k.talk()
 	for _, p := range k.open {
 		if p.id != "" {
-			k.node.tell(core.Left{ID: p.id})
+			k.node.tell(core.CallerGone{ID: p.id})
 		}
 	}
 	k.end(code)
@@ -272,7 +272,7 @@
 	}
 	if e.Gone {
 		if p, ok := k.close(e.Tag); ok && p.id != "" {
-			k.node.tell(core.Left{ID: p.id})
+			k.node.tell(core.CallerGone{ID: p.id})
 		}
 		if len(k.open) == 0 {
 			_, at := k.proto.Served()
@@ -286,12 +286,12 @@
 	to := ticket{k, e.Tag}
 	if e.Request == nil {
 		k.open = append(k.open, pending{tag: e.Tag})
-		k.node.tell(core.Checked{Deep: e.Deep, To: to})
+		k.node.tell(core.HealthCheck{Deep: e.Deep, ReplyTo: to})
 		return true
 	}
 	k.open = append(k.open, pending{e.Tag, e.Request.ID})
-	e.Request.To = to
-	k.node.tell(core.Arrived{Request: e.Request})
+	e.Request.ReplyTo = to
+	k.node.tell(core.RequestArrived{Request: e.Request})
 	return true
 }
 
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -45,7 +45,7 @@
 	if _, err := there.Write([]byte("GET /health HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	(<-n.in).(core.Checked).To.Deliver(core.Answer{WriteBy: now() + 20})
+	(<-n.in).(core.HealthCheck).ReplyTo.Deliver(core.Answer{WriteDeadline: now() + 20})
 	if diff := cmp.Diff("write served=0", <-log); diff != "" {
 		t.Error(diff)
 	}
@@ -65,14 +65,14 @@
 	if _, err := there.Write([]byte("GET /health HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	to := (<-n.in).(core.Checked).To
+	to := (<-n.in).(core.HealthCheck).ReplyTo
 	read := make(chan string)
 	go func() {
 		b := make([]byte, 4096)
 		got, _ := there.Read(b)
 		read <- string(b[:got])
 	}()
-	to.Deliver(core.Answer{WriteBy: now() + 1000})
+	to.Deliver(core.Answer{WriteDeadline: now() + 1000})
 	n.conns.closeAll()
 	if got := <-read; !strings.HasPrefix(got, "HTTP/1.1 200 ") {
 		t.Errorf("the caller read %q", got)
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -93,7 +93,7 @@
 		l.mu.Lock()
 		l.c = nil
 		l.mu.Unlock()
-		l.node.tell(core.Lost{})
+		l.node.tell(core.LinkLost{})
 		l.node.log("link", "pool", c.addr, "code", code)
 		c.Close()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 	n.folderAt, n.catalog = folder.At, catalog.New(cfg.Settings)
 	n.view = n.catalog.View(cfg.Settings.Policy)
 	n.site.Set(n.terms(n.view, kept))
-	c.Count(n.figures.Classes(n.view.Names))
+	c.SetCounters(n.figures.Classes(n.view.Names))
 	n.granted = cfg
 	n.conns.most = n.mostConns(cfg, false)
 	n.idle.Store(int64(cfg.Settings.Policy.KeepAlive))
@@ -224,7 +224,7 @@
 		case <-ctx.Done():
 		}
 		n.leave = n.leaveNow()
-		n.in <- core.Leave{StopAt: now() + n.leave.ms, Succeeded: n.leave.succeeded}
+		n.in <- core.StopNotice{StopAt: now() + n.leave.ms, HasSuccessor: n.leave.succeeded}
 	}()
 	n.loop()
 	close(n.over)
@@ -289,7 +289,7 @@
 			}
 		}
 		for _, o := range n.core.Step(now(), batch) {
-			if _, over := o.(core.Over); over {
+			if _, over := o.(core.DrainFinished); over {
 				return
 			}
 			n.carry(o)
@@ -306,7 +306,7 @@
 		o.To.Deliver(o.Answer)
 	case core.Spawn, core.Suspend, core.Poll, core.Verify:
 		n.link.push(o)
-	case core.Idle:
+	case core.SetIdleTimeout:
 		n.idle.Store(int64(o.After))
 		n.conns.wakeAll()
 	case core.Ready:
@@ -314,19 +314,19 @@
 		n.open()
 		n.serving.Store(true)
 		n.parted(func(p Part) { p.Ready(o.Cold) })
-	case core.Leaving:
+	case core.DrainStarted:
 		n.taking.Store(false)
 		n.reports.now()
 		n.log("drain", "stop_ms", n.leave.ms, "succeeded", n.leave.succeeded)
 		by := now() + n.leave.ms/2
 		n.parted(func(p Part) { p.Leaving(by) })
-	case core.Closing:
+	case core.DrainConns:
 		n.conns.leaveAll()
-	case core.Deaf:
+	case core.StopAccepting:
 		n.deafen()
-	case core.Line:
-		n.log(o.Word, o.Pairs...)
-	case core.Append, core.Fetch, core.DropSegment, core.Released:
+	case core.LogEvent:
+		n.log(o.Event, o.Pairs...)
+	case core.Append, core.Fetch, core.DropSegment, core.OpsReleased:
 		n.holder.Carry(o)
 	}
 }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return fmt.Errorf("kept: %w", err)
 	}
-	n.core.Keep(t, n.site.Terms().Kept)
+	n.core.KeepResults(t, n.site.Terms().Kept)
 	n.holder, n.parts = h, append(n.parts, h)
 	return nil
 }
@@ -190,7 +190,7 @@
 	late := time.NewTimer(time.Until(at(by)))
 	defer late.Stop()
 	select {
-	case o.in <- core.Drained{On: on, Done: func() { o.sentAway(on); close(done) }}:
+	case o.in <- core.OperatorDrain{On: on, Done: func() { o.sentAway(on); close(done) }}:
 	case <-o.over:
 		return false
 	case <-late.C:
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -88,7 +88,7 @@
 		names[v.Serves[k]] = k
 	}
 	t := n.terms(v, names)
-	n.tell(core.Retune{Settings: v.Settings, Fresh: v.Fresh, Counts: n.figures.Classes(v.Names), Kept: t.Kept})
+	n.tell(core.ChangeSettings{Settings: v.Settings, NewIndices: v.Fresh, Counters: n.figures.Classes(v.Names), KeptClasses: t.Kept})
 	n.site.Set(t)
 }
 
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -37,7 +37,7 @@
 	}
 	n.share(true)
 	if n.taken.Away {
-		n.in <- core.Drained{On: true, Done: func() { n.away.Store(true) }}
+		n.in <- core.OperatorDrain{On: true, Done: func() { n.away.Store(true) }}
 	}
 	names, s := n.present()
 	prior, remarks := knowledge.Merge(knowledge.DefaultTrust, knowledge.Need{Names: names, Settings: s}, []knowledge.Report{n.taken.Report})
@@ -45,7 +45,7 @@
 		n.log("prior", r.Pairs()...)
 	}
 	if !prior.Empty() {
-		n.in <- core.Teach{Prior: prior}
+		n.in <- core.AdoptPrior{Prior: prior}
 	}
 	return nil
 }
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -46,7 +46,7 @@
 		}
 		ends := map[string]int{}
 		for _, i := range all {
-			if e, ok := i.(core.Finished); ok {
+			if e, ok := i.(core.RunFinished); ok {
 				ends[e.ID]++
 			}
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -152,8 +152,8 @@
 	return tell, reply, nil
 }
 
-var ends = map[string]core.End{"OK": core.EndOK, "ERROR": core.EndError, "STOPPED": core.EndStopped,
-	"MOOT": core.EndMoot}
+var ends = map[string]core.RunEnd{"OK": core.RunOK, "ERROR": core.RunError, "STOPPED": core.RunStopped,
+	"MOOT": core.RunMoot}
 
 func (l *Link) notice(v *fastjson.Value) (tell []core.Input, reply []byte) {
 	text := func(key string) string { return string(v.GetStringBytes(key)) }
@@ -166,21 +166,21 @@
 	}
 	switch text("msg") {
 	case "bound":
-		tell = append(tell, core.Bound{Cold: text("how") == "COLD", Age: v.GetFloat64("duration")})
+		tell = append(tell, core.PoolReady{Cold: text("how") == "COLD", Age: v.GetFloat64("duration")})
 		reply = l.poll("fence")
 	case "finished":
 		call := text("call")
 		l.read(call)
 		end, ok := ends[text("how")]
 		if !ok {
-			end = core.EndError
+			end = core.RunError
 		}
 		blob := v.GetStringBytes("blob")
 		result, err := base64.StdEncoding.AppendDecode(nil, blob)
 		if err != nil {
-			result, end = nil, core.EndError // a result that can't be read is none
+			result, end = nil, core.RunError // a result that can't be read is none
 		}
-		tell = append(tell, core.Finished{ID: call, End: end, Took: v.GetFloat64("duration"), Result: result})
+		tell = append(tell, core.RunFinished{ID: call, End: end, Latency: v.GetFloat64("duration"), Result: result})
 	case "polled":
 		cookie := text("cookie")
 		number, gauges := strings.CutPrefix(cookie, "gauges")
@@ -193,15 +193,15 @@
 			l.sent, l.left = nil, true // all were read: what runs goes on, and its end will be told
 		default:
 			l.fence = ""
-			tell = append(tell, core.Synced{Unsure: l.again()})
+			tell = append(tell, core.LinkSynced{InDoubt: l.again()})
 		}
-		tell = append(tell, core.Gauged{Gauges: l.stats(v.GetArray("stats"))})
+		tell = append(tell, core.GaugesRead{Gauges: l.stats(v.GetArray("stats"))})
 	case "verified":
-		tell = append(tell, core.Verified{Tag: text("cookie"), OK: text("how") == "OK"})
+		tell = append(tell, core.CheckFinished{Tag: text("cookie"), OK: text("how") == "OK"})
 	case "unknown":
 		if text("how") == "spawn" {
 			l.read(text("call"))
-			tell = append(tell, core.NotStarted{ID: text("call")})
+			tell = append(tell, core.RunNotStarted{ID: text("call")})
 		}
 	}
 	return tell, reply
--- a/internal/upgrade/giving.go
+++ b/internal/upgrade/giving.go
@@ -60,8 +60,8 @@
 	g.pipe.close()
 	g.pipe.drop()
 	u := g.u
-	u.h.Tell(core.Share{End: true})
-	u.h.Tell(core.Beside{})
+	u.h.Tell(core.QueryLoad{Stop: true})
+	u.h.Tell(core.SiblingLoad{})
 	u.mu.Lock()
 	served, over := g.serves, u.ended
 	g.serves, u.to = false, nil
@@ -121,7 +121,7 @@
 				g.machine.Yield()
 				g.pipe.mu.Unlock()
 			case handover.Loaded:
-				g.u.h.Tell(core.Beside{Beside: e.Beside, IDs: e.IDs})
+				g.u.h.Tell(core.SiblingLoad{Beside: e.Beside, IDs: e.IDs})
 			}
 		}
 		if bad != nil {
--- a/internal/upgrade/taking.go
+++ b/internal/upgrade/taking.go
@@ -128,7 +128,7 @@
 }
 
 func (t *taking) loaded(e handover.Loaded) {
-	t.u.h.Tell(core.Beside{Beside: e.Beside, IDs: e.IDs})
+	t.u.h.Tell(core.SiblingLoad{Beside: e.Beside, IDs: e.IDs})
 }
 
 // run goes on until the other process has ended.
@@ -137,8 +137,8 @@
 	code, text := t.talk()
 	t.pipe.close()
 	t.pipe.drop()
-	t.u.h.Tell(core.Share{End: true})
-	t.u.h.Tell(core.Beside{})
+	t.u.h.Tell(core.QueryLoad{Stop: true})
+	t.u.h.Tell(core.SiblingLoad{})
 	t.u.mu.Lock()
 	t.over = true
 	t.u.mu.Unlock()
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -247,7 +247,7 @@
 // shares asks the core for what is in hand. What it tells too late is told the next time: no id is lost.
 type shares struct {
 	mu   sync.Mutex
-	last core.Beside // with all ids that were not taken yet
+	last core.SiblingLoad // with all ids that were not taken yet
 	told chan struct{}
 }
 
@@ -256,7 +256,7 @@
 // take is called by the core.
 func (s *shares) take(load whinrudder.Beside, ids []string) {
 	s.mu.Lock()
-	s.last = core.Beside{Beside: load, IDs: append(s.last.IDs, ids...)}
+	s.last = core.SiblingLoad{Beside: load, IDs: append(s.last.IDs, ids...)}
 	s.mu.Unlock()
 	select {
 	case s.told <- struct{}{}:
@@ -264,14 +264,14 @@
 	}
 }
 
-func (s *shares) ask(tell func(core.Input)) (core.Beside, bool) {
-	tell(core.Share{To: s.take})
+func (s *shares) ask(tell func(core.Input)) (core.SiblingLoad, bool) {
+	tell(core.QueryLoad{Reply: s.take})
 	late := time.NewTimer(time.Until(at(now() + askFor)))
 	defer late.Stop()
 	select {
 	case <-s.told:
 	case <-late.C:
-		return core.Beside{}, false
+		return core.SiblingLoad{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -283,7 +283,7 @@
 // report asks the core what it has learned.
 func (u *Upgrade) report() knowledge.Report {
 	got := make(chan whinrudder.Knowledge, 1)
-	u.h.Tell(core.Ask{To: func(k whinrudder.Knowledge, known bool) { got <- k }})
+	u.h.Tell(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, known bool) { got <- k }})
 	names, s := u.h.Terms()
 	r := knowledge.Report{}
 	select {
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -31,13 +31,13 @@
 
 func (n *toy) tell(i core.Input) {
 	switch i := i.(type) {
-	case core.Share:
-		if i.To != nil {
-			i.To(whinrudder.Beside{Live: 1}, []string{"00000000000000a1"})
+	case core.QueryLoad:
+		if i.Reply != nil {
+			i.Reply(whinrudder.Beside{Live: 1}, []string{"00000000000000a1"})
 		}
-	case core.Ask:
-		i.To(whinrudder.Knowledge{}, true)
-	case core.Beside:
+	case core.QueryKnowledge:
+		i.Reply(whinrudder.Knowledge{}, true)
+	case core.SiblingLoad:
 		n.mu.Lock()
 		n.ids = append(n.ids, i.IDs...)
 		n.mu.Unlock()
@@ -253,8 +253,8 @@
 func TestSharesLoseNoID(t *testing.T) {
 	s := newShares()
 	s.take(whinrudder.Beside{Live: 1}, []string{"a"}) // of an earlier time
-	b, ok := s.ask(func(i core.Input) { i.(core.Share).To(whinrudder.Beside{Live: 2}, []string{"b"}) })
-	if diff := cmp.Diff(core.Beside{Beside: whinrudder.Beside{Live: 2}, IDs: []string{"a", "b"}}, b); diff != "" || !ok {
+	b, ok := s.ask(func(i core.Input) { i.(core.QueryLoad).Reply(whinrudder.Beside{Live: 2}, []string{"b"}) })
+	if diff := cmp.Diff(core.SiblingLoad{Beside: whinrudder.Beside{Live: 2}, IDs: []string{"a", "b"}}, b); diff != "" || !ok {
 		t.Error(diff)
 	}
 }
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -198,7 +198,7 @@
 		known bool
 	}
 	heard := make(chan told, 1)
-	go w.h.Tell(core.Ask{To: func(k whinrudder.Knowledge, known bool) { heard <- told{k, known} }})
+	go w.h.Tell(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, known bool) { heard <- told{k, known} }})
 	select {
 	case a := <-heard:
 		if !a.known {
@@ -320,5 +320,5 @@
 		w.h.Log("prior", "code", "empty", "donors", strings.Join(prior.Donors, ","))
 		return
 	}
-	w.h.Tell(core.Teach{Prior: prior})
+	w.h.Tell(core.AdoptPrior{Prior: prior})
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -68,11 +68,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch i := i.(type) {
-	case core.Ask:
+	case core.QueryKnowledge:
 		n.asked++
-		i.To(whinrudder.Knowledge{Limit: whinrudder.Figure{Value: 2, N: 9}, Classes: []whinrudder.ClassKnowledge{
+		i.Reply(whinrudder.Knowledge{Limit: whinrudder.Figure{Value: 2, N: 9}, Classes: []whinrudder.ClassKnowledge{
 			{Cost: whinrudder.Fit{N: 100, Time: 200}}, {Cost: whinrudder.Fit{N: 50, Time: 300}}}}, n.known)
-	case core.Teach:
+	case core.AdoptPrior:
 		n.priors = append(n.priors, i.Prior)
 	}
 }
