--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -374,7 +374,7 @@
 		sooner(k.by)
 	}
 	if c.ops != nil {
-		if at := c.ops.Next(); at > 0 {
+		if at := c.ops.WakeAt(); at > 0 {
 			sooner(at)
 		}
 	}
@@ -433,10 +433,10 @@
 	c.open--
 	c.unqueue(r)
 	if r.op && r.doubt {
-		c.ops.Doubtful(c.now, r.ID) // nobody is left who would wait for word until it falls due
+		c.ops.MarkInDoubt(c.now, r.ID) // nobody is left who would wait for word until it falls due
 	}
 	if r.op {
-		c.ops.Leave(c.now, r.ID)
+		c.ops.Detach(c.now, r.ID)
 	}
 	c.drop(r)
 }
@@ -518,15 +518,15 @@
 	case AdoptOps:
 		c.adopt(i.Table)
 	case Appended:
-		c.ops.Durable(c.now, i.Positions, i.Segments)
+		c.ops.WritesDurable(c.now, i.Positions, i.Segments)
 	case AppendFailed:
-		c.ops.Lost(c.now, i.N, i.Segments)
+		c.ops.WritesFailed(c.now, i.N, i.Segments)
 	case CopyUnreadable:
-		c.ops.Unread(c.now)
+		c.ops.CopyUnreadable(c.now)
 	case RecordFetched:
 		c.fetched(i)
 	case SegmentDropped:
-		c.ops.Dropped(c.now, i.Segment, i.Err == nil, i.Segments)
+		c.ops.SegmentDropped(c.now, i.Segment, i.Err == nil, i.Segments)
 	case Resolve:
 		c.resolve(i)
 	}
@@ -619,7 +619,7 @@
 			continue
 		}
 		if r.op && !r.open {
-			c.ops.Doubtful(c.now, r.ID)
+			c.ops.MarkInDoubt(c.now, r.ID)
 		}
 		if r.open {
 			c.log("run", "id", s, "code", "doubt")
--- a/internal/core/kept.go
+++ b/internal/core/kept.go
@@ -49,7 +49,7 @@
 		Done   func(error)
 	}
 
-	// Append is a record to be appended; if From is given, it is the one that stands there.
+	// Append is a record to be appended; if CopyFrom is given, it is the one that stands there.
 	Append struct{ ops.Write }
 	// Fetch asks for the record of a place.
 	Fetch struct{ ops.Fetch }
@@ -94,7 +94,7 @@
 // begin takes a request with a token. It returns whether it goes on to the module.
 func (c *Core) begin(r *request) bool {
 	if c.ops == nil {
-		a := c.unserved(ops.WhyMoved)
+		a := c.unserved(ops.ReasonMoved)
 		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 		return false
@@ -103,25 +103,25 @@
 	sum := sha256.Sum256(r.Body)
 	v := c.ops.Begin(c.now, r.ID, r.key, [16]byte(sum[:16]))
 	switch v.Kind {
-	case ops.Waits:
-		r.of = v.Of
-	case ops.Fails:
-		c.answer(r, c.unserved(v.Why))
-	case ops.Refused:
-		a := c.unserved(v.Why)
+	case ops.VerdictWaits:
+		r.of = v.RepeatOf
+	case ops.VerdictFails:
+		c.answer(r, c.unserved(v.Reason))
+	case ops.VerdictRefused:
+		a := c.unserved(v.Reason)
 		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	}
-	return v.Kind == ops.Leads || v.Kind == ops.Waits
+	return v.Kind == ops.VerdictFirst || v.Kind == ops.VerdictWaits
 }
 
 // unserved is the answer to a request whose operation gives none.
-func (c *Core) unserved(why ops.Why) Answer {
+func (c *Core) unserved(why ops.Reason) Answer {
 	a := Answer{Outcome: Failed, Kept: why.String()}
 	switch why {
-	case ops.WhyOtherBody:
+	case ops.ReasonOtherBody:
 		a.Outcome = BodyMismatch
-	case ops.WhyFull, ops.WhyStalled, ops.WhyNotRun, ops.WhyMoved:
+	case ops.ReasonFull, ops.ReasonStalled, ops.ReasonNotRun, ops.ReasonMoved:
 		a.Outcome = Refused
 	}
 	return a
@@ -129,10 +129,10 @@
 
 // intend holds back a run until it lasts that it may have been started.
 func (c *Core) intend(r *request) {
-	if !c.ops.Intend(c.now, r.ID) { // it repeats another, which the module no longer knew
+	if !c.ops.WriteIntent(c.now, r.ID) { // it repeats another, which the module no longer knew
 		r.running = false
 		c.event(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Moot})
-		c.answer(r, c.unserved(ops.WhyNotRun))
+		c.answer(r, c.unserved(ops.ReasonNotRun))
 		return
 	}
 	r.writing = true
@@ -148,22 +148,22 @@
 		c.answer(r, Answer{Outcome: Failed})
 		return
 	}
-	result, ok, ended := c.ops.Early(r.ID)
+	result, ok, ended := c.ops.UnsyncedEnd(r.ID)
 	switch {
 	case ended && ok && r.of != "":
 		c.answer(r, Answer{Outcome: Served, Result: result, Kept: "result"})
 	case ended && ok:
 		c.answer(r, Answer{Outcome: Served, Result: result})
 	case ended:
-		c.answer(r, c.unserved(ops.WhyFailed))
+		c.answer(r, c.unserved(ops.ReasonFailed))
 	case r.writing:
-		a := c.unserved(ops.WhyStalled)
+		a := c.unserved(ops.ReasonStalled)
 		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	case r.queued:
-		c.answer(r, c.unserved(ops.WhyNotRun)) // the link is down, and its start never left
+		c.answer(r, c.unserved(ops.ReasonNotRun)) // the link is down, and its start never left
 	case r.doubt:
-		c.answer(r, c.unserved(ops.WhyDoubt))
+		c.answer(r, c.unserved(ops.ReasonInDoubt))
 	default:
 		c.answer(r, Answer{Outcome: Failed})
 	}
@@ -172,7 +172,7 @@
 // opEnded takes the end of a run to its operation, and tells whether its requests are answered once that lasts.
 func (c *Core) opEnded(f RunFinished) bool {
 	if f.End == RunMoot {
-		c.ops.Moot(c.now, f.ID)
+		c.ops.RunNotStarted(c.now, f.ID)
 		return false
 	}
 	return c.ops.Finish(c.now, f.ID, f.End == RunOK, f.Result)
@@ -199,27 +199,27 @@
 	switch e := e.(type) {
 	case ops.Write:
 		c.do(Append{e})
-	case ops.Start:
+	case ops.StartRun:
 		c.begun(e.ID)
 	case ops.Serve:
 		a := Answer{Outcome: Served, Result: e.Result}
-		if e.Again {
+		if e.Replayed {
 			a.Kept = "result"
 		}
 		c.settle(e.ID, a, whinrudder.OK)
 	case ops.Fetch:
 		c.do(Fetch{e})
 	case ops.Fail:
-		c.settle(e.ID, c.unserved(e.Why), whinrudder.Error)
+		c.settle(e.ID, c.unserved(e.Reason), whinrudder.Error)
 	case ops.Refuse:
-		a := c.unserved(e.Why)
-		if e.Why == ops.WhyStalled {
+		a := c.unserved(e.Reason)
+		if e.Reason == ops.ReasonStalled {
 			a.RetryAfter = c.settings.MaxRetryAfter
 		}
 		c.settle(e.ID, a, whinrudder.Moot)
-	case ops.Drop:
-		c.do(DropSegment{e.Seg})
-	case ops.Note:
+	case ops.DropSegment:
+		c.do(DropSegment{e.Segment})
+	case ops.LogEvent:
 		c.log("kept", "code", e.Code, "key", e.Key, "run", e.Run)
 	}
 }
@@ -262,8 +262,8 @@
 		c.settle(f.ID, Answer{Outcome: Served, Result: f.Result, Kept: "result"}, whinrudder.OK)
 		return
 	}
-	if p, ok := c.ops.Place(r.key); ok && p != f.Position {
-		c.do(Fetch{ops.Fetch{ID: f.ID, Place: p}})
+	if p, ok := c.ops.Position(r.key); ok && p != f.Position {
+		c.do(Fetch{ops.Fetch{ID: f.ID, Position: p}})
 		return
 	}
 	c.log("kept", "code", "unreadable", "key", r.key, "error", f.Err)
--- a/internal/core/ownership.go
+++ b/internal/core/ownership.go
@@ -23,7 +23,7 @@
 // yield begins to give the operations up, or goes on with them.
 func (c *Core) yield(on bool) {
 	if c.ops != nil {
-		c.ops.Close(on)
+		c.ops.SetClosed(on)
 		c.yields = on
 	}
 }
--- a/internal/kept/crash_test.go
+++ b/internal/kept/crash_test.go
@@ -259,9 +259,9 @@
 	}
 	book("a")
 	book("b")
-	for _, i := range w.table.All() {
+	for _, i := range w.table.Operations() {
 		if i.Key == "book/a" {
-			w.dir.Flip(fmt.Sprintf("%08d.log", i.Place.Seg), int(i.Place.At+i.Place.Len-3))
+			w.dir.Flip(fmt.Sprintf("%08d.log", i.Position.Seg), int(i.Position.At+i.Position.Len-3))
 		}
 	}
 	read := w.ask("a", "b:a")
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	t.Recovered(now, j.Segments())
+	t.FinishRecovery(now, j.Segments())
 	keys, doubts, _, disk := t.Counts()
 	h.Log("kept", "code", "open", "records", found.Records, "segments", found.Segments, "bytes", disk, "torn", found.Torn,
 		"keys", keys, "doubts", doubts)
@@ -135,7 +135,7 @@
 	defer k.mu.Unlock()
 	n, bytes := 0, 0
 	for n < min(len(k.writes), batchMost) && bytes < batchBytes {
-		bytes += len(k.writes[n].Record.Result) + int(k.writes[n].From.Len) + 256
+		bytes += len(k.writes[n].Record.Result) + int(k.writes[n].CopyFrom.Len) + 256
 		n++
 	}
 	out = append(out, k.writes[:n]...)
@@ -184,10 +184,10 @@
 	var bad error
 	for _, w := range all {
 		r := w.Record
-		if w.From.Seg > 0 {
+		if w.CopyFrom.Seg > 0 {
 			var err error
-			if r, err = journal.Read(k.dir, w.From); err != nil {
-				k.host.Log("kept", "code", "unreadable", "segment", w.From.Seg, "at", w.From.At, "error", err)
+			if r, err = journal.Read(k.dir, w.CopyFrom); err != nil {
+				k.host.Log("kept", "code", "unreadable", "segment", w.CopyFrom.Seg, "at", w.CopyFrom.At, "error", err)
 				bad = err
 				break
 			}
@@ -236,8 +236,8 @@
 		k.fetches = nil
 		k.mu.Unlock()
 		for _, f := range all {
-			r, err := journal.Read(k.dir, f.Place)
-			k.host.Tell(core.RecordFetched{ID: f.ID, Position: f.Place, Result: r.Result, Err: err})
+			r, err := journal.Read(k.dir, f.Position)
+			k.host.Tell(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
 		}
 		if len(all) > 0 {
 			continue
--- a/internal/kept/look.go
+++ b/internal/kept/look.go
@@ -17,7 +17,7 @@
 type Look struct {
 	Found  journal.Found
 	Damage []journal.Damage
-	Items  []ops.Item
+	Items  []ops.Operation
 	dir    folder.Folder
 }
 
@@ -35,17 +35,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Look{found, damage, t.All(), dir}, nil
+	return &Look{found, damage, t.Operations(), dir}, nil
 }
 
 // Result returns the result of an operation that has one.
-func (l *Look) Result(i ops.Item) ([]byte, error) {
-	r, err := journal.Read(l.dir, i.Place)
+func (l *Look) Result(i ops.Operation) ([]byte, error) {
+	r, err := journal.Read(l.dir, i.Position)
 	return r.Result, err
 }
 
 // state is how an operation stands, as one word.
-func state(i ops.Item) string {
+func state(i ops.Operation) string {
 	if i.State == ops.Done {
 		return KindName(i.End)
 	}
@@ -73,8 +73,8 @@
 		o.Set("state", a.NewString(state(i)))
 		o.Set("run", a.NewString(i.Run))
 		o.Set("at", a.NewNumberFloat64(i.At))
-		if i.By != "" {
-			o.Set("by", a.NewString(i.By))
+		if i.ResolvedBy != "" {
+			o.Set("by", a.NewString(i.ResolvedBy))
 		}
 		if i.State == ops.Done && i.End == journal.Finished {
 			result, err := l.Result(i)
@@ -97,8 +97,8 @@
 			continue
 		}
 		fmt.Fprintf(w, "key %s\nstate %s\nat %s\nrun %s\n", i.Key, state(i), stamp(i.At), i.Run)
-		if i.By != "" {
-			fmt.Fprintf(w, "by %s\n", i.By)
+		if i.ResolvedBy != "" {
+			fmt.Fprintf(w, "by %s\n", i.ResolvedBy)
 		}
 		if i.State != ops.Done || i.End != journal.Finished {
 			return nil
@@ -117,7 +117,7 @@
 	f := l.Found
 	doubts := 0
 	for _, i := range l.Items {
-		if i.State == ops.Doubt {
+		if i.State == ops.InDoubt {
 			doubts++
 		}
 	}
--- a/internal/kept/resolve.go
+++ b/internal/kept/resolve.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	defer j.Close()
-	t.Recovered(now, j.Segments())
+	t.FinishRecovery(now, j.Segments())
 	if err := t.Resolve(now, w.Key, w.Kind, w.Result, w.By); err != nil {
 		return err
 	}
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -102,7 +102,7 @@
 		w.failed = err
 		return
 	}
-	t.Recovered(w.now, j.Segments())
+	t.FinishRecovery(w.now, j.Segments())
 	c.KeepResults(t, map[int]string{0: "book"})
 	w.core, w.table, w.j, w.link, w.dead = c, t, j, pool.New([]string{"book"}, nil), false
 	w.writes, w.fetches, w.drops, w.failed = nil, nil, nil, nil
@@ -222,8 +222,8 @@
 		w.step(core.SegmentDropped{Segment: seg, Err: err, Segments: w.j.Segments()})
 	}
 	for _, f := range fetches {
-		r, err := journal.Read(w.dir, f.Place)
-		w.step(core.RecordFetched{ID: f.ID, Position: f.Place, Result: r.Result, Err: err})
+		r, err := journal.Read(w.dir, f.Position)
+		w.step(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
 	}
 	k := Keeper{dir: w.dir, j: w.j, over: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Tell: func(i core.Input) {
 		if l, ok := i.(core.Appended); ok {
--- a/internal/lab/kept.go
+++ b/internal/lab/kept.go
@@ -158,7 +158,7 @@
 			}
 		}
 		places, err := k.append(all)
-		t.Durable(now(), places, []journal.Segment{{No: 1}})
+		t.WritesDurable(now(), places, []journal.Segment{{No: 1}})
 		return err
 	}
 	cpu, begin := own(), time.Now()
@@ -167,7 +167,7 @@
 		for i := range inHand {
 			id := fmt.Sprint(n + i)
 			t.Begin(now(), id, "payout-book/"+id, [16]byte{1})
-			t.Intend(now(), id)
+			t.WriteIntent(now(), id)
 		}
 		if err := lay(); err != nil {
 			return r, err
--- a/internal/ops/disk.go
+++ b/internal/ops/disk.go
@@ -19,10 +19,10 @@
 	return done
 }
 
-// Durable tells that the first writes on their way last, and where they stand.
-func (t *Table) Durable(now float64, places []journal.Place, segs []journal.Segment) {
+// WritesDurable tells that the first writes on their way last, and where they stand.
+func (t *Table) WritesDurable(now float64, places []journal.Place, segs []journal.Segment) {
 	t.failing = false
-	t.Segments(segs)
+	t.SetSegments(segs)
 	for i, w := range t.take(len(places)) {
 		o := w.op
 		if o == nil || o.gone {
@@ -38,7 +38,7 @@
 		case w.rec.Kind == journal.Intended && o.state == Writing:
 			t.setPlace(o, places[i])
 			t.turn(o, Running, now)
-			t.do(Start{o.run})
+			t.do(StartRun{o.run})
 		case w.rec.Kind != journal.Intended && o.state == Ending:
 			t.setPlace(o, places[i])
 			t.turn(o, Done, now)
@@ -55,7 +55,7 @@
 		if o.end == journal.Finished {
 			return Serve{id, result, again}
 		}
-		return Fail{id, WhyFailed}
+		return Fail{id, ReasonFailed}
 	}
 	if o.led {
 		o.led = false
@@ -64,11 +64,11 @@
 	t.release(o, func(id string) Effect { return effect(id, true) })
 }
 
-// Lost tells that the first so many writes on their way do not last. The journal cuts them off before it writes anything
+// WritesFailed tells that the first so many writes on their way do not last. The journal cuts them off before it writes anything
 // else, so an intent is taken back by that; an end must be written again.
-func (t *Table) Lost(now float64, n int, segs []journal.Segment) {
+func (t *Table) WritesFailed(now float64, n int, segs []journal.Segment) {
 	t.failing = true
-	t.Segments(segs)
+	t.SetSegments(segs)
 	for _, w := range t.take(n) {
 		o := w.op
 		switch {
@@ -80,7 +80,7 @@
 		case w.rec.Kind == journal.Intended && o.state == Writing:
 			if o.led {
 				o.led = false
-				t.do(Refuse{o.run, WhyStalled})
+				t.do(Refuse{o.run, ReasonStalled})
 			}
 			t.undo(now, o, false)
 		case o.state == Ending:
@@ -93,9 +93,9 @@
 	}
 }
 
-// Unread tells that the first write on its way was a copy of a record that can't be read. Another life would find no more
+// CopyUnreadable tells that the first write on its way was a copy of a record that can't be read. Another life would find no more
 // there than this one: what is known in memory is written in its place, and a result that is lost is told as such.
-func (t *Table) Unread(now float64) {
+func (t *Table) CopyUnreadable(now float64) {
 	w := t.take(1)[0]
 	o := w.op
 	if o.gone || o.place != w.from || o.state == Ending {
@@ -103,7 +103,7 @@
 	}
 	r := journal.Record{Kind: journal.Intended, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, By: o.by}
 	if o.state == Done {
-		t.do(Note{"lost-result", o.key, o.run})
+		t.do(LogEvent{"lost-result", o.key, o.run})
 		o.end, r.Kind = journal.Failed, journal.Failed
 	}
 	t.pending = append(t.pending, &write{op: o, rec: r, from: w.from, since: now})
@@ -132,31 +132,31 @@
 		t.turn(o, Done, r.At)
 		return
 	}
-	t.turn(o, Doubt, r.At)
+	t.turn(o, InDoubt, r.At)
 }
 
-// Recovered ends the recovery.
-func (t *Table) Recovered(now float64, segs []journal.Segment) {
-	t.Segments(segs)
+// FinishRecovery ends the recovery.
+func (t *Table) FinishRecovery(now float64, segs []journal.Segment) {
+	t.SetSegments(segs)
 	t.expire(now)
 	t.out = nil
 }
 
-// Segments takes what segments there are.
-func (t *Table) Segments(segs []journal.Segment) {
+// SetSegments takes what segments there are.
+func (t *Table) SetSegments(segs []journal.Segment) {
 	t.segs, t.disk = segs, 0
 	for _, s := range segs {
 		t.disk += s.Bytes
 	}
 }
 
-// Dropped tells whether a segment could be removed.
-func (t *Table) Dropped(now float64, seg uint32, ok bool, segs []journal.Segment) {
+// SegmentDropped tells whether a segment could be removed.
+func (t *Table) SegmentDropped(now float64, seg uint32, ok bool, segs []journal.Segment) {
 	t.dropping = 0
 	if !ok {
 		t.dropAt = now + dropAgain
 	}
-	t.Segments(segs)
+	t.SetSegments(segs)
 }
 
 // setPlace notes where the record of an operation stands that counts.
@@ -217,7 +217,7 @@
 	oldest := t.live[t.segs[0].No]
 	if oldest == nil {
 		t.dropping = t.segs[0].No
-		t.do(Drop{t.dropping})
+		t.do(DropSegment{t.dropping})
 		return
 	}
 	for _, w := range t.pending {
@@ -231,7 +231,7 @@
 			continue // its end is on its way
 		}
 		t.pending = append(t.pending, &write{op: o, from: o.place, since: now})
-		t.do(Write{From: o.place})
+		t.do(Write{CopyFrom: o.place})
 		n++
 	}
 }
--- a/internal/ops/dump.go
+++ b/internal/ops/dump.go
@@ -28,20 +28,20 @@
 	return fmt.Sprint(strings.Join(lines, "\n"), "\nfailing ", t.failing)
 }
 
-// Item is an operation as operators see it.
-type Item struct {
-	Key, Run, By string
-	State        State
-	End          journal.Kind // of one that is done
-	At           float64
-	Place        journal.Place
+// Operation is an operation as operators see it.
+type Operation struct {
+	Key, Run, ResolvedBy string
+	State                State
+	End                  journal.Kind // of one that is done
+	At                   float64
+	Position             journal.Place
 }
 
-// All lists the operations in order of their last change.
-func (t *Table) All() (out []Item) {
+// Operations lists the operations in order of their last change.
+func (t *Table) Operations() (out []Operation) {
 	for _, o := range t.ops {
-		out = append(out, Item{o.key, o.run, o.by, o.state, o.end, o.at, o.place})
+		out = append(out, Operation{o.key, o.run, o.by, o.state, o.end, o.at, o.place})
 	}
-	slices.SortFunc(out, func(a, b Item) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(out, func(a, b Operation) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Key, b.Key)) })
 	return out
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -4,7 +4,7 @@
 //
 //	Held -> Writing -> Running -> Ending -> Done
 //
-// and is forgotten when it provably did not run. One that may have run and whose end nobody can tell is in Doubt: word of
+// and is forgotten when it provably did not run. One that may have run and whose end nobody can tell is InDoubt: word of
 // the worker pool or of an operator ends that, nothing else.
 //
 // All times are Unix milliseconds.
@@ -29,7 +29,7 @@
 	Running              // its intent lasts: it was started, or will be
 	Ending               // it ended, and word of that is on the way to the disk
 	Done                 // its end lasts
-	Doubt                // it may have run
+	InDoubt              // it may have run
 )
 
 func (s State) String() string {
@@ -58,21 +58,21 @@
 	waitLeast = 64 // a line of so many that wait is looked through for those that left before it grows
 )
 
-// Why an operation's request is not served.
-type Why uint8
+// Reason an operation's request is not served.
+type Reason uint8
 
 // The reasons.
 const (
-	WhyFailed    Why = iota // the operation ended without a result
-	WhyDoubt                // it may have run
-	WhyOtherBody            // the key was used with another body
-	WhyFull                 // no more operations are taken
-	WhyStalled              // the disk does not take what must last
-	WhyNotRun               // the request that it waited for was not run
-	WhyMoved                // another process of the node is to have the operations
+	ReasonFailed    Reason = iota // the operation ended without a result
+	ReasonInDoubt                 // it may have run
+	ReasonOtherBody               // the key was used with another body
+	ReasonFull                    // no more operations are taken
+	ReasonStalled                 // the disk does not take what must last
+	ReasonNotRun                  // the request that it waited for was not run
+	ReasonMoved                   // another process of the node is to have the operations
 )
 
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"failed", "in-doubt", "other-body", "full", "stalled", "not-run", "moved"}[w]
 }
 
@@ -80,49 +80,49 @@
 type Effect interface{ effect() }
 
 type (
-	// Write appends a record to the journal. The answers Durable and Lost come in the order of the writes. If From is
+	// Write appends a record to the journal. The answers WritesDurable and WritesFailed come in the order of the writes. If CopyFrom is
 	// given, the record is the one that stands there.
 	Write struct {
-		Record journal.Record
-		From   journal.Place
+		Record   journal.Record
+		CopyFrom journal.Place
 	}
-	// Start hands a run to the worker pool.
-	Start struct{ ID string }
+	// StartRun hands a run to the worker pool.
+	StartRun struct{ ID string }
 	// Serve answers a request with a result.
 	Serve struct {
-		ID     string
-		Result []byte
-		Again  bool // it is that of an earlier request
+		ID       string
+		Result   []byte
+		Replayed bool // it is that of an earlier request
 	}
 	// Fetch serves a request with the result of a record.
 	Fetch struct {
-		ID    string
-		Place journal.Place
+		ID       string
+		Position journal.Place
 	}
 	// Fail answers a request that may have run.
 	Fail struct {
-		ID  string
-		Why Why
+		ID     string
+		Reason Reason
 	}
 	// Refuse answers a request that provably was not run.
 	Refuse struct {
-		ID  string
-		Why Why
+		ID     string
+		Reason Reason
 	}
-	// Drop removes the oldest segment.
-	Drop struct{ Seg uint32 }
-	// Note is for the log.
-	Note struct{ Code, Key, Run string }
+	// DropSegment removes the oldest segment.
+	DropSegment struct{ Segment uint32 }
+	// LogEvent is for the log.
+	LogEvent struct{ Code, Key, Run string }
 )
 
-func (Write) effect()  {}
-func (Start) effect()  {}
-func (Serve) effect()  {}
-func (Fetch) effect()  {}
-func (Fail) effect()   {}
-func (Refuse) effect() {}
-func (Drop) effect()   {}
-func (Note) effect()   {}
+func (Write) effect()       {}
+func (StartRun) effect()    {}
+func (Serve) effect()       {}
+func (Fetch) effect()       {}
+func (Fail) effect()        {}
+func (Refuse) effect()      {}
+func (DropSegment) effect() {}
+func (LogEvent) effect()    {}
 
 // op is one operation.
 type op struct {
@@ -203,21 +203,21 @@
 
 // Verdict is what becomes of a request that has a key.
 type Verdict struct {
-	Kind Is
-	Of   string // Waits: the id of the request that it repeats
-	Why  Why    // Fails, Refused
+	Kind     VerdictKind
+	RepeatOf string // VerdictWaits: the id of the request that it repeats
+	Reason   Reason // VerdictFails, VerdictRefused
 }
 
-// Is is the kind of a verdict.
-type Is uint8
+// VerdictKind is the kind of a verdict.
+type VerdictKind uint8
 
 // The kinds of verdicts.
 const (
-	Leads   Is = iota // it is the first: it is for the module to say whether it runs
-	Waits             // it repeats one in hand
-	Served            // there is a result: an effect tells which
-	Fails             // it can't be run, and may have been
-	Refused           // it is not run
+	VerdictFirst   VerdictKind = iota // it is the first: it is for the module to say whether it runs
+	VerdictWaits                      // it repeats one in hand
+	VerdictServed                     // there is a result: an effect tells which
+	VerdictFails                      // it can't be run, and may have been
+	VerdictRefused                    // it is not run
 )
 
 // Begin takes a request of a key. The digest tells bodies apart.
@@ -226,35 +226,35 @@
 	o := t.ops[key]
 	switch {
 	case o == nil && t.closed:
-		return Verdict{Kind: Refused, Why: WhyMoved}
+		return Verdict{Kind: VerdictRefused, Reason: ReasonMoved}
 	case o == nil && (len(t.ops) >= t.limits.Keys || t.disk >= t.limits.DiskBytes):
-		return Verdict{Kind: Refused, Why: WhyFull}
-	case o == nil && t.Sick(now):
-		return Verdict{Kind: Refused, Why: WhyStalled}
+		return Verdict{Kind: VerdictRefused, Reason: ReasonFull}
+	case o == nil && t.Stalled(now):
+		return Verdict{Kind: VerdictRefused, Reason: ReasonStalled}
 	case o == nil && t.runs[id] != nil:
-		return Verdict{Kind: Fails, Why: WhyOtherBody} // the id is that of a run for another key
+		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody} // the id is that of a run for another key
 	case o == nil:
 		o = &op{key: key, digest: digest, run: id, led: true, at: now}
 		o.age.What = o
 		t.ops[key], t.runs[id] = o, o
-		return Verdict{Kind: Leads}
+		return Verdict{Kind: VerdictFirst}
 	case o.digest != digest:
-		t.do(Note{"other-body", key, id})
-		return Verdict{Kind: Fails, Why: WhyOtherBody}
-	case o.state == Doubt:
-		t.do(Note{"in-doubt", key, o.run})
-		return Verdict{Kind: Fails, Why: WhyDoubt}
+		t.do(LogEvent{"other-body", key, id})
+		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}
+	case o.state == InDoubt:
+		t.do(LogEvent{"in-doubt", key, o.run})
+		return Verdict{Kind: VerdictFails, Reason: ReasonInDoubt}
 	case o.state == Done && o.end == journal.Failed:
-		return Verdict{Kind: Fails, Why: WhyFailed}
+		return Verdict{Kind: VerdictFails, Reason: ReasonFailed}
 	case o.state == Done:
 		t.do(Fetch{id, o.place})
-		return Verdict{Kind: Served}
+		return Verdict{Kind: VerdictServed}
 	}
-	return Verdict{Kind: Waits, Of: o.run}
+	return Verdict{Kind: VerdictWaits, RepeatOf: o.run}
 }
 
-// Place returns where the result of a key stands now, for a fetch that crossed a move.
-func (t *Table) Place(key string) (journal.Place, bool) {
+// Position returns where the result of a key stands now, for a fetch that crossed a move.
+func (t *Table) Position(key string) (journal.Place, bool) {
 	o := t.ops[key]
 	if o == nil || o.state != Done || o.end != journal.Finished {
 		return journal.Place{}, false
@@ -267,11 +267,11 @@
 	o := t.ops[key]
 	switch {
 	case o == nil:
-		t.do(Refuse{id, WhyNotRun}) // it was given up meanwhile
-	case o.state == Doubt:
-		t.do(Fail{id, WhyDoubt})
+		t.do(Refuse{id, ReasonNotRun}) // it was given up meanwhile
+	case o.state == InDoubt:
+		t.do(Fail{id, ReasonInDoubt})
 	case o.state == Done && o.end == journal.Failed:
-		t.do(Fail{id, WhyFailed})
+		t.do(Fail{id, ReasonFailed})
 	case o.state == Done:
 		t.do(Fetch{id, o.place})
 	default:
@@ -283,8 +283,8 @@
 	}
 }
 
-// Intend takes the module's word that a request is to be run. Start comes once that lasts.
-func (t *Table) Intend(now float64, id string) bool {
+// WriteIntent takes the module's word that a request is to be run. StartRun comes once that lasts.
+func (t *Table) WriteIntent(now float64, id string) bool {
 	o := t.runs[id]
 	if o == nil || o.state != Held || !o.led {
 		return false
@@ -295,8 +295,8 @@
 	return true
 }
 
-// Leave tells that a request is answered, or that its caller is gone. What was not started for it, is not.
-func (t *Table) Leave(now float64, id string) {
+// Detach tells that a request is answered, or that its caller is gone. What was not started for it, is not.
+func (t *Table) Detach(now float64, id string) {
 	if o := t.waits[id]; o != nil {
 		delete(t.waits, id)
 		return // it stays in the line, unanswered
@@ -318,9 +318,9 @@
 	}
 }
 
-// Moot tells that the worker pool did not start a run.
-func (t *Table) Moot(now float64, run string) {
-	if o := t.runs[run]; o != nil && (o.state == Running || o.state == Doubt) {
+// RunNotStarted tells that the worker pool did not start a run.
+func (t *Table) RunNotStarted(now float64, run string) {
+	if o := t.runs[run]; o != nil && (o.state == Running || o.state == InDoubt) {
 		t.undo(now, o, true)
 	}
 }
@@ -331,24 +331,24 @@
 		t.write(now, nil, journal.Record{Kind: journal.NotRun, Key: o.key, Run: o.run, At: now, By: o.by})
 	}
 	t.forget(o)
-	t.release(o, func(id string) Effect { return Refuse{id, WhyNotRun} })
+	t.release(o, func(id string) Effect { return Refuse{id, ReasonNotRun} })
 }
 
 // Finish tells that a run is over. It returns false if it is none of ours that was running or in doubt.
 func (t *Table) Finish(now float64, run string, ok bool, result []byte) bool {
 	o := t.runs[run]
-	if o == nil || o.state != Running && o.state != Doubt {
+	if o == nil || o.state != Running && o.state != InDoubt {
 		return false
 	}
-	if o.state == Doubt {
-		t.do(Note{"resolved", o.key, run})
+	if o.state == InDoubt {
+		t.do(LogEvent{"resolved", o.key, run})
 	}
 	o.end, o.result = journal.Failed, nil
 	if ok {
 		o.end, o.result = journal.Finished, bytes.Clone(result)
 	}
 	if len(result) > maxResult {
-		t.do(Note{"long-result", o.key, run})
+		t.do(LogEvent{"long-result", o.key, run})
 		o.end = journal.Failed // it is told once, and can't be kept
 	}
 	t.turn(o, Ending, now)
@@ -360,17 +360,17 @@
 	t.write(now, o, journal.Record{Kind: o.end, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, Result: o.result, By: o.by})
 }
 
-// Doubtful tells that nothing more will be heard of a run in its time.
-func (t *Table) Doubtful(now float64, run string) {
+// MarkInDoubt tells that nothing more will be heard of a run in its time.
+func (t *Table) MarkInDoubt(now float64, run string) {
 	if o := t.runs[run]; o != nil && o.state == Running {
-		t.turn(o, Doubt, now)
-		t.do(Note{"doubt", o.key, run})
-		t.release(o, func(id string) Effect { return Fail{id, WhyDoubt} })
+		t.turn(o, InDoubt, now)
+		t.do(LogEvent{"doubt", o.key, run})
+		t.release(o, func(id string) Effect { return Fail{id, ReasonInDoubt} })
 	}
 }
 
-// Early returns the end of an operation that is not sure to last yet, for a request that can't wait for that.
-func (t *Table) Early(id string) (result []byte, ok, ended bool) {
+// UnsyncedEnd returns the end of an operation that is not sure to last yet, for a request that can't wait for that.
+func (t *Table) UnsyncedEnd(id string) (result []byte, ok, ended bool) {
 	o := t.waits[id]
 	if o == nil {
 		o = t.runs[id]
@@ -387,7 +387,7 @@
 	switch {
 	case o == nil:
 		return fmt.Errorf("%q is not kept", key)
-	case o.state != Doubt:
+	case o.state != InDoubt:
 		return fmt.Errorf("%q is %v: only what is in doubt can be resolved", key, o.state)
 	case len(by) > maxBy:
 		return fmt.Errorf("a name of %d characters, %d at most", len(by), maxBy)
@@ -395,7 +395,7 @@
 		return fmt.Errorf("a result of %d bytes, %d at most", len(result), maxResult)
 	}
 	o.by = by
-	t.do(Note{"resolved-by", key, by})
+	t.do(LogEvent{"resolved-by", key, by})
 	if kind == journal.NotRun {
 		t.undo(now, o, true)
 		return nil
@@ -425,7 +425,7 @@
 	case Done:
 		t.ends++
 		t.ages.Set(&o.age, o.at+t.limits.AgeMs)
-	case Doubt:
+	case InDoubt:
 		t.doubts++
 		t.ages.Set(&o.age, o.at+t.limits.DoubtMs)
 	default:
@@ -451,15 +451,15 @@
 // uncount takes an operation out of those of its state.
 func (t *Table) uncount(o *op) {
 	switch o.state {
-	case Doubt:
+	case InDoubt:
 		t.doubts--
 	case Done:
 		t.ends--
 	}
 }
 
-// Close lets the table take no new operations, or take them again. Those in hand go on, and their repeats wait for them.
-func (t *Table) Close(on bool) { t.closed = on }
+// SetClosed lets the table take no new operations, or take them again. Those in hand go on, and their repeats wait for them.
+func (t *Table) SetClosed(on bool) { t.closed = on }
 
 // Idle tells that nothing is in hand: every operation is done or in doubt, and all that was to be written lasts.
 func (t *Table) Idle() bool {
@@ -469,20 +469,20 @@
 // expire forgets what is old enough.
 func (t *Table) expire(now float64) {
 	for o, ok := t.ages.Pop(now); ok; o, ok = t.ages.Pop(now) {
-		if o.state == Doubt {
-			t.do(Note{"doubt-aged-out", o.key, o.run})
+		if o.state == InDoubt {
+			t.do(LogEvent{"doubt-aged-out", o.key, o.run})
 		}
 		t.forget(o)
 	}
 }
 
-// Sick tells that the disk does not take what must last in time.
-func (t *Table) Sick(now float64) bool {
+// Stalled tells that the disk does not take what must last in time.
+func (t *Table) Stalled(now float64) bool {
 	return t.failing || len(t.pending) > 0 && now-t.pending[0].since > stallFor
 }
 
-// Next returns when Tick must be called again, or 0.
-func (t *Table) Next() (at float64) {
+// WakeAt returns when Tick must be called again, or 0.
+func (t *Table) WakeAt() (at float64) {
 	sooner := func(when float64) {
 		if at == 0 || when < at {
 			at = when
@@ -510,7 +510,7 @@
 		}
 		if t.writing = t.writing[1:]; waits {
 			if o.led {
-				t.do(Refuse{o.run, WhyStalled})
+				t.do(Refuse{o.run, ReasonStalled})
 			}
 			t.undo(now, o, true)
 		}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -50,8 +50,8 @@
 	var places []journal.Place
 	for _, w := range d.wait {
 		r := w.Record
-		if w.From.Seg > 0 {
-			r = d.all[w.From]
+		if w.CopyFrom.Seg > 0 {
+			r = d.all[w.CopyFrom]
 		}
 		if int64(d.at) >= d.t.limits.SegmentBytes {
 			d.seg, d.at = d.seg+1, 0
@@ -65,7 +65,7 @@
 	}
 	d.wait = nil
 	if len(places) > 0 {
-		d.t.Durable(now, places, append([]journal.Segment{}, d.segs...))
+		d.t.WritesDurable(now, places, append([]journal.Segment{}, d.segs...))
 	}
 	return d.effects()
 }
@@ -75,7 +75,7 @@
 // book takes an operation to its end.
 func (d *disk) book(now float64, id, key string) []Effect {
 	d.t.Begin(now, id, key, digest(key))
-	d.t.Intend(now, id)
+	d.t.WriteIntent(now, id)
 	d.lay(now)
 	d.t.Finish(now, id, true, []byte("r"))
 	return d.lay(now)
@@ -87,35 +87,35 @@
 	d := newDisk(limits)
 	d.book(1000, "a1", "a")
 	d.t.Begin(1000, "b1", "b", digest("b"))
-	d.t.Intend(1000, "b1")
+	d.t.WriteIntent(1000, "b1")
 	d.lay(1000)
-	d.t.Doubtful(5000, "b1")
+	d.t.MarkInDoubt(5000, "b1")
 	d.book(2000, "c1", "c")
 	d.effects()
-	if v := d.t.Begin(3000, "d1", "d", digest("d")); v != (Verdict{Kind: Refused, Why: WhyFull}) {
+	if v := d.t.Begin(3000, "d1", "d", digest("d")); v != (Verdict{Kind: VerdictRefused, Reason: ReasonFull}) {
 		t.Errorf("%+v", v)
 	}
-	if v := d.t.Begin(3000, "a2", "a", digest("a")); v.Kind != Served {
+	if v := d.t.Begin(3000, "a2", "a", digest("a")); v.Kind != VerdictServed {
 		t.Errorf("what is kept is told: %+v", v)
 	}
-	if v := d.t.Begin(3000, "b2", "b", digest("b")); v != (Verdict{Kind: Fails, Why: WhyDoubt}) {
+	if v := d.t.Begin(3000, "b2", "b", digest("b")); v != (Verdict{Kind: VerdictFails, Reason: ReasonInDoubt}) {
 		t.Errorf("%+v", v)
 	}
-	if v := d.t.Begin(101100, "d2", "d", digest("d")); v.Kind != Leads {
+	if v := d.t.Begin(101100, "d2", "d", digest("d")); v.Kind != VerdictFirst {
 		t.Errorf("an end that is old enough makes room: %+v", v)
 	}
-	if v := d.t.Begin(201500, "b3", "b", digest("b")); v.Kind != Leads {
+	if v := d.t.Begin(201500, "b3", "b", digest("b")); v.Kind != VerdictFirst {
 		t.Errorf("a doubt that is old enough is forgotten: %+v", v)
 	}
 	if d.t.Finish(201600, "b1", true, nil) {
 		t.Error("a result came for an operation that was aged out, and was taken")
 	}
-	if v := d.t.Begin(201700, "b4", "b", digest("b")); v.Kind != Waits {
+	if v := d.t.Begin(201700, "b4", "b", digest("b")); v.Kind != VerdictWaits {
 		t.Errorf("the new try of the key stays as it was: %+v", v)
 	}
 	d = newDisk(limits)
-	d.t.Segments([]journal.Segment{{No: 1, Bytes: 10000}})
-	if v := d.t.Begin(1000, "a1", "a", digest("a")); v.Why != WhyFull {
+	d.t.SetSegments([]journal.Segment{{No: 1, Bytes: 10000}})
+	if v := d.t.Begin(1000, "a1", "a", digest("a")); v.Reason != ReasonFull {
 		t.Errorf("the disk is full: %+v", v)
 	}
 }
@@ -125,11 +125,11 @@
 func TestClockAcrossLives(t *testing.T) {
 	for _, c := range []struct {
 		now  float64
-		want Is
-	}{{10e6 + 50e3, Served}, {10e6 - 3600e3, Served}, {10e6 + 101e3, Leads}} {
+		want VerdictKind
+	}{{10e6 + 50e3, VerdictServed}, {10e6 - 3600e3, VerdictServed}, {10e6 + 101e3, VerdictFirst}} {
 		d := newDisk(limits)
 		d.t.Recover(journal.Record{Kind: journal.Finished, Key: "a", Run: "a1", At: 10e6, Digest: make([]byte, digestSize)}, journal.Place{Seg: 1, Len: 100})
-		d.t.Recovered(c.now, d.segs)
+		d.t.FinishRecovery(c.now, d.segs)
 		if v := d.t.Begin(c.now, "a2", "a", [digestSize]byte{}); v.Kind != c.want {
 			t.Errorf("at %v: %+v, want %v", c.now, v, c.want)
 		}
@@ -141,24 +141,24 @@
 func TestStalledDisk(t *testing.T) {
 	d := newDisk(Limits{Keys: 10, DiskBytes: 1e6, SegmentBytes: 1000, AgeMs: 1e6, DoubtMs: 1e6})
 	d.t.Begin(1000, "a1", "a", digest("a"))
-	d.t.Intend(1000, "a1")
+	d.t.WriteIntent(1000, "a1")
 	d.lay(1000)
 	d.t.Finish(1100, "a1", true, []byte("r"))
 	d.t.Begin(1100, "b1", "b", digest("b"))
-	d.t.Intend(1100, "b1")
+	d.t.WriteIntent(1100, "b1")
 	d.t.Wait(1150, "b2", "b")
 	d.effects()
-	if v := d.t.Begin(1500, "c1", "c", digest("c")); v.Why != WhyStalled {
+	if v := d.t.Begin(1500, "c1", "c", digest("c")); v.Reason != ReasonStalled {
 		t.Errorf("%+v", v)
 	}
-	if r, ok, ended := d.t.Early("a1"); string(r) != "r" || !ok || !ended {
+	if r, ok, ended := d.t.UnsyncedEnd("a1"); string(r) != "r" || !ok || !ended {
 		t.Errorf("%q %v %v", r, ok, ended)
 	}
-	if at := d.t.Next(); at != 1100+startFor {
+	if at := d.t.WakeAt(); at != 1100+startFor {
 		t.Errorf("looked at again at %v", at)
 	}
 	d.t.Tick(1100 + startFor)
-	want := []Effect{Refuse{"b1", WhyStalled}, Refuse{"b2", WhyNotRun}}
+	want := []Effect{Refuse{"b1", ReasonStalled}, Refuse{"b2", ReasonNotRun}}
 	if diff := cmp.Diff(want, d.effects()); diff != "" {
 		t.Error(diff)
 	}
@@ -166,7 +166,7 @@
 	if diff := cmp.Diff(want, d.lay(3000)); diff != "" {
 		t.Error(diff)
 	}
-	if v := d.t.Begin(3000, "b3", "b", digest("b")); v.Kind != Leads {
+	if v := d.t.Begin(3000, "b3", "b", digest("b")); v.Kind != VerdictFirst {
 		t.Errorf("what was taken back is free again: %+v", v)
 	}
 }
@@ -176,14 +176,14 @@
 func TestLostWrites(t *testing.T) {
 	d := newDisk(Limits{Keys: 10, DiskBytes: 1e6, SegmentBytes: 1000, AgeMs: 1e6, DoubtMs: 1e6})
 	d.t.Begin(1000, "a1", "a", digest("a"))
-	d.t.Intend(1000, "a1")
+	d.t.WriteIntent(1000, "a1")
 	d.effects()
 	d.wait = nil
-	d.t.Lost(1010, 1, d.segs)
-	if diff := cmp.Diff([]Effect{Refuse{"a1", WhyStalled}}, d.effects()); diff != "" {
+	d.t.WritesFailed(1010, 1, d.segs)
+	if diff := cmp.Diff([]Effect{Refuse{"a1", ReasonStalled}}, d.effects()); diff != "" {
 		t.Error(diff)
 	}
-	if v := d.t.Begin(1020, "b1", "b", digest("b")); v.Why != WhyStalled {
+	if v := d.t.Begin(1020, "b1", "b", digest("b")); v.Reason != ReasonStalled {
 		t.Errorf("%+v", v)
 	}
 	if len(d.wait) != 1 || d.wait[0].Record.Key != "" {
@@ -192,13 +192,13 @@
 	d.lay(1100)
 	d.book(1200, "b2", "b")
 	d.t.Begin(1300, "c1", "c", digest("c"))
-	d.t.Intend(1300, "c1")
+	d.t.WriteIntent(1300, "c1")
 	d.lay(1300)
 	d.t.Finish(1310, "c1", true, []byte("r"))
 	for range 3 {
 		d.effects()
 		d.wait = nil
-		d.t.Lost(1320, 1, d.segs)
+		d.t.WritesFailed(1320, 1, d.segs)
 	}
 	if diff := cmp.Diff([]Effect{Serve{ID: "c1", Result: []byte("r")}}, d.lay(1400)); diff != "" {
 		t.Error(diff)
@@ -218,13 +218,13 @@
 			n++
 			key, id := fmt.Sprint("k", rapid.IntRange(0, 30).Draw(t, "key")), fmt.Sprint("id", n)
 			switch v := d.t.Begin(now, id, key, digest(key)); v.Kind {
-			case Leads:
+			case VerdictFirst:
 				if rapid.IntRange(0, 3).Draw(t, "refused") == 0 {
-					d.t.Leave(now, id)
-				} else if d.t.Intend(now, id) {
+					d.t.Detach(now, id)
+				} else if d.t.WriteIntent(now, id) {
 					running = append(running, id)
 				}
-			case Waits:
+			case VerdictWaits:
 				d.t.Wait(now, id, key)
 			}
 			d.log = append(d.log, d.effects()...)
@@ -235,11 +235,11 @@
 				i := rapid.IntRange(0, len(running)-1).Draw(t, "which")
 				switch id := running[i]; rapid.IntRange(0, 4).Draw(t, "how") {
 				case 0:
-					d.t.Moot(now, id)
+					d.t.RunNotStarted(now, id)
 				case 1:
-					d.t.Doubtful(now, id)
+					d.t.MarkInDoubt(now, id)
 				case 2:
-					d.t.Leave(now, id)
+					d.t.Detach(now, id)
 				default:
 					d.t.Finish(now, id, true, make([]byte, rapid.IntRange(0, 200).Draw(t, "bytes")))
 				}
@@ -249,7 +249,7 @@
 				d.log = append(d.log, d.effects()...)
 				if k := len(d.wait); k > 0 {
 					d.wait = nil
-					d.t.Lost(now, k, d.segs)
+					d.t.WritesFailed(now, k, d.segs)
 				}
 			}
 			d.log = append(d.log, d.lay(now)...)
@@ -259,17 +259,17 @@
 				t.Fatalf("%d moved at once", moved)
 			}
 			for _, e := range d.effects() {
-				if e, ok := e.(Drop); ok {
-					if e.Seg != d.segs[0].No || len(d.segs) < 2 {
-						t.Fatalf("segment %d of %v is dropped", e.Seg, d.segs)
+				if e, ok := e.(DropSegment); ok {
+					if e.Segment != d.segs[0].No || len(d.segs) < 2 {
+						t.Fatalf("segment %d of %v is dropped", e.Segment, d.segs)
 					}
 					for p := range d.all {
-						if p.Seg == e.Seg {
+						if p.Seg == e.Segment {
 							delete(d.all, p)
 						}
 					}
 					d.segs = d.segs[1:]
-					d.t.Dropped(now, e.Seg, true, append([]journal.Segment{}, d.segs...))
+					d.t.SegmentDropped(now, e.Segment, true, append([]journal.Segment{}, d.segs...))
 				}
 			}
 		}
@@ -279,7 +279,7 @@
 			d.t.Tick(now)
 			d.log = append(d.log, d.lay(now)...)
 			for _, e := range d.log {
-				if _, ok := e.(Drop); ok {
+				if _, ok := e.(DropSegment); ok {
 					for p := range d.all {
 						if p.Seg == d.segs[0].No {
 							delete(d.all, p)
@@ -287,7 +287,7 @@
 					}
 					no := d.segs[0].No
 					d.segs = d.segs[1:]
-					d.t.Dropped(now, no, true, append([]journal.Segment{}, d.segs...))
+					d.t.SegmentDropped(now, no, true, append([]journal.Segment{}, d.segs...))
 				}
 			}
 			d.log = nil
@@ -311,16 +311,16 @@
 				}
 			}
 		}
-		again.Recovered(now, d.segs)
+		again.FinishRecovery(now, d.segs)
 		d.t.expire(now)
 		state := func(t *Table) map[string]string {
 			out := map[string]string{}
-			for _, i := range t.All() {
+			for _, i := range t.Operations() {
 				if i.State == Running || i.State == Writing {
-					i.State = Doubt // to a new life
+					i.State = InDoubt // to a new life
 				}
 				if i.State != Held {
-					out[i.Key] = fmt.Sprint(i.State, i.Run, i.End, i.Place)
+					out[i.Key] = fmt.Sprint(i.State, i.Run, i.End, i.Position)
 				}
 			}
 			return out
@@ -341,18 +341,18 @@
 		d.t.Recover(journal.Record{Kind: journal.Finished, Key: key, Run: fmt.Sprint("r", i), At: 1000, Digest: make([]byte, digestSize)},
 			journal.Place{Seg: 1, At: uint32(100 * i), Len: 100})
 	}
-	d.t.Recovered(1000, d.segs)
+	d.t.FinishRecovery(1000, d.segs)
 	zipf := rand.NewZipf(rand.New(rand.NewPCG(1, 1)), 1.2, 1, 2*subjects)
-	counts := map[Is]int{}
+	counts := map[VerdictKind]int{}
 	for n := range 200000 {
 		subject := zipf.Uint64()
 		v := d.t.Begin(2000, fmt.Sprint("q", n), fmt.Sprint("s", subject), [digestSize]byte{})
 		counts[v.Kind]++
-		if want := map[bool]Verdict{true: {Kind: Served}, false: {Kind: Refused, Why: WhyFull}}[subject < subjects]; v != want {
+		if want := map[bool]Verdict{true: {Kind: VerdictServed}, false: {Kind: VerdictRefused, Reason: ReasonFull}}[subject < subjects]; v != want {
 			t.Fatalf("s%d: %+v, want %+v", subject, v, want)
 		}
 	}
-	if keys, _, pending, _ := d.t.Counts(); keys != subjects || pending != 0 || counts[Served] == 0 || counts[Refused] == 0 {
+	if keys, _, pending, _ := d.t.Counts(); keys != subjects || pending != 0 || counts[VerdictServed] == 0 || counts[VerdictRefused] == 0 {
 		t.Errorf("%d keys, %d writes, %v", keys, pending, counts)
 	}
 }
@@ -363,40 +363,40 @@
 	l := Limits{Keys: 10, DiskBytes: 1e6, SegmentBytes: 100, AgeMs: 1e6, DoubtMs: 1e6}
 	d := newDisk(l)
 	d.t.Begin(1000, "a1", "a", digest("a"))
-	if v := d.t.Begin(1000, "a1", "b", digest("b")); v != (Verdict{Kind: Fails, Why: WhyOtherBody}) {
+	if v := d.t.Begin(1000, "a1", "b", digest("b")); v != (Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}) {
 		t.Errorf("the id of another run: %+v", v)
 	}
-	d.t.Intend(1000, "a1")
+	d.t.WriteIntent(1000, "a1")
 	d.lay(1000)
 	for i := range 10000 {
 		id := fmt.Sprint("w", i)
 		d.t.Wait(1000, id, "a")
-		d.t.Leave(1000, id)
+		d.t.Detach(1000, id)
 	}
 	d.t.Wait(1000, "stays", "a")
 	if n := len(d.t.ops["a"].waiting); n > 2*waitLeast || len(d.t.waits) != 1 {
 		t.Errorf("%d in the line, %d wait", n, len(d.t.waits))
 	}
 	d.t.Finish(1000, "a1", true, make([]byte, maxResult+1))
-	want := []Effect{Note{"long-result", "a", "a1"}, Fail{"a1", WhyFailed}, Fail{"stays", WhyFailed}}
+	want := []Effect{LogEvent{"long-result", "a", "a1"}, Fail{"a1", ReasonFailed}, Fail{"stays", ReasonFailed}}
 	if diff := cmp.Diff(want, d.lay(1000)); diff != "" {
 		t.Error(diff)
 	}
 	d.book(1000, "b1", "b")
 	d.t.Begin(1000, "c1", "c", digest("c"))
-	d.t.Intend(1000, "c1")
+	d.t.WriteIntent(1000, "c1")
 	d.lay(1000)
-	d.t.Doubtful(1000, "c1")
+	d.t.MarkInDoubt(1000, "c1")
 	if err := d.t.Resolve(1000, "c", journal.Failed, nil, string(make([]byte, maxBy+1))); err == nil {
 		t.Error("a name without a bound is taken")
 	}
 	d.effects()
 	d.t.Tick(2000) // the first segment holds an intent that counts no more
-	if got := d.effects(); len(got) != 1 || got[0] != (Drop{1}) {
+	if got := d.effects(); len(got) != 1 || got[0] != (DropSegment{1}) {
 		t.Fatalf("%+v", got)
 	}
-	d.t.Dropped(2000, 1, false, d.segs)
-	if at := d.t.Next(); at != 2000+dropAgain {
+	d.t.SegmentDropped(2000, 1, false, d.segs)
+	if at := d.t.WakeAt(); at != 2000+dropAgain {
 		t.Errorf("tried again at %v", at)
 	}
 	if d.t.Tick(2500); len(d.effects()) != 0 {
@@ -412,13 +412,13 @@
 	d := newDisk(Limits{Keys: 10, DiskBytes: 1e6, SegmentBytes: 100, AgeMs: 1e6, DoubtMs: 1e6})
 	d.book(1000, "a1", "a")
 	d.t.Begin(1000, "b1", "b", digest("b"))
-	d.t.Intend(1000, "b1")
+	d.t.WriteIntent(1000, "b1")
 	d.lay(1000)
 	before := [2]journal.Place{d.t.ops["a"].place, d.t.ops["b"].place}
 	for _, key := range []string{"a", "b"} {
 		o := d.t.ops[key]
 		d.t.pending = append(d.t.pending, &write{op: o, from: o.place, since: 1000})
-		d.t.Unread(1000)
+		d.t.CopyUnreadable(1000)
 		d.lay(1000)
 	}
 	a, b := d.t.ops["a"], d.t.ops["b"]
@@ -431,7 +431,7 @@
 	if r := d.all[b.place]; r.Kind != journal.Intended || r.Run != "b1" || string(r.Digest) != string(b.digest[:]) {
 		t.Errorf("%+v", r)
 	}
-	if v := d.t.Begin(1000, "a2", "a", digest("a")); v != (Verdict{Kind: Fails, Why: WhyFailed}) {
+	if v := d.t.Begin(1000, "a2", "a", digest("a")); v != (Verdict{Kind: VerdictFails, Reason: ReasonFailed}) {
 		t.Errorf("%+v", v)
 	}
 }
@@ -440,11 +440,11 @@
 func TestMootEndsADoubt(t *testing.T) {
 	d := newDisk(limits)
 	d.t.Begin(1000, "a1", "a", digest("a"))
-	d.t.Intend(1000, "a1")
+	d.t.WriteIntent(1000, "a1")
 	d.lay(1000)
-	d.t.Doubtful(1000, "a1")
-	d.t.Moot(1000, "a1")
-	if v := d.t.Begin(1000, "a2", "a", digest("a")); v.Kind != Leads {
+	d.t.MarkInDoubt(1000, "a1")
+	d.t.RunNotStarted(1000, "a1")
+	if v := d.t.Begin(1000, "a2", "a", digest("a")); v.Kind != VerdictFirst {
 		t.Errorf("%+v", v)
 	}
 }
@@ -454,20 +454,20 @@
 func TestClosedTableComesToRest(t *testing.T) {
 	x := New(Limits{Keys: 10, DiskBytes: 1 << 20, SegmentBytes: 1 << 16, AgeMs: 1e6, DoubtMs: 1e6})
 	lasts := func(n int) {
-		x.Durable(1, make([]journal.Place, n), nil)
+		x.WritesDurable(1, make([]journal.Place, n), nil)
 		x.Effects()
 	}
 	for _, id := range []string{"a", "b"} {
 		x.Begin(0, id, "key-"+id, [digestSize]byte{})
-		x.Intend(0, id)
+		x.WriteIntent(0, id)
 	}
 	lasts(2)
-	x.Close(true)
+	x.SetClosed(true)
 	idle := []bool{x.Idle()}
-	if v := x.Begin(1, "c", "key-c", [digestSize]byte{}); v.Kind != Refused || v.Why != WhyMoved {
+	if v := x.Begin(1, "c", "key-c", [digestSize]byte{}); v.Kind != VerdictRefused || v.Reason != ReasonMoved {
 		t.Error(v)
 	}
-	if v := x.Begin(1, "d", "key-a", [digestSize]byte{}); v.Kind != Waits {
+	if v := x.Begin(1, "d", "key-a", [digestSize]byte{}); v.Kind != VerdictWaits {
 		t.Error(v)
 	}
 	x.Wait(1, "d", "key-a")
@@ -475,7 +475,7 @@
 	idle = append(idle, x.Idle())
 	lasts(1)
 	idle = append(idle, x.Idle())
-	x.Doubtful(3, "b")
+	x.MarkInDoubt(3, "b")
 	idle = append(idle, x.Idle())
 	x.Resolve(4, "key-b", journal.NotRun, nil, "")
 	idle = append(idle, x.Idle())
@@ -484,8 +484,8 @@
 	if want := []bool{false, false, false, true, false, true}; !slices.Equal(idle, want) {
 		t.Errorf("idle %v, want %v", idle, want)
 	}
-	x.Close(false)
-	if v := x.Begin(5, "c", "key-c", [digestSize]byte{}); v.Kind != Leads {
+	x.SetClosed(false)
+	if v := x.Begin(5, "c", "key-c", [digestSize]byte{}); v.Kind != VerdictFirst {
 		t.Error(v)
 	}
 }
