--- a/internal/kept/holder.go
+++ b/internal/kept/holder.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"whinrudder/internal/core"
-	"whinrudder/internal/custody"
 	"whinrudder/internal/folder"
 	"whinrudder/internal/ops"
+	"whinrudder/internal/ownership"
 )
 
-// Holder has the journal of a node while this process is the one that shall have it. It drives package custody, which
+// Holder has the journal of a node while this process is the one that shall have it. It drives package ownership, which
 // decides when that is.
 type Holder struct {
 	host Host
@@ -21,7 +21,7 @@
 	fault string // of the last try, told already; of the goroutine
 
 	mu    sync.Mutex // of what follows
-	m     *custody.Machine
+	m     *ownership.Machine
 	k     *Keeper // nil: another process has the journal
 	ended bool
 	poke  chan struct{}
@@ -47,13 +47,13 @@
 			return nil, err
 		}
 	}
-	h.m = custody.New(!successor)
+	h.m = ownership.New(!successor)
 	go h.run()
 	return t, nil
 }
 
 // tell lets the machine hear something.
-func (h *Holder) tell(what func(m *custody.Machine)) {
+func (h *Holder) tell(what func(m *ownership.Machine)) {
 	h.mu.Lock()
 	what(h.m)
 	h.mu.Unlock()
@@ -69,21 +69,21 @@
 	defer timer.Stop()
 	for {
 		h.mu.Lock()
-		do, wake := h.m.Next(now()), h.m.Wake()
+		do, wake := h.m.NextAction(now()), h.m.WakeAt()
 		h.mu.Unlock()
 		switch do {
-		case custody.Open:
+		case ownership.Open:
 			h.take()
 			continue
-		case custody.Yield:
+		case ownership.Yield:
 			h.host.Log("kept", "code", "yielding")
 			h.host.Tell(core.YieldOps{On: true})
 			continue
-		case custody.Resume:
+		case ownership.Resume:
 			h.host.Tell(core.YieldOps{On: false})
 			h.host.Log("kept", "code", "resumed")
 			continue
-		case custody.Close:
+		case ownership.Close:
 			h.release()
 			continue
 		}
@@ -140,7 +140,7 @@
 		<-k.done
 	}
 	h.host.Log("kept", "code", "released")
-	h.tell(func(m *custody.Machine) { m.Closed(now()) })
+	h.tell(func(m *ownership.Machine) { m.Closed(now()) })
 }
 
 // releaseFor is how long the close of a journal may take before that is logged, in milliseconds.
@@ -149,7 +149,7 @@
 // Carry takes an output of the core that is for the journal.
 func (h *Holder) Carry(o core.Output) {
 	if _, ok := o.(core.OpsReleased); ok {
-		h.tell((*custody.Machine).Released)
+		h.tell((*ownership.Machine).Released)
 		return
 	}
 	h.mu.Lock()
@@ -166,7 +166,7 @@
 func (h *Holder) Leaving(float64) {}
 
 // Succeeded tells that another process of the node takes over, or is lost.
-func (h *Holder) Succeeded(on bool) { h.tell(func(m *custody.Machine) { m.Succeeded(on) }) }
+func (h *Holder) Succeeded(on bool) { h.tell(func(m *ownership.Machine) { m.SetSuccessorServing(on) }) }
 
 // Ended writes what is left, and ends a try or a close that is under way, as far as there is time.
 func (h *Holder) Ended(by float64) {
--- a/internal/custody/custody.go
+++ b/internal/ownership/ownership.go
@@ -1,24 +1,24 @@
-// Package custody decides which of the processes of a node has the journal of kept operations while one succeeds another.
+// Package ownership decides which of the processes of a node has the journal of kept operations while one succeeds another.
 // The journal has one owner, by a lock that ends with its process; a run is told of only to the process that began it. So
 // the process that is succeeded takes no new operations, ends those that it has in hand, and then gives up the journal;
 // its successor tries for the lock, and refuses requests with a token until it has it.
 //
 // Machine is that of one process. It does no I/O and has no clock: absolute times in Unix milliseconds go in.
-package custody
+package ownership
 
 // again is the pause between two tries for the journal, in milliseconds: a caller that was refused comes back later.
 const again = 50.0
 
-// Do is what is to be done.
-type Do uint8
+// Action is what is to be done.
+type Action uint8
 
 // What is to be done.
 const (
-	Nothing Do = iota
-	Open       // try to open the journal, then say Opened
-	Yield      // take no new operations and say Released once none is in hand
-	Resume     // take new operations again
-	Close      // close the journal, then say Closed
+	None   Action = iota
+	Open          // try to open the journal, then say Opened
+	Yield         // take no new operations and say Released once none is in hand
+	Resume        // take new operations again
+	Close         // close the journal, then say Closed
 )
 
 type state uint8
@@ -36,7 +36,7 @@
 	state     state
 	succeeded bool // another process serves: this one wants the journal no more
 	tryAt     float64
-	want      []Do
+	want      []Action
 }
 
 // New returns the machine of a process that has opened the journal, or of one that has yet to.
@@ -48,8 +48,8 @@
 	return m
 }
 
-// Succeeded tells that another process takes what comes, or that it is lost.
-func (m *Machine) Succeeded(on bool) {
+// SetSuccessorServing tells that another process takes what comes, or that it is lost.
+func (m *Machine) SetSuccessorServing(on bool) {
 	if m.succeeded == on {
 		return
 	}
@@ -94,11 +94,11 @@
 	}
 }
 
-// Holds tells whether this process has the journal.
-func (m *Machine) Holds() bool { return m.state >= holding }
+// Owns tells whether this process has the journal.
+func (m *Machine) Owns() bool { return m.state >= holding }
 
-// Next returns what is to be done now, one after the other until there is nothing.
-func (m *Machine) Next(now float64) Do {
+// NextAction returns what is to be done now, one after the other until there is nothing.
+func (m *Machine) NextAction(now float64) Action {
 	if len(m.want) > 0 {
 		do := m.want[0]
 		m.want = m.want[1:]
@@ -108,11 +108,11 @@
 		m.state = opening
 		return Open
 	}
-	return Nothing
+	return None
 }
 
-// Wake returns when Next has something to do if nothing happens; 0: never.
-func (m *Machine) Wake() float64 {
+// WakeAt returns when Next has something to do if nothing happens; 0: never.
+func (m *Machine) WakeAt() float64 {
 	if m.state == without && !m.succeeded {
 		return m.tryAt
 	}
--- a/internal/custody/custody_test.go
+++ b/internal/ownership/ownership_test.go
@@ -1,4 +1,4 @@
-package custody
+package ownership
 
 import (
 	"slices"
@@ -9,8 +9,8 @@
 )
 
 // what the machine wants by a time, without tries that another process's lock would answer.
-func all(m *Machine, now float64) (out []Do) {
-	for do := m.Next(now); do != Nothing; do = m.Next(now) {
+func all(m *Machine, now float64) (out []Action) {
+	for do := m.NextAction(now); do != None; do = m.NextAction(now) {
 		out = append(out, do)
 	}
 	return out
@@ -20,34 +20,34 @@
 	for name, c := range map[string]struct {
 		held  bool
 		play  func(m *Machine)
-		want  []Do
+		want  []Action
 		holds bool
 	}{
 		"alone":                   {true, func(*Machine) {}, nil, true},
-		"successor tries":         {false, func(*Machine) {}, []Do{Open}, false},
-		"succeeded":               {true, func(m *Machine) { m.Succeeded(true) }, []Do{Yield}, true},
-		"and told twice":          {true, func(m *Machine) { m.Succeeded(true); m.Succeeded(true) }, []Do{Yield}, true},
-		"idle":                    {true, func(m *Machine) { m.Succeeded(true); m.Released() }, []Do{Yield, Close}, true},
-		"successor lost in time":  {true, func(m *Machine) { m.Succeeded(true); m.Succeeded(false) }, []Do{Yield, Resume}, true},
-		"idle crosses its resume": {true, func(m *Machine) { m.Succeeded(true); m.Succeeded(false); m.Released() }, []Do{Yield, Resume, Close}, true},
-		"successor lost too late": {true, func(m *Machine) { m.Succeeded(true); m.Released(); m.Closed(5); m.Succeeded(false) }, []Do{Yield, Close, Open}, false},
-		"given up":                {true, func(m *Machine) { m.Succeeded(true); m.Released(); m.Closed(5) }, []Do{Yield, Close}, false},
-		"succeeded while it tries": {false, func(m *Machine) { m.Next(0); m.Succeeded(true); m.Opened(1, true) },
-			[]Do{Yield}, true},
-		"wanted no more": {false, func(m *Machine) { m.Succeeded(true) }, nil, false},
-		"in use":         {false, func(m *Machine) { m.Next(0); m.Opened(0, false) }, nil, false},
-		"nobody asked":   {false, func(m *Machine) { m.Opened(0, true); m.Closed(0); m.Released() }, []Do{Open}, false},
+		"successor tries":         {false, func(*Machine) {}, []Action{Open}, false},
+		"succeeded":               {true, func(m *Machine) { m.SetSuccessorServing(true) }, []Action{Yield}, true},
+		"and told twice":          {true, func(m *Machine) { m.SetSuccessorServing(true); m.SetSuccessorServing(true) }, []Action{Yield}, true},
+		"idle":                    {true, func(m *Machine) { m.SetSuccessorServing(true); m.Released() }, []Action{Yield, Close}, true},
+		"successor lost in time":  {true, func(m *Machine) { m.SetSuccessorServing(true); m.SetSuccessorServing(false) }, []Action{Yield, Resume}, true},
+		"idle crosses its resume": {true, func(m *Machine) { m.SetSuccessorServing(true); m.SetSuccessorServing(false); m.Released() }, []Action{Yield, Resume, Close}, true},
+		"successor lost too late": {true, func(m *Machine) { m.SetSuccessorServing(true); m.Released(); m.Closed(5); m.SetSuccessorServing(false) }, []Action{Yield, Close, Open}, false},
+		"given up":                {true, func(m *Machine) { m.SetSuccessorServing(true); m.Released(); m.Closed(5) }, []Action{Yield, Close}, false},
+		"succeeded while it tries": {false, func(m *Machine) { m.NextAction(0); m.SetSuccessorServing(true); m.Opened(1, true) },
+			[]Action{Yield}, true},
+		"wanted no more": {false, func(m *Machine) { m.SetSuccessorServing(true) }, nil, false},
+		"in use":         {false, func(m *Machine) { m.NextAction(0); m.Opened(0, false) }, nil, false},
+		"nobody asked":   {false, func(m *Machine) { m.Opened(0, true); m.Closed(0); m.Released() }, []Action{Open}, false},
 	} {
 		m := New(c.held)
 		c.play(m)
-		if diff := cmp.Diff(c.want, all(m, 10)); diff != "" || m.Holds() != c.holds {
-			t.Errorf("%s: %s, holds %v", name, diff, m.Holds())
+		if diff := cmp.Diff(c.want, all(m, 10)); diff != "" || m.Owns() != c.holds {
+			t.Errorf("%s: %s, holds %v", name, diff, m.Owns())
 		}
 	}
 	m := New(false)
-	m.Next(0)
-	if m.Opened(0, false); m.Wake() != again || m.Next(again-1) != Nothing || m.Next(again) != Open {
-		t.Error("a try that failed is made again at", m.Wake())
+	m.NextAction(0)
+	if m.Opened(0, false); m.WakeAt() != again || m.NextAction(again-1) != None || m.NextAction(again) != Open {
+		t.Error("a try that failed is made again at", m.WakeAt())
 	}
 }
 
@@ -64,7 +64,7 @@
 		now := 0.0
 		procs := []*process{{m: New(true), lock: true, takes: true}}
 		drive := func(p *process) {
-			for do := p.m.Next(now); do != Nothing; do = p.m.Next(now) {
+			for do := p.m.NextAction(now); do != None; do = p.m.NextAction(now) {
 				switch do {
 				case Open:
 					free := !slices.ContainsFunc(procs, func(o *process) bool { return o.lock })
@@ -100,12 +100,12 @@
 			case 0: // another is started, and serves: not while there are two
 				if len(procs) == 1 {
 					procs = append(procs, &process{m: New(false)})
-					last.m.Succeeded(true)
+					last.m.SetSuccessorServing(true)
 				}
 			case 1: // the successor dies
 				if len(procs) == 2 {
 					procs = procs[:1]
-					procs[0].m.Succeeded(false)
+					procs[0].m.SetSuccessorServing(false)
 				}
 			case 2: // the old one ends, or dies
 				if len(procs) == 2 {
