--- a/internal/catalog/catalog.go
+++ b/internal/classindex/classindex.go
@@ -1,8 +1,8 @@
-// Package catalog gives the classes of requests their places while new settings add and drop classes under load. A
+// Package classindex gives the classes of requests their places while new settings add and drop classes under load. A
 // class keeps its place for as long as it is in the settings; one that is dropped keeps it for what is in hand, and
 // the place is given to another class only when nothing of the old one can be in hand any more. It does no I/O and has
 // no clock.
-package catalog
+package classindex
 
 import (
 	"fmt"
@@ -12,49 +12,49 @@
 	"whinrudder/internal/settings"
 )
 
-// MaxPlaces bounds the places, those of dropped classes included.
-const MaxPlaces = 128
+// MaxIndices bounds the places, those of dropped classes included.
+const MaxIndices = 128
 
 // restFor is how long the place of a dropped class rests beyond the class's deadline, in milliseconds: requests that
 // were read before are in hand at most that long, and what is known of their runs goes with them.
 const restFor = 15e3
 
-// Catalog holds the places of classes.
-type Catalog struct {
+// Allocator holds the places of classes.
+type Allocator struct {
 	names   []string // by place; those of dropped classes included
 	classes []whinrudder.Class
 	free    []float64 // when the place may be given to another class; 0: the class is in the settings
 }
 
 // New returns a catalog of the classes that settings begin with, each in its place there.
-func New(s settings.Settings) *Catalog {
-	return &Catalog{slices.Clone(s.Classes), slices.Clone(s.Policy.Classes), make([]float64, len(s.Classes))}
+func New(s settings.Settings) *Allocator {
+	return &Allocator{slices.Clone(s.Classes), slices.Clone(s.Policy.Classes), make([]float64, len(s.Classes))}
 }
 
 // View is the catalog after a change. What reads it must not change it.
 type View struct {
-	Settings whinrudder.Settings // with classes by place
-	Names    []string            // by place
-	Serves   map[string]int      // places of the classes that are in the settings
-	Fresh    []int               // places that begin anew
+	Settings   whinrudder.Settings // with classes by place
+	Names      []string            // by place
+	Active     map[string]int      // places of the classes that are in the settings
+	NewIndices []int               // places that begin anew
 }
 
 // View returns the catalog as it is under settings.
-func (c *Catalog) View(s whinrudder.Settings) View {
-	v := View{Settings: s, Names: slices.Clone(c.names), Serves: map[string]int{}}
+func (c *Allocator) View(s whinrudder.Settings) View {
+	v := View{Settings: s, Names: slices.Clone(c.names), Active: map[string]int{}}
 	v.Settings.Classes = slices.Clone(c.classes)
 	for i, n := range c.names {
 		if c.free[i] == 0 {
-			v.Serves[n] = i
+			v.Active[n] = i
 		}
 	}
 	return v
 }
 
-// Change takes over the classes of new settings at a time. An error means that nothing was changed: there are no
+// Update takes over the classes of new settings at a time. An error means that nothing was changed: there are no
 // places left.
-func (c *Catalog) Change(s settings.Settings, now float64) (View, error) {
-	next := Catalog{slices.Clone(c.names), slices.Clone(c.classes), slices.Clone(c.free)}
+func (c *Allocator) Update(s settings.Settings, now float64) (View, error) {
+	next := Allocator{slices.Clone(c.names), slices.Clone(c.classes), slices.Clone(c.free)}
 	var fresh []int
 	// One that may run another number of times than before is another class: what is in hand of the old one stays that.
 	place := func(name string, k whinrudder.Class) int {
@@ -88,11 +88,11 @@
 		// A class that comes back is what it was, and what was learned of it holds.
 		next.names[at], next.classes[at], next.free[at] = n, s.Policy.Classes[i], 0
 	}
-	if len(next.names) > MaxPlaces {
-		return View{}, fmt.Errorf("catalog: %d places for classes are wanted, those dropped lately included, %d at most", len(next.names), MaxPlaces)
+	if len(next.names) > MaxIndices {
+		return View{}, fmt.Errorf("catalog: %d places for classes are wanted, those dropped lately included, %d at most", len(next.names), MaxIndices)
 	}
 	*c = next
 	v := c.View(s.Policy)
-	v.Fresh = fresh
+	v.NewIndices = fresh
 	return v, nil
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/classindex/classindex_test.go
@@ -1,4 +1,4 @@
-package catalog
+package classindex
 
 import (
 	"fmt"
@@ -39,22 +39,22 @@
 		{18000, terms("p"), map[string]int{"p": 2}, nil},
 		{18001, terms("y", "p"), map[string]int{"y": 4, "p": 2}, nil}, // it comes back to its place
 	} {
-		v, err := c.Change(step.s, step.now)
+		v, err := c.Update(step.s, step.now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(step.serves, v.Serves); diff != "" {
+		if diff := cmp.Diff(step.serves, v.Active); diff != "" {
 			t.Errorf("at %v: %s", step.now, diff)
 		}
-		if diff := cmp.Diff(step.fresh, v.Fresh); diff != "" {
+		if diff := cmp.Diff(step.fresh, v.NewIndices); diff != "" {
 			t.Errorf("at %v: %s", step.now, diff)
 		}
 	}
 	// A read that becomes a write is another class: runs of the old one may be started again, those of the new not.
 	s := terms("y", "p")
 	s.Policy.Classes[0].Repeat = whinrudder.Unsafe
-	v, _ := c.Change(s, 18002)
-	if at := v.Serves["y"]; at == 4 || v.Settings.Classes[4].Repeat != whinrudder.Safe || v.Settings.Classes[at].Repeat != whinrudder.Unsafe {
+	v, _ := c.Update(s, 18002)
+	if at := v.Active["y"]; at == 4 || v.Settings.Classes[4].Repeat != whinrudder.Safe || v.Settings.Classes[at].Repeat != whinrudder.Unsafe {
 		t.Errorf("y is at %d: %+v", at, v.Settings.Classes)
 	}
 }
@@ -65,14 +65,14 @@
 	for now := 0.0; now < 200e3; now += 100 {
 		n++
 		before := c.View(whinrudder.Settings{})
-		if _, err := c.Change(terms("a", fmt.Sprint("c", n)), now); err != nil {
+		if _, err := c.Update(terms("a", fmt.Sprint("c", n)), now); err != nil {
 			refused++
 			if diff := cmp.Diff(before, c.View(whinrudder.Settings{})); diff != "" {
 				t.Fatal("a change that was refused changed", diff)
 			}
 		}
 	}
-	if len(c.names) > MaxPlaces || refused == 0 || refused == n {
+	if len(c.names) > MaxIndices || refused == 0 || refused == n {
 		t.Errorf("%d places, %d of %d refused", len(c.names), refused, n)
 	}
 }
@@ -93,31 +93,31 @@
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
 			now += rapid.Float64Range(0, 30e3).Draw(t, "pause")
 			s = pick()
-			w, err := c.Change(s, now)
+			w, err := c.Update(s, now)
 			if err != nil {
 				t.Fatal(err)
 			}
 			seen := map[int]bool{}
 			for i, n := range s.Classes {
-				at, ok := w.Serves[n]
+				at, ok := w.Active[n]
 				if !ok || seen[at] || w.Names[at] != n || w.Settings.Classes[at] != s.Policy.Classes[i] {
 					t.Fatalf("%s at %d: %+v", n, at, w)
 				}
 				seen[at] = true
-				if was, ok := v.Serves[n]; ok && was != at {
+				if was, ok := v.Active[n]; ok && was != at {
 					t.Fatalf("%s moved from %d to %d", n, was, at)
 				}
 			}
-			if len(w.Serves) != len(s.Classes) {
-				t.Fatal(w.Serves)
+			if len(w.Active) != len(s.Classes) {
+				t.Fatal(w.Active)
 			}
 			for i, n := range v.Names {
-				if w.Names[i] != n && (!slices.Contains(w.Fresh, i) || now < left[i]+3000+restFor) {
+				if w.Names[i] != n && (!slices.Contains(w.NewIndices, i) || now < left[i]+3000+restFor) {
 					t.Fatalf("place %d of %s was given to %s after %v ms", i, n, w.Names[i], now-left[i])
 				}
 			}
-			for n, at := range v.Serves {
-				if _, ok := w.Serves[n]; !ok {
+			for n, at := range v.Active {
+				if _, ok := w.Active[n]; !ok {
 					left[at] = now
 				}
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"whinrudder/internal/catalog"
+	"whinrudder/internal/classindex"
 	"whinrudder/internal/core"
 	"whinrudder/internal/door"
 	"whinrudder/internal/figures"
@@ -70,10 +70,10 @@
 	reports reporter
 	mu      sync.Mutex // of what follows, which a reload changes
 	stopMs  float64
-	view    catalog.View
+	view    classindex.View
 	granted settings.Config // the last one that held
 
-	catalog *catalog.Catalog // of the goroutine of reloads
+	catalog *classindex.Allocator // of the goroutine of reloads
 	succession
 	moving atomic.Bool // a successor takes new connections, and those at rest
 	leave  leave       // set before the core hears of it
@@ -107,7 +107,7 @@
 	}
 	n := &Node{cfg: cfg, op: op, site: front.NewSite(cfg.Settings.Classes, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
 		addrs: map[string]string{}, sockets: map[string]net.Listener{}, in: make(chan core.Input, 4096), quit: make(chan struct{}), over: make(chan struct{})}
-	n.folderAt, n.catalog = folder.At, catalog.New(cfg.Settings)
+	n.folderAt, n.catalog = folder.At, classindex.New(cfg.Settings)
 	n.view = n.catalog.View(cfg.Settings.Policy)
 	n.site.Set(n.terms(n.view, kept))
 	c.SetCounters(n.figures.Classes(n.view.Names))
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"whinrudder"
-	"whinrudder/internal/catalog"
+	"whinrudder/internal/classindex"
 	"whinrudder/internal/core"
 	"whinrudder/internal/front"
 	"whinrudder/internal/settings"
@@ -44,7 +44,7 @@
 	if _, err := n.op.KeptOf(cfg); err != nil {
 		return err
 	}
-	view, err := n.catalog.Change(cfg.Settings, now())
+	view, err := n.catalog.Update(cfg.Settings, now())
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 
 // retune takes over new settings: first the link, which must know a class before a run of it is handed over, then the
 // core, which must know it before a request of it comes, and at last the fronts.
-func (n *Node) retune(v catalog.View, gauges []string) {
+func (n *Node) retune(v classindex.View, gauges []string) {
 	n.mu.Lock()
 	n.view = v
 	n.mu.Unlock()
@@ -85,16 +85,16 @@
 	n.link.mu.Unlock()
 	names := map[int]string{}
 	for _, k := range n.op.Kept.Classes {
-		names[v.Serves[k]] = k
+		names[v.Active[k]] = k
 	}
 	t := n.terms(v, names)
-	n.tell(core.ChangeSettings{Settings: v.Settings, NewIndices: v.Fresh, Counters: n.figures.Classes(v.Names), KeptClasses: t.Kept})
+	n.tell(core.ChangeSettings{Settings: v.Settings, NewIndices: v.NewIndices, Counters: n.figures.Classes(v.Names), KeptClasses: t.Kept})
 	n.site.Set(t)
 }
 
 // terms are what the fronts must know of a view, with the classes whose results are kept.
-func (n *Node) terms(v catalog.View, kept map[int]string) front.Terms {
-	return front.Terms{Classes: v.Serves, Policy: v.Settings, Kept: kept}
+func (n *Node) terms(v classindex.View, kept map[int]string) front.Terms {
+	return front.Terms{Classes: v.Active, Policy: v.Settings, Kept: kept}
 }
 
 // present returns the present settings and the names of the classes, by their places.
@@ -102,7 +102,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	names := make([]string, len(n.view.Names))
-	for name, i := range n.view.Serves {
+	for name, i := range n.view.Active {
 		names[i] = name
 	}
 	return names, n.view.Settings
