--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,6 @@
 // Package handover is the protocol by which a running process of a node hands over to one that was started beside it,
 // over a socket of the same machine: the listening sockets, what it has learned, the ids that it has read, and then its
-// connections at rest, one by one. Giver is the side of the running process and Taker that of its successor; both are
+// connections at rest, one by one. Predecessor is the side of the running process and Successor that of its successor; both are
 // state machines that are fed bytes and know no socket. They have no clock: absolute times in Unix milliseconds go in.
 //
 // The frames are those of package peer, with kinds of their own. Descriptors travel beside the frame that names them, in
@@ -9,7 +9,7 @@
 //	successor               running process
 //	hello  ------------------>
 //	       <------------------  welcome (listening sockets), sections of knowledge, end
-//	       <----- load ------>  each way, every LoadEvery
+//	       <----- load ------>  each way, every LoadIntervalMs
 //	serving ----------------->                         from here on the successor takes new connections
 //	       <------------------  yielded                and the running process takes none: it may be told to leave
 //	       <------------------  conn (a connection at rest), any number
@@ -38,8 +38,8 @@
 
 // Times in milliseconds.
 const (
-	// LoadEvery is how often each side tells what it has in hand: a few times in the time that a request takes.
-	LoadEvery = 50
+	// LoadIntervalMs is how often each side tells what it has in hand: a few times in the time that a request takes.
+	LoadIntervalMs = 50
 	// silentFor is how long a side may say nothing: it tells its load far more often, but a process may stand still, and
 	// its end is heard of at once.
 	silentFor = 5000
@@ -94,35 +94,35 @@
 type Event interface{ event() }
 
 type (
-	// Asked tells that a successor wants to know: Give is to be called.
-	Asked struct{ Node string }
-	// Offered tells that listening sockets came, of these fronts in this order.
-	Offered struct {
-		Fronts []string
-		Away   bool
+	// HelloReceived tells that a successor wants to know: SendWelcome is to be called.
+	HelloReceived struct{ Node string }
+	// ListenersReceived tells that listening sockets came, of these fronts in this order.
+	ListenersReceived struct {
+		Fronts          []string
+		OperatorDrained bool
 	}
-	// Learned brings what the running process has learned. All that is needed to serve has come.
-	Learned struct{ knowledge.Report }
-	// Serving tells that the successor takes new connections.
-	Serving struct{}
-	// Yielded tells that the running process takes no new connections, and knows its successor.
-	Yielded struct{}
-	// Loaded brings what the other side has in hand, and ids that it has read.
-	Loaded struct {
+	// KnowledgeReceived brings what the running process has learned. All that is needed to serve has come.
+	KnowledgeReceived struct{ knowledge.Report }
+	// SuccessorServing tells that the successor takes new connections.
+	SuccessorServing struct{}
+	// PredecessorYielded tells that the running process takes no new connections, and knows its successor.
+	PredecessorYielded struct{}
+	// LoadReceived brings what the other side has in hand, and ids that it has read.
+	LoadReceived struct {
 		whinrudder.Beside
 		IDs []string
 	}
-	// Came tells that a connection came.
-	Came struct{ Conn }
+	// ConnReceived tells that a connection came.
+	ConnReceived struct{ Conn }
 )
 
-func (Asked) event()   {}
-func (Offered) event() {}
-func (Learned) event() {}
-func (Serving) event() {}
-func (Yielded) event() {}
-func (Loaded) event()  {}
-func (Came) event()    {}
+func (HelloReceived) event()      {}
+func (ListenersReceived) event()  {}
+func (KnowledgeReceived) event()  {}
+func (SuccessorServing) event()   {}
+func (PredecessorYielded) event() {}
+func (LoadReceived) event()       {}
+func (ConnReceived) event()       {}
 
 // side is what both machines have in common.
 type side struct {
@@ -134,15 +134,15 @@
 
 func (s *side) say(m Message) { s.out = append(s.out, m) }
 
-// Out returns what is to be written, in order.
-func (s *side) Out() []Message {
+// Messages returns what is to be written, in order.
+func (s *side) Messages() []Message {
 	out := s.out
 	s.out = nil
 	return out
 }
 
-// Load tells the other side what is in hand here, and ids that were read.
-func (s *side) Load(b whinrudder.Beside, ids []string) {
+// SendLoad tells the other side what is in hand here, and ids that were read.
+func (s *side) SendLoad(b whinrudder.Beside, ids []string) {
 	for first := true; first || len(ids) > 0; first = false {
 		n := min(len(ids), idsAFrame)
 		l := load{Live: b.Live, KB: b.KB}
@@ -156,15 +156,15 @@
 	}
 }
 
-func loaded(f peer.Frame) (Loaded, *peer.Fault) {
+func loaded(f peer.Frame) (LoadReceived, *peer.Fault) {
 	var l load
 	if err := peer.Value(f, &l); err != nil {
-		return Loaded{}, err
+		return LoadReceived{}, err
 	}
 	if l.Live < 0 || l.Live > maxLoad || !(l.KB >= 0 && l.KB <= maxLoad*1e3) || len(l.IDs)%idSize != 0 {
-		return Loaded{}, peer.NewFault("bad-load", "%d live, %v kB, %d bytes of ids", l.Live, l.KB, len(l.IDs))
+		return LoadReceived{}, peer.NewFault("bad-load", "%d live, %v kB, %d bytes of ids", l.Live, l.KB, len(l.IDs))
 	}
-	e := Loaded{Beside: whinrudder.Beside{Live: l.Live, KB: l.KB}}
+	e := LoadReceived{Beside: whinrudder.Beside{Live: l.Live, KB: l.KB}}
 	for ; len(l.IDs) > 0; l.IDs = l.IDs[idSize:] {
 		e.IDs = append(e.IDs, string(l.IDs[:idSize]))
 	}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// Wake returns when Due must be called.
-func (s *side) Wake() float64 {
+// WakeAt returns when CheckTimeouts must be called.
+func (s *side) WakeAt() float64 {
 	at := s.heard + silentFor
 	if s.by > 0 {
 		at = min(at, s.by)
@@ -191,8 +191,8 @@
 	return at
 }
 
-// Giver is the side of the running process. Create it with NewGiver.
-type Giver struct {
+// Predecessor is the side of the running process. Create it with NewPredecessor.
+type Predecessor struct {
 	side
 	node  string
 	addrs map[string]string
@@ -209,14 +209,14 @@
 	serving              // the successor serves
 )
 
-// NewGiver returns the machine of a connection that was accepted at a time, for a node that listens at addresses, by the
+// NewPredecessor returns the machine of a connection that was accepted at a time, for a node that listens at addresses, by the
 // names of the fronts.
-func NewGiver(node string, addrs map[string]string, now float64) *Giver {
-	return &Giver{side: side{heard: now, by: now + helloFor}, node: node, addrs: addrs}
+func NewPredecessor(node string, addrs map[string]string, now float64) *Predecessor {
+	return &Predecessor{side: side{heard: now, by: now + helloFor}, node: node, addrs: addrs}
 }
 
 // Feed takes bytes that were read.
-func (g *Giver) Feed(now float64, b []byte) (events []Event, bad *peer.Fault) {
+func (g *Predecessor) Feed(now float64, b []byte) (events []Event, bad *peer.Fault) {
 	g.in.Feed(b)
 	for {
 		f, ok, bad := g.in.Next()
@@ -236,10 +236,10 @@
 				return events, peer.NewFault("many-fronts", "%d, %d at most", len(g.asked.Addrs), maxFronts)
 			}
 			g.phase, g.by = asked, now+welcomeFor
-			events = append(events, Asked{g.asked.Node})
+			events = append(events, HelloReceived{g.asked.Node})
 		case f.Kind == kindServing && g.phase == given:
 			g.phase, g.by = serving, 0
-			events = append(events, Serving{})
+			events = append(events, SuccessorServing{})
 		case f.Kind == kindLoad && g.phase >= given:
 			e, bad := loaded(f)
 			if bad != nil {
@@ -252,8 +252,8 @@
 	}
 }
 
-// Give hands over the sockets of the fronts that both have at the same address, and what was learned.
-func (g *Giver) Give(now float64, away bool, r knowledge.Report) {
+// SendWelcome hands over the sockets of the fronts that both have at the same address, and what was learned.
+func (g *Predecessor) SendWelcome(now float64, away bool, r knowledge.Report) {
 	if g.phase != asked {
 		return
 	}
@@ -272,18 +272,18 @@
 // fronts in the order in which their sockets travel.
 var fronts = []string{"http", "h2c", "uwsgi", "peer"}
 
-// Serving tells whether the successor takes new connections.
-func (g *Giver) Serving() bool { return g.phase == serving }
+// SuccessorServing tells whether the successor takes new connections.
+func (g *Predecessor) SuccessorServing() bool { return g.phase == serving }
 
-// Yield tells the successor that this process takes no new connections.
-func (g *Giver) Yield() {
+// SendYielded tells the successor that this process takes no new connections.
+func (g *Predecessor) SendYielded() {
 	if g.phase == serving {
 		g.say(Message{Bytes: peer.AppendValue(nil, kindYielded, struct{}{})})
 	}
 }
 
-// Conn hands over a connection. It tells false if the successor does not take any.
-func (g *Giver) Conn(c Conn, what any) bool {
+// SendConn hands over a connection. It tells false if the successor does not take any.
+func (g *Predecessor) SendConn(c Conn, what any) bool {
 	if g.phase != serving {
 		return false
 	}
@@ -291,11 +291,11 @@
 	return true
 }
 
-// Due tells what is wrong if nothing that came by a time was left unread.
-func (g *Giver) Due(looked float64) *peer.Fault { return g.due(looked) }
+// CheckTimeouts tells what is wrong if nothing that came by a time was left unread.
+func (g *Predecessor) CheckTimeouts(looked float64) *peer.Fault { return g.due(looked) }
 
-// Taker is the side of the successor. Create it with NewTaker.
-type Taker struct {
+// Successor is the side of the successor. Create it with NewSuccessor.
+type Successor struct {
 	side
 	node   string
 	addrs  map[string]string
@@ -304,16 +304,16 @@
 	serves bool
 }
 
-// NewTaker returns the machine of a connection that was made at a time, for a node that would listen at addresses, by the
+// NewSuccessor returns the machine of a connection that was made at a time, for a node that would listen at addresses, by the
 // names of the fronts.
-func NewTaker(node string, addrs map[string]string, now float64) *Taker {
-	t := &Taker{side: side{heard: now, by: now + welcomeFor}, node: node, addrs: addrs}
+func NewSuccessor(node string, addrs map[string]string, now float64) *Successor {
+	t := &Successor{side: side{heard: now, by: now + welcomeFor}, node: node, addrs: addrs}
 	t.say(Message{Bytes: peer.AppendValue(nil, kindHello, hello{node, addrs})})
 	return t
 }
 
 // Feed takes bytes that were read.
-func (t *Taker) Feed(now float64, b []byte) (events []Event, bad *peer.Fault) {
+func (t *Successor) Feed(now float64, b []byte) (events []Event, bad *peer.Fault) {
 	t.in.Feed(b)
 	for {
 		f, ok, bad := t.in.Next()
@@ -331,7 +331,7 @@
 	}
 }
 
-func (t *Taker) frame(f peer.Frame) (Event, *peer.Fault) {
+func (t *Successor) frame(f peer.Frame) (Event, *peer.Fault) {
 	switch {
 	case f.Kind == kindWelcome && t.gather == nil:
 		var w welcome
@@ -347,7 +347,7 @@
 			}
 		}
 		t.gather = peer.NewGatherer(w.Head)
-		return Offered{w.Fronts, w.Away}, nil
+		return ListenersReceived{w.Fronts, w.Away}, nil
 	case f.Kind == peer.KindRefuse:
 		return nil, peer.NewFault("refused", "%s", peer.Describe(f))
 	case (f.Kind == peer.KindSection || f.Kind == peer.KindEnd) && t.gather != nil && !t.whole:
@@ -359,7 +359,7 @@
 			return nil, nil
 		}
 		t.whole, t.by = true, 0
-		return Learned{r}, nil
+		return KnowledgeReceived{r}, nil
 	case f.Kind == kindLoad && t.whole:
 		e, bad := loaded(f)
 		if bad != nil {
@@ -367,7 +367,7 @@
 		}
 		return e, nil
 	case f.Kind == kindYielded && t.serves:
-		return Yielded{}, nil
+		return PredecessorYielded{}, nil
 	case f.Kind == kindConn && t.serves:
 		var c Conn
 		if bad := peer.Value(f, &c); bad != nil {
@@ -376,24 +376,24 @@
 		if c.Served < 0 || c.Front == "" || !(c.Since >= 0 && !math.IsInf(c.Since, 0)) {
 			return nil, peer.NewFault("bad-conn", "%+v", c)
 		}
-		return Came{c}, nil
+		return ConnReceived{c}, nil
 	}
 	return nil, peer.NewFault("bad-order", "a frame of kind %d", f.Kind)
 }
 
-// Whole tells whether all that is needed to serve has come.
-func (t *Taker) Whole() bool { return t.whole }
+// Complete tells whether all that is needed to serve has come.
+func (t *Successor) Complete() bool { return t.whole }
 
-// Serve tells the running process that this one takes new connections.
-func (t *Taker) Serve() {
+// SendServing tells the running process that this one takes new connections.
+func (t *Successor) SendServing() {
 	if t.whole && !t.serves {
 		t.serves = true
 		t.say(Message{Bytes: peer.AppendValue(nil, kindServing, struct{}{})})
 	}
 }
 
-// Due tells what is wrong if nothing that came by a time was left unread.
-func (t *Taker) Due(looked float64) *peer.Fault { return t.due(looked) }
+// CheckTimeouts tells what is wrong if nothing that came by a time was left unread.
+func (t *Successor) CheckTimeouts(looked float64) *peer.Fault { return t.due(looked) }
 
 // The platform stops a process that was succeeded after the longest deadline, counted as graceMost where it is longer, and
 // graceMore. It ends graceMargin before that.
@@ -403,8 +403,8 @@
 	graceMargin = 100
 )
 
-// Grace is how long a process that was succeeded has from the notice to leave, in milliseconds.
-func Grace(classes []whinrudder.Class) float64 {
+// GraceMs is how long a process that was succeeded has from the notice to leave, in milliseconds.
+func GraceMs(classes []whinrudder.Class) float64 {
 	longest := 0.0
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -77,17 +77,17 @@
 
 func tellEvent(e Event) string {
 	switch e := e.(type) {
-	case Asked:
+	case HelloReceived:
 		return "asked " + e.Node
-	case Offered:
-		return strings.TrimSpace("offered " + strings.Join(e.Fronts, ",") + map[bool]string{true: " away"}[e.Away])
-	case Learned:
+	case ListenersReceived:
+		return strings.TrimSpace("offered " + strings.Join(e.Fronts, ",") + map[bool]string{true: " away"}[e.OperatorDrained])
+	case KnowledgeReceived:
 		return fmt.Sprint("learned ", len(e.Classes))
-	case Loaded:
+	case LoadReceived:
 		return "loaded " + told(e.Beside, e.IDs)
-	case Yielded:
+	case PredecessorYielded:
 		return "yielded"
-	case Came:
+	case ConnReceived:
 		return fmt.Sprintf("came %s served=%d", e.Front, e.Served)
 	}
 	return "serving"
@@ -155,16 +155,16 @@
 // machine is either side.
 type machine interface {
 	Feed(now float64, b []byte) ([]Event, *peer.Fault)
-	Out() []Message
-	Due(now float64) *peer.Fault
-	Load(b whinrudder.Beside, ids []string)
+	Messages() []Message
+	CheckTimeouts(now float64) *peer.Fault
+	SendLoad(b whinrudder.Beside, ids []string)
 }
 
 func newSide(name string) machine {
 	if name == "give" {
-		return NewGiver("n1", addrs("http=a:1,h2c=b:2,uwsgi=c:3"), 0)
+		return NewPredecessor("n1", addrs("http=a:1,h2c=b:2,uwsgi=c:3"), 0)
 	}
-	return NewTaker("n1", addrs("http=a:1,h2c=b:2"), 0)
+	return NewSuccessor("n1", addrs("http=a:1,h2c=b:2"), 0)
 }
 
 func TestTranscripts(t *testing.T) {
@@ -175,7 +175,7 @@
 		}
 		var want, got []string
 		m, now := newSide(name), 0.0
-		got = append(got, tellOut(t, m.Out())...)
+		got = append(got, tellOut(t, m.Messages())...)
 		for line := range strings.Lines(string(text)) {
 			line = strings.TrimSpace(line)
 			if line == "" || line[0] == '#' {
@@ -202,24 +202,24 @@
 					}
 				}
 			case "give":
-				m.(*Giver).Give(now, false, sample)
+				m.(*Predecessor).SendWelcome(now, false, sample)
 			case "serve":
-				m.(*Taker).Serve()
+				m.(*Successor).SendServing()
 			case "load":
-				m.Load(loadOf(words[1:]))
+				m.SendLoad(loadOf(words[1:]))
 			case "yield":
-				m.(*Giver).Yield()
+				m.(*Predecessor).SendYielded()
 			case "conn":
-				m.(*Giver).Conn(Conn{Front: "http", Served: 2}, words[1])
+				m.(*Predecessor).SendConn(Conn{Front: "http", Served: 2}, words[1])
 			case "at":
 				now, _ = strconv.ParseFloat(words[1], 64)
 			case "due":
-				bad = m.Due(now)
+				bad = m.CheckTimeouts(now)
 			}
 			for _, e := range events {
 				got = append(got, "event "+tellEvent(e))
 			}
-			got = append(got, tellOut(t, m.Out())...)
+			got = append(got, tellOut(t, m.Messages())...)
 			if bad != nil {
 				got = append(got, "fault "+bad.Code)
 			}
@@ -235,7 +235,7 @@
 func TestTalkInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := addrs("http=a:1,h2c=b:2,uwsgi=c:3")
-		g, k := NewGiver("n1", all, 0), NewTaker("n1", all, 0)
+		g, k := NewPredecessor("n1", all, 0), NewSuccessor("n1", all, 0)
 		var sent, heard, files, named []string
 		for i := range rapid.IntRange(0, 2500).Draw(t, "ids") {
 			sent = append(sent, fmt.Sprintf("%016x", i))
@@ -243,20 +243,20 @@
 		conns := rapid.IntRange(0, 5).Draw(t, "conns")
 		take := func(e Event) {
 			switch e := e.(type) {
-			case Asked:
-				g.Give(0, false, sample)
-				g.Load(whinrudder.Beside{Live: 2}, sent)
-			case Offered:
+			case HelloReceived:
+				g.SendWelcome(0, false, sample)
+				g.SendLoad(whinrudder.Beside{Live: 2}, sent)
+			case ListenersReceived:
 				named = append(named, e.Fronts...)
-			case Learned:
-				k.Serve()
-			case Serving:
+			case KnowledgeReceived:
+				k.SendServing()
+			case SuccessorServing:
 				for i := range conns {
-					g.Conn(Conn{Front: "http", Served: i}, fmt.Sprint("c", i))
+					g.SendConn(Conn{Front: "http", Served: i}, fmt.Sprint("c", i))
 				}
-			case Loaded:
+			case LoadReceived:
 				heard = append(heard, e.IDs...)
-			case Came:
+			case ConnReceived:
 				named = append(named, fmt.Sprint("c", e.Served))
 			}
 		}
@@ -264,7 +264,7 @@
 			busy = false
 			for _, way := range []struct{ from, to machine }{{k, g}, {g, k}} {
 				var b []byte
-				for _, m := range way.from.Out() {
+				for _, m := range way.from.Messages() {
 					b = append(b, m.Bytes...)
 					files = append(files, m.Fronts...)
 					if m.Conn != nil {
@@ -285,15 +285,15 @@
 				}
 			}
 		}
-		if !g.Serving() || !slices.Equal(sent, heard) || !slices.Equal(files, named) || len(named) != 3+conns {
-			t.Fatal(g.Serving(), len(sent), len(heard), files, named)
+		if !g.SuccessorServing() || !slices.Equal(sent, heard) || !slices.Equal(files, named) || len(named) != 3+conns {
+			t.Fatal(g.SuccessorServing(), len(sent), len(heard), files, named)
 		}
 	})
 }
 
 func TestGrace(t *testing.T) {
 	for longest, want := range map[float64]float64{900: 1500, 3000: 3600, 9300: 3600} {
-		if got := Grace([]whinrudder.Class{{Deadline: 100}, {Deadline: longest}}); got != want {
+		if got := GraceMs([]whinrudder.Class{{Deadline: 100}, {Deadline: longest}}); got != want {
 			t.Errorf("%v ms with a deadline of %v, want %v", got, longest, want)
 		}
 	}
@@ -305,15 +305,15 @@
 	f.Add(false, peer.AppendValue(nil, kindConn, Conn{Front: "http"}))
 	f.Fuzz(func(t *testing.T, give bool, b []byte) {
 		m := newSide(map[bool]string{true: "give", false: "take"}[give])
-		m.Out()
+		m.Messages()
 		events, _ := m.Feed(0, b)
 		for _, e := range events {
 			switch e := e.(type) {
-			case Loaded:
+			case LoadReceived:
 				if e.Live < 0 || !(e.KB >= 0) {
 					t.Error(e)
 				}
-			case Offered:
+			case ListenersReceived:
 				for _, n := range e.Fronts {
 					if n != "http" && n != "h2c" {
 						t.Error(e)
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -154,7 +154,7 @@
 		return leave{n.stopAfter(), false}
 	}
 	_, s := n.present()
-	return leave{handover.Grace(s.Classes), true}
+	return leave{handover.GraceMs(s.Classes), true}
 }
 
 // moves hands a connection at rest to a successor. It tells true if the connection is the successor's now.
--- a/internal/upgrade/giving.go
+++ b/internal/upgrade/giving.go
@@ -16,15 +16,15 @@
 	pipe   *pipe
 	serves bool // of u.mu
 
-	machine *handover.Giver // of pipe.mu
-	broken  bool            // of pipe.mu: a connection could not be handed over
+	machine *handover.Predecessor // of pipe.mu
+	broken  bool                  // of pipe.mu: a connection could not be handed over
 }
 
 // out writes what the machine wants.
 func (g *giving) out() error {
 	g.pipe.mu.Lock()
 	defer g.pipe.mu.Unlock()
-	return g.pipe.write(g.machine.Out(), now()+writeFor, g.u.h.Listeners)
+	return g.pipe.write(g.machine.Messages(), now()+writeFor, g.u.h.Listeners)
 }
 
 // refuse ends a connection that is not taken.
@@ -38,10 +38,10 @@
 func (g *giving) move(c *net.TCPConn, how handover.Conn) bool {
 	g.pipe.mu.Lock()
 	defer g.pipe.mu.Unlock()
-	if !g.machine.Conn(how, c) {
+	if !g.machine.SendConn(how, c) {
 		return false
 	}
-	if err := g.pipe.write(g.machine.Out(), now()+writeFor, g.u.h.Listeners); err != nil {
+	if err := g.pipe.write(g.machine.Messages(), now()+writeFor, g.u.h.Listeners); err != nil {
 		g.broken = true
 		g.pipe.close() // a frame may have gone in part: nothing more can be said
 		return false
@@ -79,17 +79,17 @@
 	told := false // what is in hand is told, from the welcome on
 	for tick := now(); ; {
 		if told && now() >= tick {
-			tick = now() + handover.LoadEvery
+			tick = now() + handover.LoadIntervalMs
 			if b, ok := share.ask(g.u.h.Tell); ok {
 				g.pipe.mu.Lock()
-				g.machine.Load(b.Beside, b.IDs)
+				g.machine.SendLoad(b.Beside, b.IDs)
 				g.pipe.mu.Unlock()
 			}
 		}
 		if err := g.out(); err != nil {
 			return endOf(err)
 		}
-		by := g.machine.Wake()
+		by := g.machine.WakeAt()
 		if told {
 			by = min(by, tick)
 		}
@@ -100,27 +100,27 @@
 		g.pipe.mu.Lock()
 		events, bad := g.machine.Feed(now(), b)
 		if bad == nil {
-			bad = g.machine.Due(looked)
+			bad = g.machine.CheckTimeouts(looked)
 		}
 		g.pipe.mu.Unlock()
 		for _, e := range events {
 			switch e := e.(type) {
-			case handover.Asked:
+			case handover.HelloReceived:
 				r := g.u.report()
 				g.pipe.mu.Lock()
-				g.machine.Give(now(), g.u.h.Away(), r)
+				g.machine.SendWelcome(now(), g.u.h.Away(), r)
 				g.pipe.mu.Unlock()
 				told = true
-			case handover.Serving:
+			case handover.SuccessorServing:
 				g.u.mu.Lock()
 				g.serves = true
 				g.u.mu.Unlock()
 				g.u.h.Log("handover", "side", "give", "code", "succeeded")
 				g.u.h.Succeeded(true)
 				g.pipe.mu.Lock()
-				g.machine.Yield()
+				g.machine.SendYielded()
 				g.pipe.mu.Unlock()
-			case handover.Loaded:
+			case handover.LoadReceived:
 				g.u.h.Tell(core.SiblingLoad{Beside: e.Beside, IDs: e.IDs})
 			}
 		}
--- a/internal/upgrade/taking.go
+++ b/internal/upgrade/taking.go
@@ -17,9 +17,9 @@
 type taking struct {
 	u       *Upgrade
 	pipe    *pipe
-	machine *handover.Taker // of pipe.mu
-	over    bool            // of u.mu: the other process has ended
-	yielded bool            // of u.mu: the other process takes no new connections
+	machine *handover.Successor // of pipe.mu
+	over    bool                // of u.mu: the other process has ended
+	yielded bool                // of u.mu: the other process takes no new connections
 }
 
 // Taken is what a running process handed over.
@@ -45,12 +45,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	t := &taking{u: u, pipe: newPipe(c), machine: handover.NewTaker(u.h.Name, u.h.Addrs(), now())}
+	t := &taking{u: u, pipe: newPipe(c), machine: handover.NewSuccessor(u.h.Name, u.h.Addrs(), now())}
 	taken := &Taken{Listeners: map[string]*net.TCPListener{}}
 	by := now() + takeFor
-	for !t.machine.Whole() {
-		unsaid := t.pipe.write(t.machine.Out(), now()+writeFor, nil)
-		err := t.step(min(by, t.machine.Wake()), func(e handover.Event) error { return t.first(e, taken) })
+	for !t.machine.Complete() {
+		unsaid := t.pipe.write(t.machine.Messages(), now()+writeFor, nil)
+		err := t.step(min(by, t.machine.WakeAt()), func(e handover.Event) error { return t.first(e, taken) })
 		if err == nil || !errors.As(err, new(*peer.Fault)) {
 			err = errors.Join(unsaid, err) // one that refuses may close before it is asked: its reason waits to be read
 		}
@@ -83,7 +83,7 @@
 	t.pipe.mu.Lock()
 	events, bad := t.machine.Feed(now(), b)
 	if bad == nil {
-		bad = t.machine.Due(looked)
+		bad = t.machine.CheckTimeouts(looked)
 	}
 	t.pipe.mu.Unlock()
 	for _, e := range events {
@@ -100,8 +100,8 @@
 // first takes what comes before this process serves.
 func (t *taking) first(e handover.Event, to *Taken) error {
 	switch e := e.(type) {
-	case handover.Offered:
-		to.Away = e.Away
+	case handover.ListenersReceived:
+		to.Away = e.OperatorDrained
 		for _, name := range e.Fronts {
 			f, err := t.pipe.next()
 			if err != nil {
@@ -119,15 +119,15 @@
 			}
 			to.Listeners[name] = tcp
 		}
-	case handover.Learned:
+	case handover.KnowledgeReceived:
 		to.Report = e.Report
-	case handover.Loaded:
+	case handover.LoadReceived:
 		t.loaded(e)
 	}
 	return nil
 }
 
-func (t *taking) loaded(e handover.Loaded) {
+func (t *taking) loaded(e handover.LoadReceived) {
 	t.u.h.Tell(core.SiblingLoad{Beside: e.Beside, IDs: e.IDs})
 }
 
@@ -150,18 +150,18 @@
 	share := newShares()
 	for tick := now(); ; {
 		if now() >= tick {
-			tick = now() + handover.LoadEvery
+			tick = now() + handover.LoadIntervalMs
 			if b, ok := share.ask(t.u.h.Tell); ok {
 				t.pipe.mu.Lock()
-				t.machine.Load(b.Beside, b.IDs)
+				t.machine.SendLoad(b.Beside, b.IDs)
 				t.pipe.mu.Unlock()
 			}
 		}
 		t.pipe.mu.Lock()
-		err := t.pipe.write(t.machine.Out(), now()+writeFor, nil)
+		err := t.pipe.write(t.machine.Messages(), now()+writeFor, nil)
 		t.pipe.mu.Unlock()
 		if err == nil {
-			err = t.step(min(tick, t.machine.Wake()), t.next)
+			err = t.step(min(tick, t.machine.WakeAt()), t.next)
 		}
 		if err != nil {
 			return endOf(err)
@@ -172,14 +172,14 @@
 // next takes what comes once all that is needed to serve is there.
 func (t *taking) next(e handover.Event) error {
 	switch e := e.(type) {
-	case handover.Loaded:
+	case handover.LoadReceived:
 		t.loaded(e)
-	case handover.Yielded:
+	case handover.PredecessorYielded:
 		t.u.mu.Lock()
 		t.yielded = true
 		t.u.mu.Unlock()
 		t.u.h.Log("handover", "side", "take", "code", "settled")
-	case handover.Came:
+	case handover.ConnReceived:
 		f, err := t.pipe.next()
 		if err != nil {
 			return err
@@ -200,8 +200,8 @@
 func (t *taking) serve() {
 	t.pipe.mu.Lock()
 	defer t.pipe.mu.Unlock()
-	t.machine.Serve()
-	if err := t.pipe.write(t.machine.Out(), now()+writeFor, nil); err != nil && !errors.Is(err, net.ErrClosed) {
+	t.machine.SendServing()
+	if err := t.pipe.write(t.machine.Messages(), now()+writeFor, nil); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.pipe.close()
 	}
 }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -150,7 +150,7 @@
 			time.Sleep(time.Until(at(now() + againFor)))
 			continue
 		}
-		g := &giving{u: u, pipe: newPipe(c), machine: handover.NewGiver(u.h.Name, u.h.Addrs(), now())}
+		g := &giving{u: u, pipe: newPipe(c), machine: handover.NewPredecessor(u.h.Name, u.h.Addrs(), now())}
 		u.mu.Lock()
 		// One successor at a time, and none beside a predecessor: what is in hand is shared with one other process.
 		taken := u.to != nil || u.ended || u.from != nil && !u.from.over
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -226,7 +226,7 @@
 		"late":      func(c *net.UnixConn) {},
 		"bad-order": func(c *net.UnixConn) { c.Write(peer.AppendFrame(nil, peer.Frame{Kind: peer.KindTake})) },
 		"other-node": func(c *net.UnixConn) {
-			for _, m := range handover.NewTaker("n9", nil, now()).Out() {
+			for _, m := range handover.NewSuccessor("n9", nil, now()).Messages() {
 				c.Write(m.Bytes)
 			}
 		},
