--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -39,15 +39,15 @@
 	return e, true
 }
 
-// Formerly tells that an entry was written by an earlier process of the node, or by an earlier session of this one: it has the
+// Supersedes tells that an entry was written by an earlier process of the node, or by an earlier session of this one: it has the
 // name and the address at which this process listens now, which only one that this process succeeds, or that succeeds it,
 // can have, and no later start.
-func (e Entry) Formerly(found Entry) bool {
+func (e Entry) Supersedes(found Entry) bool {
 	return found.Name == e.Name && found.Listen == e.Listen && found.Start <= e.Start
 }
 
-// NewStart returns the name of a start at a time in Unix milliseconds: later starts have names that sort behind, and chance
+// NewStartID returns the name of a start at a time in Unix milliseconds: later starts have names that sort behind, and chance
 // tells two of one millisecond apart.
-func NewStart(now float64, chance uint64) string {
+func NewStartID(now float64, chance uint64) string {
 	return fmt.Sprintf("%011x%05x", uint64(max(now, 0))&(1<<44-1), chance&(1<<20-1))
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,11 +10,11 @@
 
 // The phases.
 const (
-	Apart      Phase = iota // no session with the ensemble
-	Session                 // a session, and the entry is not known to stand as it should
-	Registered              // the entry is the session's and stands as it should
-	Foreign                 // the entry under the name is another node's
-	Over                    // nothing is wanted any more
+	NoSession   Phase = iota // no session with the ensemble
+	Unconfirmed              // a session, and the entry is not known to stand as it should
+	Registered               // the entry is the session's and stands as it should
+	Foreign                  // the entry under the name is another node's
+	Finished                 // nothing is wanted any more
 )
 
 // Action is what the driver is to do.
@@ -22,17 +22,17 @@
 
 // The actions.
 const (
-	Look   Action = iota // read the entry, and watch it
-	Make                 // make the entry, and what is above it
-	Write                // replace its content
-	Take                 // remove it and make it anew, in one
-	Remove               // remove it
-	End                  // end the session
+	Read         Action = iota // read the entry, and watch it
+	Create                     // make the entry, and what is above it
+	Write                      // replace its content
+	Replace                    // remove it and make it anew, in one
+	Remove                     // remove it
+	CloseSession               // end the session
 )
 
 // Step is one step of the driver's. Version is that of the entry that is replaced or removed, or -1 for any.
 type Step struct {
-	Do      Action
+	Action  Action
 	Content Entry
 	Version int32
 }
@@ -42,20 +42,20 @@
 
 // The codes.
 const (
-	OK      Code = iota
-	Missing      // there is no entry
-	Changed      // the entry is another than was looked at, or is there already
-	Lost         // the connection or the session ended
-	Failed       // refused: not allowed, full, no such place
+	OK             Code = iota
+	NotFound            // there is no entry
+	Conflict            // the entry is another than was looked at, or is there already
+	ConnectionLost      // the connection or the session ended
+	Failed              // refused: not allowed, full, no such place
 )
 
-// Result is the end of a step. What follows Code is of Look alone.
+// Result is the end of a step. What follows Code is of Read alone.
 type Result struct {
 	Code    Code
 	Owner   int64 // session that the entry is bound to; 0: none
 	Version int32
 	Content Entry
-	Known   bool // the content is an entry
+	Valid   bool // the content is an entry
 }
 
 // Times in milliseconds, and their bounds.
@@ -112,23 +112,23 @@
 // unsure forgets what was seen of the entry.
 func (m *Machine) unsure() {
 	m.fresh, m.stale = false, m.busy
-	if m.stands != Over {
-		m.stands = Apart
+	if m.stands != Finished {
+		m.stands = NoSession
 		if m.session != 0 {
-			m.stands = Session
+			m.stands = Unconfirmed
 		}
 	}
 }
 
-// Opened takes in that a session is there, a new one or the one of before.
-func (m *Machine) Opened(now float64, session int64) {
+// SessionOpened takes in that a session is there, a new one or the one of before.
+func (m *Machine) SessionOpened(now float64, session int64) {
 	m.session, m.since = session, now
 	m.unsure()
 	m.again, m.failures = now, 0
 }
 
-// Closed takes in that a connection ended or could not be made. The session may last; a new connection is to wait until DialAt.
-func (m *Machine) Closed(now float64) {
+// ConnectionClosed takes in that a connection ended or could not be made. The session may last; a new connection is to wait until DialAt.
+func (m *Machine) ConnectionClosed(now float64) {
 	if m.session == 0 && !m.asked {
 		return // the end of a session is told beside that of its connection
 	}
@@ -155,8 +155,8 @@
 	return min(m.dialAt, now+dialMost*m.sessionMs)
 }
 
-// Touched takes in that somebody changed or removed the entry.
-func (m *Machine) Touched(now float64) {
+// EntryChanged takes in that somebody changed or removed the entry.
+func (m *Machine) EntryChanged(now float64) {
 	m.unsure()
 	if m.failures == 0 {
 		m.again = now
@@ -166,14 +166,14 @@
 // Yield leaves the entry to another process of the node, or takes it back.
 func (m *Machine) Yield(now float64, on bool) {
 	m.yielded = on
-	m.Touched(now)
+	m.EntryChanged(now)
 }
 
 // Drain marks the node as draining, or takes that back. After Leave it does nothing.
 func (m *Machine) Drain(now float64, on bool) {
 	if m.drained != on {
 		m.drained = on
-		m.Touched(now)
+		m.EntryChanged(now)
 	}
 }
 
@@ -181,21 +181,21 @@
 func (m *Machine) Leave(now, removeAt float64) {
 	if m.leaveAt == 0 {
 		m.leaveAt, m.leaveIn = max(removeAt, 1), max(removeAt-now, 0)
-		m.Touched(now)
+		m.EntryChanged(now)
 	}
 }
 
-// Next returns the step to take now. Where there is none, wake is when to ask again unless something happens; 0: never.
-func (m *Machine) Next(now float64) (s Step, ok bool, wake float64) {
+// NextStep returns the step to take now. Where there is none, wake is when to ask again unless something happens; 0: never.
+func (m *Machine) NextStep(now float64) (s Step, ok bool, wake float64) {
 	// A clock that was set back must not hold up the removal, nor a step, for longer than it was to wait.
 	m.leaveAt, m.again = min(m.leaveAt, now+m.leaveIn), min(m.again, now+stepMost)
 	leaves := m.leaveAt > 0 && now >= m.leaveAt
 	switch {
-	case m.stands == Over || m.busy:
+	case m.stands == Finished || m.busy:
 		return s, false, 0
 	case leaves && (m.session == 0 || m.yielded):
-		m.stands = Over
-		return Step{Do: End}, true, 0
+		m.stands = Finished
+		return Step{Action: CloseSession}, true, 0
 	case m.session == 0, m.yielded:
 		return s, false, m.leaveAt
 	}
@@ -207,29 +207,29 @@
 	own := m.found.Code == OK && m.found.Owner == m.session
 	switch {
 	case !m.fresh && leaves && m.failures > 0:
-		m.stands = Over // the end of the session removes what is its own
-		return Step{Do: End}, true, 0
+		m.stands = Finished // the end of the session removes what is its own
+		return Step{Action: CloseSession}, true, 0
 	case !m.fresh:
-		s.Do = Look
+		s.Action = Read
 	case leaves && !own:
-		m.stands = Over
-		return Step{Do: End}, true, 0
+		m.stands = Finished
+		return Step{Action: CloseSession}, true, 0
 	case leaves:
-		s.Do = Remove
+		s.Action = Remove
 	case m.leaveAt > 0 && !own:
 		return s, false, m.leaveAt // who leaves registers no more
-	case m.found.Code == OK && !own && m.found.Known && m.self.Formerly(m.found.Content):
-		s.Do = Take
+	case m.found.Code == OK && !own && m.found.Valid && m.self.Supersedes(m.found.Content):
+		s.Action = Replace
 	case m.found.Code == OK && !own:
 		m.stands, m.fresh, m.again = Foreign, false, now+m.pause(foreignWait)
 		return s, false, m.sooner(m.again)
-	case own && m.found.Known && m.found.Content == s.Content:
+	case own && m.found.Valid && m.found.Content == s.Content:
 		m.stands = Registered
 		return s, false, m.leaveAt
 	case own:
-		s.Do = Write
+		s.Action = Write
 	default:
-		s.Do = Make
+		s.Action = Create
 	}
 	m.busy, m.stale = true, false
 	return s, true, 0
@@ -242,16 +242,16 @@
 	return at
 }
 
-// Done takes in the end of the step that was taken last.
-func (m *Machine) Done(now float64, s Step, r Result) {
+// StepDone takes in the end of the step that was taken last.
+func (m *Machine) StepDone(now float64, s Step, r Result) {
 	m.busy = false
 	stale := m.stale
 	m.stale = false
-	if r.Code == Lost && !stale {
+	if r.Code == ConnectionLost && !stale {
 		m.session = 0 // the driver will tell of the next one
 		m.unsure()
 	}
-	if r.Code == Failed || r.Code == Changed || s.Do == Make && r.Code == Missing { // what it is to stand under is gone again
+	if r.Code == Failed || r.Code == Conflict || s.Action == Create && r.Code == NotFound { // what it is to stand under is gone again
 		// Hands that change are a failure too: two that fight for an entry must not do so at full speed.
 		most := stepFirst
 		for range m.failures {
@@ -259,10 +259,10 @@
 		}
 		m.failures = min(m.failures+1, 16)
 		m.again = now + m.pause(most)
-	} else if r.Code == OK && (s.Do == Make || s.Do == Take || s.Do == Write) {
+	} else if r.Code == OK && (s.Action == Create || s.Action == Replace || s.Action == Write) {
 		m.failures = 0
 	}
-	if s.Do != Look || stale || r.Code != OK && r.Code != Missing {
+	if s.Action != Read || stale || r.Code != OK && r.Code != NotFound {
 		m.fresh = false // what was written is looked at, and watched from then on
 		return
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -31,23 +31,23 @@
 
 // step takes one step of the machine, if it wants one, and checks it. It tells whether there was one.
 func (w *world) step() (took bool, wake float64) {
-	s, ok, wake := w.m.Next(w.now)
+	s, ok, wake := w.m.NextStep(w.now)
 	if !ok {
 		return false, wake
 	}
 	if w.ended {
 		w.t.Fatal("a step after the end")
 	}
-	if _, twice, _ := w.m.Next(w.now); twice {
+	if _, twice, _ := w.m.NextStep(w.now); twice {
 		w.t.Fatal("two steps at once")
 	}
-	if (s.Do == Make || s.Do == Take || s.Do == Write) && w.left && !s.Content.Draining {
+	if (s.Action == Create || s.Action == Replace || s.Action == Write) && w.left && !s.Content.Draining {
 		w.t.Fatal("serving is written after the notice to leave")
 	}
-	if (s.Do == Make || s.Do == Take) && w.left {
+	if (s.Action == Create || s.Action == Replace) && w.left {
 		w.t.Fatal("a node that leaves registers")
 	}
-	if s.Do == End {
+	if s.Action == CloseSession {
 		w.ended = true
 		return true, 0
 	}
@@ -61,44 +61,44 @@
 		if w.open {
 			w.close()
 		}
-		r.Code = Lost
+		r.Code = ConnectionLost
 	case outcome == 4:
 		r.Code = Failed
-	case s.Do == Look && w.there:
+	case s.Action == Read && w.there:
 		r = Result{OK, w.owner, w.version, w.content, w.known}
-	case s.Do == Make && w.there:
-		r.Code = Changed
-	case s.Do == Make:
+	case s.Action == Create && w.there:
+		r.Code = Conflict
+	case s.Action == Create:
 		w.there, w.owner, w.version, w.content, w.known = true, w.last, 0, s.Content, true
 	case !w.there:
-		r.Code = Missing
+		r.Code = NotFound
 	case s.Version != w.version:
-		r.Code = Changed
-	case s.Do == Write:
+		r.Code = Conflict
+	case s.Action == Write:
 		w.content, w.version = s.Content, w.version+1
-	case s.Do == Take:
+	case s.Action == Replace:
 		if w.owner == w.last || !w.known || w.content.Name != self.Name || w.content.Listen != self.Listen || w.content.Start > self.Start {
 			w.t.Fatal("takes what is another's")
 		}
 		w.owner, w.version, w.content = w.last, 0, s.Content
-	case s.Do == Remove:
+	case s.Action == Remove:
 		if w.owner != w.last {
 			w.t.Fatal("removes what is another's")
 		}
 		w.there = false
 	}
-	w.m.Done(w.now, s, r)
+	w.m.StepDone(w.now, s, r)
 	return true, 0
 }
 
 func (w *world) close() {
 	w.open = false
-	w.m.Closed(w.now)
+	w.m.ConnectionClosed(w.now)
 }
 
 func (w *world) put(e Entry, known bool) {
 	w.there, w.owner, w.version, w.content, w.known = true, 7, 3, e, known
-	w.m.Touched(w.now)
+	w.m.EntryChanged(w.now)
 }
 
 // Whatever happens in whatever order: nobody else's entry is removed, nothing is registered and nothing that serves is
@@ -127,7 +127,7 @@
 				}
 				w.last++
 				w.open = true
-				w.m.Opened(w.now, w.last)
+				w.m.SessionOpened(w.now, w.last)
 			case "close":
 				w.close()
 			case "drain":
@@ -143,7 +143,7 @@
 				}
 			case "remove":
 				w.there = false
-				w.m.Touched(w.now)
+				w.m.EntryChanged(w.now)
 			case "former":
 				w.put(Entry{Name: self.Name, Listen: self.Listen, Start: "a"}, true)
 			case "successor":
@@ -162,7 +162,7 @@
 			w.open = true
 			w.last++
 			w.there = false
-			w.m.Opened(w.now, w.last)
+			w.m.SessionOpened(w.now, w.last)
 		}
 		end, steps := w.now+leaveTime+2*stepMost, 0
 		for w.now < end {
@@ -179,9 +179,9 @@
 		if steps > 40 {
 			t.Fatalf("%d steps in a calm minute", steps)
 		}
-		foreign := w.there && w.owner != w.last && !(w.known && self.Formerly(w.content))
+		foreign := w.there && w.owner != w.last && !(w.known && self.Supersedes(w.content))
 		switch {
-		case w.left && (!w.ended || w.there && w.owner == w.last && w.open && w.m.Phase() != Over):
+		case w.left && (!w.ended || w.there && w.owner == w.last && w.open && w.m.Phase() != Finished):
 			t.Fatalf("not gone: ended %t, entry %+v", w.ended, w.content)
 		case w.left:
 		case foreign && w.m.Phase() != Foreign:
@@ -214,8 +214,8 @@
 	var tries, last []float64
 	for seed := range uint64(300) {
 		m := New(self, session, seed)
-		m.Opened(0, 1)
-		m.Closed(0)
+		m.SessionOpened(0, 1)
+		m.ConnectionClosed(0)
 		own := []float64{}
 		for {
 			at := m.DialAt(previous(own) + libraryWait)
@@ -223,7 +223,7 @@
 			if at >= back {
 				break
 			}
-			m.Closed(at)
+			m.ConnectionClosed(at)
 		}
 		if n := peak(slices.Clone(own)); n > 1 {
 			t.Fatalf("a node tries %d times in 100 ms", n)
@@ -253,10 +253,10 @@
 	m, now, tries := New(self, 6000, 1), 0.0, 0
 	for now < 60000 {
 		now = m.DialAt(now) + 1
-		m.Opened(now, 1)
-		m.Closed(now)
+		m.SessionOpened(now, 1)
+		m.ConnectionClosed(now)
 		at := m.dialAt
-		if m.Closed(now); m.dialAt != at {
+		if m.ConnectionClosed(now); m.dialAt != at {
 			t.Fatal("one end, told twice, is drawn a pause for twice")
 		}
 		tries++
@@ -269,15 +269,15 @@
 // A step that is refused is tried again at growing pauses, within the bound.
 func TestRefusedStepsAreBounded(t *testing.T) {
 	m, now, steps := New(self, 6000, 1), 0.0, 0
-	m.Opened(0, 1)
+	m.SessionOpened(0, 1)
 	for now < 10*60e3 {
-		s, ok, wake := m.Next(now)
+		s, ok, wake := m.NextStep(now)
 		if !ok {
 			now = wake
 			continue
 		}
 		steps++
-		m.Done(now, s, Result{Code: Failed})
+		m.StepDone(now, s, Result{Code: Failed})
 	}
 	if steps < 10*60e3/stepMost || steps > 50 {
 		t.Errorf("%d steps in ten minutes", steps)
@@ -288,8 +288,8 @@
 func TestStartsSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := rapid.Float64Range(0, 1e13).Draw(t, "at")
-		a := NewStart(at, rapid.Uint64().Draw(t, "a"))
-		b := NewStart(at+1+rapid.Float64Range(0, 1e12).Draw(t, "after"), rapid.Uint64().Draw(t, "b"))
+		a := NewStartID(at, rapid.Uint64().Draw(t, "a"))
+		b := NewStartID(at+1+rapid.Float64Range(0, 1e12).Draw(t, "after"), rapid.Uint64().Draw(t, "b"))
 		if a >= b || len(a) != 16 || len(b) != 16 {
 			t.Fatalf("%s, later %s", a, b)
 		}
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -58,7 +58,7 @@
 	}
 	if len(n.op.Ensemble) > 0 {
 		n.parts = append(n.parts, &registered{node: n, self: membership.Entry{Name: n.cfg.Name, Listen: n.cfg.Listen, UWSGI: n.op.UWSGI,
-			H2C: n.op.H2C, Peer: peerAddr, Start: membership.NewStart(now(), rand.Uint64())}})
+			H2C: n.op.H2C, Peer: peerAddr, Start: membership.NewStartID(now(), rand.Uint64())}})
 	}
 	return nil
 }
--- a/internal/zk/zk.go
+++ b/internal/zk/zk.go
@@ -99,14 +99,14 @@
 	switch {
 	case e.Type == zk.EventSession && e.State == zk.StateExpired:
 		r.log("zk", "path", r.path, "code", "expired")
-		r.tell((*membership.Machine).Closed)
+		r.tell((*membership.Machine).ConnectionClosed)
 	case e.Type == zk.EventSession && e.State == zk.StateDisconnected:
 		r.log("zk", "path", r.path, "code", "disconnected")
-		r.tell((*membership.Machine).Closed)
+		r.tell((*membership.Machine).ConnectionClosed)
 	case e.Type == zk.EventSession && e.State == zk.StateHasSession:
-		r.tell(func(m *membership.Machine, now float64) { m.Opened(now, r.conn.SessionID()) })
+		r.tell(func(m *membership.Machine, now float64) { m.SessionOpened(now, r.conn.SessionID()) })
 	case e.Type == zk.EventNodeDeleted, e.Type == zk.EventNodeDataChanged:
-		r.tell((*membership.Machine).Touched)
+		r.tell((*membership.Machine).EntryChanged)
 	}
 }
 
@@ -126,7 +126,7 @@
 	d := net.Dialer{Deadline: time.Now().Add(wait)}
 	c, err := d.Dial(network, addr)
 	if err != nil {
-		r.tell((*membership.Machine).Closed)
+		r.tell((*membership.Machine).ConnectionClosed)
 		return nil, err
 	}
 	return &bounded{Conn: c}, nil
@@ -158,14 +158,14 @@
 	for {
 		r.mu.Lock()
 		t := now()
-		s, ok, wake := r.machine.Next(t)
+		s, ok, wake := r.machine.NextStep(t)
 		phase, was := r.machine.Phase(), r.phase
 		r.phase = phase
 		r.mu.Unlock()
 		if phase != was && phase == membership.Foreign {
 			r.log("zk", "path", r.path, "code", "foreign")
 		}
-		if ok && s.Do == membership.End {
+		if ok && s.Action == membership.CloseSession {
 			close(r.over)
 			r.log("zk", "path", r.path, "code", "left")
 			r.conn.Close()
@@ -175,7 +175,7 @@
 			result, err := r.step(s)
 			r.said(s, result, err)
 			r.mu.Lock()
-			r.machine.Done(now(), s, result)
+			r.machine.StepDone(now(), s, result)
 			r.mu.Unlock()
 			continue
 		}
@@ -192,12 +192,12 @@
 }
 
 // words are the codes in the log of steps that were taken.
-var words = map[membership.Action]string{membership.Make: "registered", membership.Take: "taken", membership.Write: "written",
+var words = map[membership.Action]string{membership.Create: "registered", membership.Replace: "taken", membership.Write: "written",
 	membership.Remove: "removed"}
 
 func (r *Registration) said(s membership.Step, result membership.Result, err error) {
-	switch word := words[s.Do]; {
-	case result.Code == membership.Failed || result.Code == membership.Changed:
+	switch word := words[s.Action]; {
+	case result.Code == membership.Failed || result.Code == membership.Conflict:
 		r.log("zk", "path", r.path, "code", "failed", "error", err)
 	case result.Code == membership.OK && word != "":
 		r.log("zk", "path", r.path, "code", word, "draining", s.Content.Draining)
@@ -212,17 +212,17 @@
 		}
 		r.known = true // the library tells it again on each connection
 	}
-	switch s.Do {
-	case membership.Look:
+	switch s.Action {
+	case membership.Read:
 		var data []byte
 		var stat *zk.Stat
 		if data, stat, _, err = r.conn.GetW(r.path); err == nil {
 			out.Owner, out.Version = stat.EphemeralOwner, stat.Version
-			out.Content, out.Known = membership.ParseEntry(data)
+			out.Content, out.Valid = membership.ParseEntry(data)
 		}
-	case membership.Make:
+	case membership.Create:
 		err = r.make(s.Content.Append(nil))
-	case membership.Take:
+	case membership.Replace:
 		_, err = r.conn.Multi(&zk.DeleteRequest{Path: r.path, Version: s.Version},
 			&zk.CreateRequest{Path: r.path, Data: s.Content.Append(nil), Acl: rights(r.auth), Flags: zk.FlagEphemeral})
 	case membership.Write:
@@ -240,12 +240,12 @@
 	case err == nil:
 		return membership.OK
 	case errors.Is(err, zk.ErrNoNode):
-		return membership.Missing
+		return membership.NotFound
 	case errors.Is(err, zk.ErrNodeExists), errors.Is(err, zk.ErrBadVersion):
-		return membership.Changed
+		return membership.Conflict
 	case errors.Is(err, zk.ErrConnectionClosed), errors.Is(err, zk.ErrClosing), errors.Is(err, zk.ErrSessionExpired),
 		errors.Is(err, zk.ErrSessionMoved), errors.Is(err, zk.ErrNoServer):
-		return membership.Lost
+		return membership.ConnectionLost
 	}
 	return membership.Failed
 }
