--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,7 +13,7 @@
 	"slices"
 
 	"whinrudder"
-	"whinrudder/internal/figures"
+	"whinrudder/internal/counters"
 	"whinrudder/internal/knowledge"
 	"whinrudder/internal/ops"
 )
@@ -144,8 +144,8 @@
 	ChangeSettings struct {
 		Settings    whinrudder.Settings
 		NewIndices  []int
-		Counters    []*figures.Class // by place
-		KeptClasses map[int]string   // names of the classes whose results are kept, by place
+		Counters    []*counters.Class // by place
+		KeptClasses map[int]string    // names of the classes whose results are kept, by place
 	}
 )
 
@@ -305,7 +305,7 @@
 	kept   map[int]string // names of the classes whose results are
 	yields bool           // another process is to have the operations
 
-	counts []*figures.Class  // by the place of the class; nil: nobody reads them
+	counts []*counters.Class // by the place of the class; nil: nobody reads them
 	cold   bool              // the worker pool was, when it came up
 	away   bool              // operators have sent the clients away
 	beside whinrudder.Beside // what another process of this node has in hand
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -1,10 +1,10 @@
 package core
 
-import "whinrudder/internal/figures"
+import "whinrudder/internal/counters"
 
 // SetCounters lets the core count what becomes of requests, by the place of their class. It must be called before the first
 // step.
-func (c *Core) SetCounters(counts []*figures.Class) { c.counts = counts }
+func (c *Core) SetCounters(counts []*counters.Class) { c.counts = counts }
 
 // told counts an answer.
 func (c *Core) told(class int, how Outcome) {
--- a/internal/figures/figures.go
+++ b/internal/counters/counters.go
@@ -1,6 +1,6 @@
-// Package figures counts what becomes of requests, by class, for operators. Counts grow from 0 with the process. The
+// Package counters counts what becomes of requests, by class, for operators. Counts grow from 0 with the process. The
 // core's goroutine writes them, and anybody may read them at any time without waiting for it.
-package figures
+package counters
 
 import (
 	"slices"
@@ -21,8 +21,8 @@
 	Sends    atomic.Int64 // runs handed to the worker pool
 }
 
-// Book holds the figures of one process.
-type Book struct {
+// Registry holds the figures of one process.
+type Registry struct {
 	ConfLoaded  atomic.Int64 // configurations taken over at SIGHUP
 	ConfInvalid atomic.Int64 // configurations turned down at SIGHUP
 
@@ -32,7 +32,7 @@
 
 // Classes returns the counts of classes by their names, in that order. The same name has the same counts for the life
 // of the process; only where there are too many names, those that are not wanted now are dropped.
-func (b *Book) Classes(names []string) []*Class {
+func (b *Registry) Classes(names []string) []*Class {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]*Class, len(names))
@@ -52,7 +52,7 @@
 
 // AppendText appends all figures, a line each: svc.transactions.CLASS.NAME=N and svc.NAME=N. Current is how many requests
 // are owed an answer.
-func (b *Book) AppendText(to []byte, current int) []byte {
+func (b *Registry) AppendText(to []byte, current int) []byte {
 	b.mu.Lock()
 	all := slices.Clone(b.all)
 	b.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,8 +15,8 @@
 
 	"whinrudder/internal/classindex"
 	"whinrudder/internal/core"
+	"whinrudder/internal/counters"
 	"whinrudder/internal/door"
-	"whinrudder/internal/figures"
 	"whinrudder/internal/folder"
 	"whinrudder/internal/front"
 	"whinrudder/internal/h2"
@@ -64,7 +64,7 @@
 	core *core.Core
 	link *link
 
-	figures figures.Book
+	figures counters.Registry
 	serving atomic.Bool // the worker pool is up, and the module serves
 
 	reports reporter
