--- a/internal/core/kept.go
+++ b/internal/core/kept.go
@@ -17,7 +17,7 @@
 type (
 	// Appended tells that the first records that were to be appended last, where they stand, and what segments there are.
 	Appended struct {
-		Positions []journal.Place
+		Positions []journal.Position
 		Segments  []journal.Segment
 	}
 	// AppendFailed tells that the first so many do not.
@@ -30,7 +30,7 @@
 	// RecordFetched brings a record that was asked for.
 	RecordFetched struct {
 		ID       string
-		Position journal.Place
+		Position journal.Position
 		Result   []byte
 		Err      error
 	}
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -44,44 +44,44 @@
 
 // Record is what is kept of an operation, or the header of a segment. Times are Unix milliseconds.
 type Record struct {
-	Kind   Kind    `cbor:"1,keyasint"`
-	Key    string  `cbor:"2,keyasint,omitempty"`
-	Digest []byte  `cbor:"3,keyasint,omitempty"` // of the body
-	Run    string  `cbor:"4,keyasint,omitempty"` // id of the request that was, or may have been, run
-	At     float64 `cbor:"5,keyasint,omitempty"`
-	Result []byte  `cbor:"6,keyasint,omitempty"`
-	By     string  `cbor:"7,keyasint,omitempty"` // an operator's word: who gave it
-
-	Version int    `cbor:"10,keyasint,omitempty"`
-	Node    string `cbor:"11,keyasint,omitempty"`
-	CutSeg  uint32 `cbor:"12,keyasint,omitempty"` // the segment before this one counts up to CutAt
-	CutAt   uint32 `cbor:"13,keyasint,omitempty"`
+	Kind       Kind    `cbor:"1,keyasint"`
+	Key        string  `cbor:"2,keyasint,omitempty"`
+	Digest     []byte  `cbor:"3,keyasint,omitempty"` // of the body
+	Run        string  `cbor:"4,keyasint,omitempty"` // id of the request that was, or may have been, run
+	At         float64 `cbor:"5,keyasint,omitempty"`
+	Result     []byte  `cbor:"6,keyasint,omitempty"`
+	ResolvedBy string  `cbor:"7,keyasint,omitempty"` // an operator's word: who gave it
+
+	Version     int    `cbor:"10,keyasint,omitempty"`
+	Node        string `cbor:"11,keyasint,omitempty"`
+	PrevSegment uint32 `cbor:"12,keyasint,omitempty"` // the segment before this one counts up to PrevEnd
+	PrevEnd     uint32 `cbor:"13,keyasint,omitempty"`
 }
 
-// Place is where a record stands.
-type Place struct {
-	Seg, At, Len uint32 // segment, first byte and size of its frame
+// Position is where a record stands.
+type Position struct {
+	Segment, Offset, Length uint32 // segment, first byte and size of its frame
 }
 
 // Errors of journals.
 var (
-	ErrNode    = errors.New("the journal is another node's")
-	ErrVersion = errors.New("the journal is of a newer version")
-	ErrDamage  = errors.New("the journal is damaged")
+	ErrOtherNode    = errors.New("the journal is another node's")
+	ErrNewerVersion = errors.New("the journal is of a newer version")
+	ErrDamaged      = errors.New("the journal is damaged")
 )
 
 // Damage is a place where a journal is not what was written.
 type Damage struct {
-	Seg, At uint32
-	What    string
+	Segment, Offset uint32
+	Reason          string
 }
 
 func (d Damage) Error() string {
-	return fmt.Sprintf("%v: %s at byte %d: %s", ErrDamage, name(d.Seg), d.At, d.What)
+	return fmt.Sprintf("%v: %s at byte %d: %s", ErrDamaged, name(d.Segment), d.Offset, d.Reason)
 }
 
-// Is makes it an ErrDamage.
-func (d Damage) Is(err error) bool { return err == ErrDamage }
+// Is makes it an ErrDamaged.
+func (d Damage) Is(err error) bool { return err == ErrDamaged }
 
 func name(seg uint32) string { return fmt.Sprintf("%08d.log", seg) }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -11,17 +11,17 @@
 
 // Segment is a file of a journal.
 type Segment struct {
-	No    uint32
-	Bytes int64
+	Number uint32
+	Bytes  int64
 }
 
-// Found tells what opening a journal has found.
-type Found struct {
+// Summary tells what opening a journal has found.
+type Summary struct {
 	Node              string
 	Version           int
 	Segments, Records int
 	Bytes             int64
-	Torn              int64 // bytes behind the last batch that counts
+	TornBytes         int64 // bytes behind the last batch that counts
 }
 
 // Journal appends records and reads them by their places. It is used from one goroutine, but for Read.
@@ -50,10 +50,10 @@
 
 // Open takes the folder and reads a journal, or begins one, and hands each record that counts to visit, in order. What a
 // crash left behind the last batch is passed over; what can't come from a crash is an error (Damage).
-func Open(dir folder.Folder, o Options, visit func(Record, Place)) (*Journal, Found, error) {
+func Open(dir folder.Folder, o Options, visit func(Record, Position)) (*Journal, Summary, error) {
 	release, err := dir.Lock()
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Summary{}, err
 	}
 	j := &Journal{dir: dir, node: o.Node, most: o.SegmentBytes, release: release, bad: true}
 	found, err := j.replay(visit)
@@ -116,13 +116,13 @@
 	return b, nil
 }
 
-func (j *Journal) replay(visit func(Record, Place)) (found Found, err error) {
+func (j *Journal) replay(visit func(Record, Position)) (found Summary, err error) {
 	segs, err := numbers(j.dir)
 	if err != nil {
 		return found, err
 	}
 	if len(segs) > maxSegments {
-		return found, fmt.Errorf("%w: %d segments, %d at most", ErrDamage, len(segs), maxSegments)
+		return found, fmt.Errorf("%w: %d segments, %d at most", ErrDamaged, len(segs), maxSegments)
 	}
 	var next []byte
 	if len(segs) > 0 {
@@ -150,17 +150,17 @@
 				last = true
 			case what != "":
 				return found, Damage{seg + 1, 0, what}
-			case h.CutSeg != seg || h.CutAt > cut:
+			case h.PrevSegment != seg || h.PrevEnd > cut:
 				return found, Damage{seg + 1, 0, "the header does not continue the segment before"}
 			default:
-				cut = h.CutAt
+				cut = h.PrevEnd
 			}
 		}
 		if err := j.segment(b, seg, cut, last, &found, visit); err != nil {
 			return found, err
 		}
 		if last && i+1 < len(segs) {
-			found.Torn += int64(len(next))
+			found.TornBytes += int64(len(next))
 			if err := errors.Join(j.dir.Remove(name(seg+1)), j.dir.Sync()); err != nil {
 				return found, err
 			}
@@ -171,7 +171,7 @@
 }
 
 // segment reads the records of a segment up to a cut.
-func (j *Journal) segment(b []byte, seg, cut uint32, last bool, found *Found, visit func(Record, Place)) error {
+func (j *Journal) segment(b []byte, seg, cut uint32, last bool, found *Summary, visit func(Record, Position)) error {
 	at := uint32(0)
 	for at < cut {
 		r, size, batch, what := readFrame(b[at:cut], seg, at)
@@ -188,27 +188,27 @@
 		case at == 0 && r.Kind != header:
 			return Damage{seg, at, "the header is missing"}
 		case at == 0 && r.Version > Version:
-			return fmt.Errorf("%w: %d, this program knows up to %d", ErrVersion, r.Version, Version)
+			return fmt.Errorf("%w: %d, this program knows up to %d", ErrNewerVersion, r.Version, Version)
 		case at == 0 && r.Node != j.node:
-			return fmt.Errorf("%w: %q, not %q", ErrNode, r.Node, j.node)
+			return fmt.Errorf("%w: %q, not %q", ErrOtherNode, r.Node, j.node)
 		case at > 0 && r.Kind == header, batch < j.batch:
 			return Damage{seg, at, "a record is out of order"}
 		case at == 0:
 			found.Node, found.Version = r.Node, r.Version
 		default:
-			visit(r, Place{seg, at, size})
+			visit(r, Position{seg, at, size})
 			found.Records++
 		}
 		j.batch = batch
 		at += size
 	}
 	if last && at == 0 { // it was never begun
-		found.Torn += int64(len(b))
+		found.TornBytes += int64(len(b))
 		return errors.Join(j.dir.Remove(name(seg)), j.dir.Sync())
 	}
 	found.Segments++
 	found.Bytes += int64(len(b))
-	found.Torn += int64(uint32(len(b)) - at)
+	found.TornBytes += int64(uint32(len(b)) - at)
 	j.segs = append(j.segs, Segment{seg, int64(len(b))})
 	j.at = at
 	return nil
@@ -230,7 +230,7 @@
 
 // Append writes records as one batch and returns their places once they are sure to outlive a crash. After an error none
 // of them counts: they were cut off, or will be before anything else is written.
-func (j *Journal) Append(records []Record) ([]Place, error) {
+func (j *Journal) Append(records []Record) ([]Position, error) {
 	if j.bad || j.cur == nil || int64(j.at) >= j.most {
 		if err := j.begin(); err != nil {
 			return nil, err
@@ -238,8 +238,8 @@
 	}
 	j.batch++
 	j.buf = j.buf[:0]
-	places := make([]Place, 0, len(records))
-	seg := j.segs[len(j.segs)-1].No
+	places := make([]Position, 0, len(records))
+	seg := j.segs[len(j.segs)-1].Number
 	for _, r := range records {
 		from := len(j.buf)
 		at := j.at + uint32(from)
@@ -247,7 +247,7 @@
 		if j.buf, err = appendFrame(j.buf, seg, at, j.batch, r); err != nil {
 			return nil, err
 		}
-		places = append(places, Place{seg, at, uint32(len(j.buf) - from)})
+		places = append(places, Position{seg, at, uint32(len(j.buf) - from)})
 	}
 	if err := j.write(j.buf); err != nil {
 		j.bad = true
@@ -278,8 +278,8 @@
 	h := Record{Kind: header, Version: Version, Node: j.node}
 	no := uint32(1)
 	if n := len(j.segs); n > 0 {
-		h.CutSeg, h.CutAt = j.segs[n-1].No, j.at
-		no = h.CutSeg + 1
+		h.PrevSegment, h.PrevEnd = j.segs[n-1].Number, j.at
+		no = h.PrevSegment + 1
 	}
 	if len(j.segs) >= maxSegments {
 		return fmt.Errorf("%d segments are the most there may be", maxSegments)
@@ -310,19 +310,19 @@
 }
 
 // Read returns the record of a place. It may be called from any goroutine.
-func Read(dir folder.Folder, p Place) (Record, error) {
-	f, err := dir.Open(name(p.Seg))
+func Read(dir folder.Folder, p Position) (Record, error) {
+	f, err := dir.Open(name(p.Segment))
 	if err != nil {
 		return Record{}, err
 	}
 	defer f.Close()
-	b := make([]byte, p.Len)
-	if _, err := f.ReadAt(b, int64(p.At)); err != nil {
+	b := make([]byte, p.Length)
+	if _, err := f.ReadAt(b, int64(p.Offset)); err != nil {
 		return Record{}, err
 	}
-	r, _, _, what := readFrame(b, p.Seg, p.At)
+	r, _, _, what := readFrame(b, p.Segment, p.Offset)
 	if what != "" {
-		return Record{}, Damage{p.Seg, p.At, what}
+		return Record{}, Damage{p.Segment, p.Offset, what}
 	}
 	return r, nil
 }
@@ -332,7 +332,7 @@
 	if len(j.segs) < 2 {
 		return errors.New("the last segment can't go")
 	}
-	if err := errors.Join(j.dir.Remove(name(j.segs[0].No)), j.dir.Sync()); err != nil {
+	if err := errors.Join(j.dir.Remove(name(j.segs[0].Number)), j.dir.Sync()); err != nil {
 		return err
 	}
 	j.segs = j.segs[1:]
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -14,10 +14,10 @@
 )
 
 // read opens a journal and returns what it holds.
-func read(t interface{ Fatal(...any) }, dir *memfolder.Folder) (*Journal, Found, []Record, []Place) {
+func read(t interface{ Fatal(...any) }, dir *memfolder.Folder) (*Journal, Summary, []Record, []Position) {
 	var all []Record
-	var places []Place
-	j, found, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, p Place) {
+	var places []Position
+	j, found, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, p Position) {
 		all, places = append(all, r), append(places, p)
 	})
 	if err != nil {
@@ -102,7 +102,7 @@
 	if len(names) < 3 {
 		t.Fatalf("%d segments, want some", len(names))
 	}
-	if _, all, err := Verify(dir, func(Record, Place) {}); err != nil || len(all) > 0 {
+	if _, all, err := Verify(dir, func(Record, Position) {}); err != nil || len(all) > 0 {
 		t.Fatal(all, err)
 	}
 	flips, refused, dropped := 0, 0, 0
@@ -110,11 +110,11 @@
 		for at := range dir.Read(name) {
 			dir.Flip(name, at)
 			flips++
-			if _, all, err := Verify(dir, func(Record, Place) {}); err != nil || len(all) == 0 {
+			if _, all, err := Verify(dir, func(Record, Position) {}); err != nil || len(all) == 0 {
 				t.Fatalf("%s byte %d: not found (%v)", name, at, err)
 			}
 			n := 0
-			j, _, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, _ Place) {
+			j, _, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, _ Position) {
 				if cmp.Diff(record(n), r, cmpopts.EquateEmpty()) != "" {
 					t.Fatalf("%s byte %d: %v is read as the record %d", name, at, r, n)
 				}
@@ -123,7 +123,7 @@
 			switch {
 			case err == nil && n >= 28-last && n < 28:
 				dropped++
-			case errors.Is(err, ErrDamage):
+			case errors.Is(err, ErrDamaged):
 				refused++
 			default:
 				t.Fatalf("%s byte %d: %d records, %v", name, at, n, err)
@@ -140,7 +140,7 @@
 // A journal is refused by another node, by an older program and while it is in use, and a segment that is gone is missed.
 func TestWhatIsRefused(t *testing.T) {
 	open := func(dir *memfolder.Folder, node string) error {
-		j, _, err := Open(dir, Options{Node: node, SegmentBytes: 900}, func(Record, Place) {})
+		j, _, err := Open(dir, Options{Node: node, SegmentBytes: 900}, func(Record, Position) {})
 		if err == nil {
 			j.Close()
 		}
@@ -161,11 +161,11 @@
 		t.Error("two have the folder")
 	}
 	j.Close()
-	if err := open(dir, "n2"); !errors.Is(err, ErrNode) {
+	if err := open(dir, "n2"); !errors.Is(err, ErrOtherNode) {
 		t.Error(err)
 	}
 	dir.Remove(name(2))
-	if err := open(dir, "n1"); !errors.Is(err, ErrDamage) {
+	if err := open(dir, "n1"); !errors.Is(err, ErrDamaged) {
 		t.Error(err)
 	}
 	dir = memfolder.New(1)
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	f.Write(b)
-	if err := open(dir, "n1"); !errors.Is(err, ErrVersion) {
+	if err := open(dir, "n1"); !errors.Is(err, ErrNewerVersion) {
 		t.Error(err)
 	}
 	dir, j = make()
@@ -194,8 +194,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []Place{{1, 0, 0}, {1, 64, 0}, {2, 0, 0}} {
-		if _, _, _, what := readFrame(b, p.Seg, p.At); (what == "") != (p == Place{1, 0, 0}) {
+	for _, p := range []Position{{1, 0, 0}, {1, 64, 0}, {2, 0, 0}} {
+		if _, _, _, what := readFrame(b, p.Segment, p.Offset); (what == "") != (p == Position{1, 0, 0}) {
 			t.Errorf("at %v: %q", p, what)
 		}
 	}
--- a/internal/journal/verify.go
+++ b/internal/journal/verify.go
@@ -9,13 +9,13 @@
 )
 
 // Verify reads a whole journal, without taking the folder, hands each record that is whole to visit, and returns all that
-// is wrong. What a crash may leave behind the last batch counts as wrong, too, as nothing tells it from damage: its What
+// is wrong. What a crash may leave behind the last batch counts as wrong, too, as nothing tells it from damage: its Reason
 // says so. A running node may remove a segment meanwhile; then it begins again, a few times.
-func Verify(dir folder.Folder, visit func(Record, Place)) (found Found, all []Damage, err error) {
+func Verify(dir folder.Folder, visit func(Record, Position)) (found Summary, all []Damage, err error) {
 	for range 5 {
 		var records []Record
-		var places []Place
-		found, all, err = verify(dir, func(r Record, p Place) { records, places = append(records, r), append(places, p) })
+		var places []Position
+		found, all, err = verify(dir, func(r Record, p Position) { records, places = append(records, r), append(places, p) })
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
@@ -27,7 +27,7 @@
 	return found, all, err
 }
 
-func verify(dir folder.Folder, visit func(Record, Place)) (found Found, all []Damage, err error) {
+func verify(dir folder.Folder, visit func(Record, Position)) (found Summary, all []Damage, err error) {
 	segs, err := numbers(dir)
 	if err != nil {
 		return found, nil, err
@@ -42,8 +42,8 @@
 		texts[seg] = b
 		if h, _, _, what := readFrame(b, seg, 0); what == "" && h.Kind == header {
 			found.Node, found.Version = h.Node, h.Version
-			if h.CutSeg > 0 {
-				cuts[h.CutSeg] = h.CutAt
+			if h.PrevSegment > 0 {
+				cuts[h.PrevSegment] = h.PrevEnd
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 			}
 			cut = uint32(len(b))
 		}
-		found.Torn += int64(len(b)) - int64(cut)
+		found.TornBytes += int64(len(b)) - int64(cut)
 		for at := uint32(0); at < cut; {
 			r, size, n, what := readFrame(b[at:cut], seg, at)
 			switch {
@@ -71,7 +71,7 @@
 			case what == "" && n < batch:
 				all = append(all, Damage{seg, at, "a record is out of order"})
 			case what == "" && at > 0:
-				visit(r, Place{seg, at, size})
+				visit(r, Position{seg, at, size})
 				found.Records++
 			}
 			if what == "" {
@@ -88,7 +88,7 @@
 			}
 			if i == len(segs)-1 && next >= cut {
 				what = fmt.Sprintf("%s; the last %d bytes are what a crash left, or damage", what, cut-at)
-				found.Torn += int64(cut - at)
+				found.TornBytes += int64(cut - at)
 			}
 			all = append(all, Damage{seg, at, what})
 			at = next
--- a/internal/kept/crash_test.go
+++ b/internal/kept/crash_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(e)
 	}
 	total := clean.dir.Ops()
-	points, moved := 0, clean.j.Segments()[0].No
+	points, moved := 0, clean.j.Segments()[0].Number
 	for _, fault := range []memfolder.Fault{memfolder.Crash, memfolder.Fail, memfolder.Full} {
 		for _, back := range []bool{true, false} {
 			for at := 1; at <= total; at++ {
@@ -117,7 +117,7 @@
 
 // Records of a journal as another life would have left them.
 func fill(tb testing.TB, dir *memfolder.Folder, n int, at float64) {
-	j, _, err := journal.Open(dir, journal.Options{Node: "n1", SegmentBytes: 1 << 20}, func(journal.Record, journal.Place) {})
+	j, _, err := journal.Open(dir, journal.Options{Node: "n1", SegmentBytes: 1 << 20}, func(journal.Record, journal.Position) {})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 	book("b")
 	for _, i := range w.table.Operations() {
 		if i.Key == "book/a" {
-			w.dir.Flip(fmt.Sprintf("%08d.log", i.Position.Seg), int(i.Position.At+i.Position.Len-3))
+			w.dir.Flip(fmt.Sprintf("%08d.log", i.Position.Segment), int(i.Position.Offset+i.Position.Length-3))
 		}
 	}
 	read := w.ask("a", "b:a")
@@ -275,7 +275,7 @@
 		w.pass(40)
 		w.lay()
 	}
-	if first := w.j.Segments()[0].No; first < 5 || w.j.Bytes() > 2000 {
+	if first := w.j.Segments()[0].Number; first < 5 || w.j.Bytes() > 2000 {
 		t.Errorf("%d bytes, the first segment is %d", w.j.Bytes(), first)
 	}
 	if a, b := w.last("a"), w.last("b"); a.answers[0].Kept != "failed" || string(b.answers[0].Result) != "r:book/b" {
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -67,7 +67,7 @@
 	}
 	t.FinishRecovery(now, j.Segments())
 	keys, doubts, _, disk := t.Counts()
-	h.Log("kept", "code", "open", "records", found.Records, "segments", found.Segments, "bytes", disk, "torn", found.Torn,
+	h.Log("kept", "code", "open", "records", found.Records, "segments", found.Segments, "bytes", disk, "torn", found.TornBytes,
 		"keys", keys, "doubts", doubts)
 	k := &Keeper{host: h, dir: dir, j: j, wake: make(chan struct{}, 1), wakeF: make(chan struct{}, 1),
 		over: make(chan struct{}), done: make(chan struct{})}
@@ -135,7 +135,7 @@
 	defer k.mu.Unlock()
 	n, bytes := 0, 0
 	for n < min(len(k.writes), batchMost) && bytes < batchBytes {
-		bytes += len(k.writes[n].Record.Result) + int(k.writes[n].CopyFrom.Len) + 256
+		bytes += len(k.writes[n].Record.Result) + int(k.writes[n].CopyFrom.Length) + 256
 		n++
 	}
 	out = append(out, k.writes[:n]...)
@@ -184,10 +184,10 @@
 	var bad error
 	for _, w := range all {
 		r := w.Record
-		if w.CopyFrom.Seg > 0 {
+		if w.CopyFrom.Segment > 0 {
 			var err error
 			if r, err = journal.Read(k.dir, w.CopyFrom); err != nil {
-				k.host.Log("kept", "code", "unreadable", "segment", w.CopyFrom.Seg, "at", w.CopyFrom.At, "error", err)
+				k.host.Log("kept", "code", "unreadable", "segment", w.CopyFrom.Segment, "at", w.CopyFrom.Offset, "error", err)
 				bad = err
 				break
 			}
@@ -205,7 +205,7 @@
 		k.host.Tell(core.Appended{Positions: places, Segments: k.j.Segments()})
 	}
 	if bad != nil {
-		if errors.Is(bad, journal.ErrDamage) {
+		if errors.Is(bad, journal.ErrDamaged) {
 			k.host.Tell(core.CopyUnreadable{})
 		} else { // the disk may read it another time: nothing is given up
 			k.host.Tell(core.AppendFailed{N: 1, Segments: k.j.Segments()})
--- a/internal/kept/look.go
+++ b/internal/kept/look.go
@@ -15,7 +15,7 @@
 
 // Look is what a folder holds, read without taking it: a node may run on it.
 type Look struct {
-	Found  journal.Found
+	Found  journal.Summary
 	Damage []journal.Damage
 	Items  []ops.Operation
 	dir    folder.Folder
@@ -127,7 +127,7 @@
 		fmt.Fprintln(w, d.Error())
 	}
 	if len(l.Damage) > 0 {
-		return fmt.Errorf("%w: %d places", journal.ErrDamage, len(l.Damage))
+		return fmt.Errorf("%w: %d places", journal.ErrDamaged, len(l.Damage))
 	}
 	return nil
 }
--- a/internal/lab/kept.go
+++ b/internal/lab/kept.go
@@ -39,29 +39,29 @@
 
 // keepers are the engines that were weighed: each makes a batch of records last.
 type keeper interface {
-	append([]journal.Record) ([]journal.Place, error)
+	append([]journal.Record) ([]journal.Position, error)
 	close() error
 }
 
 type logKeeper struct{ *journal.Journal }
 
-func (l logKeeper) append(r []journal.Record) ([]journal.Place, error) { return l.Append(r) }
-func (l logKeeper) close() error                                       { return l.Close() }
+func (l logKeeper) append(r []journal.Record) ([]journal.Position, error) { return l.Append(r) }
+func (l logKeeper) close() error                                          { return l.Close() }
 
 // boltKeeper keeps the last record of each key in a B+ tree, a transaction a batch.
 type boltKeeper struct{ db *bbolt.DB }
 
 var boltBucket = []byte("ops")
 
-func (b boltKeeper) append(all []journal.Record) ([]journal.Place, error) {
-	places := make([]journal.Place, len(all))
+func (b boltKeeper) append(all []journal.Record) ([]journal.Position, error) {
+	places := make([]journal.Position, len(all))
 	err := b.db.Update(func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists(boltBucket)
 		if err != nil {
 			return err
 		}
 		for i, r := range all {
-			places[i] = journal.Place{Seg: 1, At: uint32(i), Len: 1}
+			places[i] = journal.Position{Segment: 1, Offset: uint32(i), Length: 1}
 			if r.Kind == journal.NotRun {
 				if err := bucket.Delete([]byte(r.Key)); err != nil {
 					return err
@@ -86,10 +86,10 @@
 // nothingKeeper is what the table of operations takes by itself.
 type nothingKeeper struct{}
 
-func (nothingKeeper) append(all []journal.Record) ([]journal.Place, error) {
-	places := make([]journal.Place, len(all))
+func (nothingKeeper) append(all []journal.Record) ([]journal.Position, error) {
+	places := make([]journal.Position, len(all))
 	for i := range places {
-		places[i] = journal.Place{Seg: 1, At: uint32(i), Len: 1}
+		places[i] = journal.Position{Segment: 1, Offset: uint32(i), Length: 1}
 	}
 	return places, nil
 }
@@ -108,7 +108,7 @@
 			if err != nil {
 				return nil, err
 			}
-			j, _, err := journal.Open(f, journal.Options{Node: "lab", SegmentBytes: 8 << 20}, func(journal.Record, journal.Place) {})
+			j, _, err := journal.Open(f, journal.Options{Node: "lab", SegmentBytes: 8 << 20}, func(journal.Record, journal.Position) {})
 			return logKeeper{j}, err
 		}},
 		{"bbolt", func(path string) (keeper, error) {
@@ -158,7 +158,7 @@
 			}
 		}
 		places, err := k.append(all)
-		t.WritesDurable(now(), places, []journal.Segment{{No: 1}})
+		t.WritesDurable(now(), places, []journal.Segment{{Number: 1}})
 		return err
 	}
 	cpu, begin := own(), time.Now()
@@ -313,7 +313,7 @@
 		if err != nil {
 			return out, err
 		}
-		j, _, err := journal.Open(f, journal.Options{Node: "lab", SegmentBytes: 8 << 20}, func(journal.Record, journal.Place) {})
+		j, _, err := journal.Open(f, journal.Options{Node: "lab", SegmentBytes: 8 << 20}, func(journal.Record, journal.Position) {})
 		if err != nil {
 			return out, err
 		}
--- a/internal/ops/disk.go
+++ b/internal/ops/disk.go
@@ -20,7 +20,7 @@
 }
 
 // WritesDurable tells that the first writes on their way last, and where they stand.
-func (t *Table) WritesDurable(now float64, places []journal.Place, segs []journal.Segment) {
+func (t *Table) WritesDurable(now float64, places []journal.Position, segs []journal.Segment) {
 	t.failing = false
 	t.SetSegments(segs)
 	for i, w := range t.take(len(places)) {
@@ -28,7 +28,7 @@
 		if o == nil || o.gone {
 			continue // of no use any more
 		}
-		if w.from.Seg > 0 {
+		if w.from.Segment > 0 {
 			if o.place == w.from {
 				t.setPlace(o, places[i])
 			}
@@ -72,7 +72,7 @@
 	for _, w := range t.take(n) {
 		o := w.op
 		switch {
-		case w.from.Seg > 0: // it stands where it stood
+		case w.from.Segment > 0: // it stands where it stood
 		case w.rec.Kind == journal.NotRun:
 			t.pending = append(t.pending, &write{rec: w.rec, since: now})
 			t.do(Write{Record: w.rec})
@@ -101,7 +101,7 @@
 	if o.gone || o.place != w.from || o.state == Ending {
 		return
 	}
-	r := journal.Record{Kind: journal.Intended, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, By: o.by}
+	r := journal.Record{Kind: journal.Intended, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, ResolvedBy: o.by}
 	if o.state == Done {
 		t.do(LogEvent{"lost-result", o.key, o.run})
 		o.end, r.Kind = journal.Failed, journal.Failed
@@ -111,7 +111,7 @@
 }
 
 // Recover takes a record of the journal, in order, when a node starts.
-func (t *Table) Recover(r journal.Record, p journal.Place) {
+func (t *Table) Recover(r journal.Record, p journal.Position) {
 	o := t.ops[r.Key]
 	if r.Kind == journal.NotRun {
 		if o != nil && o.run == r.Run {
@@ -122,7 +122,7 @@
 	if o != nil {
 		t.forget(o)
 	}
-	o = &op{key: r.Key, run: r.Run, at: r.At, by: r.By}
+	o = &op{key: r.Key, run: r.Run, at: r.At, by: r.ResolvedBy}
 	copy(o.digest[:], r.Digest)
 	o.age.What = o
 	t.ops[o.key], t.runs[o.run] = o, o
@@ -160,16 +160,16 @@
 }
 
 // setPlace notes where the record of an operation stands that counts.
-func (t *Table) setPlace(o *op, p journal.Place) {
+func (t *Table) setPlace(o *op, p journal.Position) {
 	t.unplace(o)
-	s := t.live[p.Seg]
+	s := t.live[p.Segment]
 	if s == nil {
 		s = &segment{}
-		t.live[p.Seg] = s
+		t.live[p.Segment] = s
 	}
 	s.n++
-	s.bytes += int64(p.Len)
-	t.liveSum += int64(p.Len)
+	s.bytes += int64(p.Length)
+	t.liveSum += int64(p.Length)
 	o.place, o.prev, o.next = p, nil, s.first
 	if s.first != nil {
 		s.first.prev = o
@@ -178,13 +178,13 @@
 }
 
 func (t *Table) unplace(o *op) {
-	s := t.live[o.place.Seg]
-	if s == nil || o.place.Seg == 0 {
+	s := t.live[o.place.Segment]
+	if s == nil || o.place.Segment == 0 {
 		return
 	}
 	s.n--
-	s.bytes -= int64(o.place.Len)
-	t.liveSum -= int64(o.place.Len)
+	s.bytes -= int64(o.place.Length)
+	t.liveSum -= int64(o.place.Length)
 	if o.prev != nil {
 		o.prev.next = o.next
 	} else {
@@ -194,9 +194,9 @@
 		o.next.prev = o.prev
 	}
 	if s.n == 0 {
-		delete(t.live, o.place.Seg)
+		delete(t.live, o.place.Segment)
 	}
-	o.place, o.prev, o.next = journal.Place{}, nil, nil
+	o.place, o.prev, o.next = journal.Position{}, nil, nil
 }
 
 // moves tells whether the oldest segment is to be moved: most of the journal counts no more, or there are many files.
@@ -204,7 +204,7 @@
 	if len(t.segs) < 2 || t.failing || t.dropping > 0 || t.closed {
 		return false
 	}
-	return t.live[t.segs[0].No] == nil || t.disk > 2*t.liveSum+2*t.limits.SegmentBytes || len(t.segs) > segsMost
+	return t.live[t.segs[0].Number] == nil || t.disk > 2*t.liveSum+2*t.limits.SegmentBytes || len(t.segs) > segsMost
 }
 
 // move copies some of what counts in the oldest segment to the end, and removes the segment once nothing in it does.
@@ -214,14 +214,14 @@
 		return
 	}
 	t.copyAt = now + copyEvery
-	oldest := t.live[t.segs[0].No]
+	oldest := t.live[t.segs[0].Number]
 	if oldest == nil {
-		t.dropping = t.segs[0].No
+		t.dropping = t.segs[0].Number
 		t.do(DropSegment{t.dropping})
 		return
 	}
 	for _, w := range t.pending {
-		if w.from.Seg > 0 {
+		if w.from.Segment > 0 {
 			return // the last ones are on their way
 		}
 	}
--- a/internal/ops/dump.go
+++ b/internal/ops/dump.go
@@ -19,11 +19,11 @@
 				live++
 			}
 		}
-		lines = append(lines, fmt.Sprint(o.key, " ", o.state, " ", o.run, " ", o.led, " ", o.end, " ", live, " ", o.place.Seg > 0))
+		lines = append(lines, fmt.Sprint(o.key, " ", o.state, " ", o.run, " ", o.led, " ", o.end, " ", live, " ", o.place.Segment > 0))
 	}
 	slices.Sort(lines)
 	for _, w := range t.pending {
-		lines = append(lines, fmt.Sprint("write ", w.rec.Kind, " ", w.rec.Run, " ", w.from.Seg > 0))
+		lines = append(lines, fmt.Sprint("write ", w.rec.Kind, " ", w.rec.Run, " ", w.from.Segment > 0))
 	}
 	return fmt.Sprint(strings.Join(lines, "\n"), "\nfailing ", t.failing)
 }
@@ -34,7 +34,7 @@
 	State                State
 	End                  journal.Kind // of one that is done
 	At                   float64
-	Position             journal.Place
+	Position             journal.Position
 }
 
 // Operations lists the operations in order of their last change.
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -84,7 +84,7 @@
 	// given, the record is the one that stands there.
 	Write struct {
 		Record   journal.Record
-		CopyFrom journal.Place
+		CopyFrom journal.Position
 	}
 	// StartRun hands a run to the worker pool.
 	StartRun struct{ ID string }
@@ -97,7 +97,7 @@
 	// Fetch serves a request with the result of a record.
 	Fetch struct {
 		ID       string
-		Position journal.Place
+		Position journal.Position
 	}
 	// Fail answers a request that may have run.
 	Fail struct {
@@ -139,9 +139,9 @@
 	result  []byte   // until it lasts
 	by      string
 
-	age        order.Due[*op] // of those that are aged out
-	place      journal.Place  // of the record that counts; no segment: none
-	prev, next *op            // in its segment
+	age        order.Due[*op]   // of those that are aged out
+	place      journal.Position // of the record that counts; no segment: none
+	prev, next *op              // in its segment
 }
 
 const digestSize = 16
@@ -150,7 +150,7 @@
 type write struct {
 	op    *op
 	rec   journal.Record
-	from  journal.Place // of a copy
+	from  journal.Position // of a copy
 	since float64
 }
 
@@ -254,10 +254,10 @@
 }
 
 // Position returns where the result of a key stands now, for a fetch that crossed a move.
-func (t *Table) Position(key string) (journal.Place, bool) {
+func (t *Table) Position(key string) (journal.Position, bool) {
 	o := t.ops[key]
 	if o == nil || o.state != Done || o.end != journal.Finished {
-		return journal.Place{}, false
+		return journal.Position{}, false
 	}
 	return o.place, true
 }
@@ -328,7 +328,7 @@
 // undo forgets an operation that provably did not run. If its intent was written, that is taken back on the disk, too.
 func (t *Table) undo(now float64, o *op, written bool) {
 	if written {
-		t.write(now, nil, journal.Record{Kind: journal.NotRun, Key: o.key, Run: o.run, At: now, By: o.by})
+		t.write(now, nil, journal.Record{Kind: journal.NotRun, Key: o.key, Run: o.run, At: now, ResolvedBy: o.by})
 	}
 	t.forget(o)
 	t.release(o, func(id string) Effect { return Refuse{id, ReasonNotRun} })
@@ -357,7 +357,7 @@
 }
 
 func (t *Table) writeEnd(now float64, o *op) {
-	t.write(now, o, journal.Record{Kind: o.end, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, Result: o.result, By: o.by})
+	t.write(now, o, journal.Record{Kind: o.end, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, Result: o.result, ResolvedBy: o.by})
 }
 
 // MarkInDoubt tells that nothing more will be heard of a run in its time.
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -21,13 +21,13 @@
 	seg  uint32
 	at   uint32
 	segs []journal.Segment
-	all  map[journal.Place]journal.Record
+	all  map[journal.Position]journal.Record
 	log  []Effect // all but writes
 	wait []Write
 }
 
 func newDisk(l Limits) *disk {
-	return &disk{t: New(l), seg: 1, segs: []journal.Segment{{No: 1}}, all: map[journal.Place]journal.Record{}}
+	return &disk{t: New(l), seg: 1, segs: []journal.Segment{{Number: 1}}, all: map[journal.Position]journal.Record{}}
 }
 
 // effects takes what the table wants.
@@ -47,18 +47,18 @@
 // lay makes all that waits last.
 func (d *disk) lay(now float64) []Effect {
 	d.log = append(d.log, d.effects()...)
-	var places []journal.Place
+	var places []journal.Position
 	for _, w := range d.wait {
 		r := w.Record
-		if w.CopyFrom.Seg > 0 {
+		if w.CopyFrom.Segment > 0 {
 			r = d.all[w.CopyFrom]
 		}
 		if int64(d.at) >= d.t.limits.SegmentBytes {
 			d.seg, d.at = d.seg+1, 0
-			d.segs = append(d.segs, journal.Segment{No: d.seg})
+			d.segs = append(d.segs, journal.Segment{Number: d.seg})
 		}
-		p := journal.Place{Seg: d.seg, At: d.at, Len: uint32(100 + len(r.Result))}
-		d.at += p.Len
+		p := journal.Position{Segment: d.seg, Offset: d.at, Length: uint32(100 + len(r.Result))}
+		d.at += p.Length
 		d.segs[len(d.segs)-1].Bytes = int64(d.at)
 		d.all[p] = r
 		places = append(places, p)
@@ -114,7 +114,7 @@
 		t.Errorf("the new try of the key stays as it was: %+v", v)
 	}
 	d = newDisk(limits)
-	d.t.SetSegments([]journal.Segment{{No: 1, Bytes: 10000}})
+	d.t.SetSegments([]journal.Segment{{Number: 1, Bytes: 10000}})
 	if v := d.t.Begin(1000, "a1", "a", digest("a")); v.Reason != ReasonFull {
 		t.Errorf("the disk is full: %+v", v)
 	}
@@ -128,7 +128,7 @@
 		want VerdictKind
 	}{{10e6 + 50e3, VerdictServed}, {10e6 - 3600e3, VerdictServed}, {10e6 + 101e3, VerdictFirst}} {
 		d := newDisk(limits)
-		d.t.Recover(journal.Record{Kind: journal.Finished, Key: "a", Run: "a1", At: 10e6, Digest: make([]byte, digestSize)}, journal.Place{Seg: 1, Len: 100})
+		d.t.Recover(journal.Record{Kind: journal.Finished, Key: "a", Run: "a1", At: 10e6, Digest: make([]byte, digestSize)}, journal.Position{Segment: 1, Length: 100})
 		d.t.FinishRecovery(c.now, d.segs)
 		if v := d.t.Begin(c.now, "a2", "a", [digestSize]byte{}); v.Kind != c.want {
 			t.Errorf("at %v: %+v, want %v", c.now, v, c.want)
@@ -260,11 +260,11 @@
 			}
 			for _, e := range d.effects() {
 				if e, ok := e.(DropSegment); ok {
-					if e.Segment != d.segs[0].No || len(d.segs) < 2 {
+					if e.Segment != d.segs[0].Number || len(d.segs) < 2 {
 						t.Fatalf("segment %d of %v is dropped", e.Segment, d.segs)
 					}
 					for p := range d.all {
-						if p.Seg == e.Segment {
+						if p.Segment == e.Segment {
 							delete(d.all, p)
 						}
 					}
@@ -281,11 +281,11 @@
 			for _, e := range d.log {
 				if _, ok := e.(DropSegment); ok {
 					for p := range d.all {
-						if p.Seg == d.segs[0].No {
+						if p.Segment == d.segs[0].Number {
 							delete(d.all, p)
 						}
 					}
-					no := d.segs[0].No
+					no := d.segs[0].Number
 					d.segs = d.segs[1:]
 					d.t.SegmentDropped(now, no, true, append([]journal.Segment{}, d.segs...))
 				}
@@ -300,14 +300,14 @@
 			for at := uint32(0); int64(at) < s.Bytes; {
 				found := false
 				for p, r := range d.all {
-					if p.Seg == s.No && p.At == at {
+					if p.Segment == s.Number && p.Offset == at {
 						again.Recover(r, p)
-						at += p.Len
+						at += p.Length
 						found = true
 					}
 				}
 				if !found {
-					t.Fatalf("nothing at %d of segment %d", at, s.No)
+					t.Fatalf("nothing at %d of segment %d", at, s.Number)
 				}
 			}
 		}
@@ -339,7 +339,7 @@
 	for i := range subjects {
 		key := fmt.Sprint("s", i)
 		d.t.Recover(journal.Record{Kind: journal.Finished, Key: key, Run: fmt.Sprint("r", i), At: 1000, Digest: make([]byte, digestSize)},
-			journal.Place{Seg: 1, At: uint32(100 * i), Len: 100})
+			journal.Position{Segment: 1, Offset: uint32(100 * i), Length: 100})
 	}
 	d.t.FinishRecovery(1000, d.segs)
 	zipf := rand.NewZipf(rand.New(rand.NewPCG(1, 1)), 1.2, 1, 2*subjects)
@@ -414,7 +414,7 @@
 	d.t.Begin(1000, "b1", "b", digest("b"))
 	d.t.WriteIntent(1000, "b1")
 	d.lay(1000)
-	before := [2]journal.Place{d.t.ops["a"].place, d.t.ops["b"].place}
+	before := [2]journal.Position{d.t.ops["a"].place, d.t.ops["b"].place}
 	for _, key := range []string{"a", "b"} {
 		o := d.t.ops[key]
 		d.t.pending = append(d.t.pending, &write{op: o, from: o.place, since: 1000})
@@ -454,7 +454,7 @@
 func TestClosedTableComesToRest(t *testing.T) {
 	x := New(Limits{Keys: 10, DiskBytes: 1 << 20, SegmentBytes: 1 << 16, AgeMs: 1e6, DoubtMs: 1e6})
 	lasts := func(n int) {
-		x.WritesDurable(1, make([]journal.Place, n), nil)
+		x.WritesDurable(1, make([]journal.Position, n), nil)
 		x.Effects()
 	}
 	for _, id := range []string{"a", "b"} {
