--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -6,7 +6,7 @@
 	"io/fs"
 	"slices"
 
-	"whinrudder/internal/folder"
+	"whinrudder/internal/storage"
 )
 
 // Segment is a file of a journal.
@@ -26,13 +26,13 @@
 
 // Journal appends records and reads them by their places. It is used from one goroutine, but for Read.
 type Journal struct {
-	dir     folder.Folder
+	dir     storage.Dir
 	node    string
 	most    int64 // bytes from which on a segment is followed by another
 	release func()
 
 	segs  []Segment // in order; the last may be the one that is appended to
-	cur   folder.File
+	cur   storage.File
 	at    uint32 // end of what counts in the last segment
 	batch uint64
 	bad   bool // what follows at in the last segment is not known
@@ -50,7 +50,7 @@
 
 // Open takes the folder and reads a journal, or begins one, and hands each record that counts to visit, in order. What a
 // crash left behind the last batch is passed over; what can't come from a crash is an error (Damage).
-func Open(dir folder.Folder, o Options, visit func(Record, Position)) (*Journal, Summary, error) {
+func Open(dir storage.Dir, o Options, visit func(Record, Position)) (*Journal, Summary, error) {
 	release, err := dir.Lock()
 	if err != nil {
 		return nil, Summary{}, err
@@ -85,7 +85,7 @@
 }
 
 // numbers lists the segments of a folder in order.
-func numbers(dir folder.Folder) (out []uint32, err error) {
+func numbers(dir storage.Dir) (out []uint32, err error) {
 	names, err := dir.Names()
 	for _, n := range names {
 		if seg, ok := number(n); ok {
@@ -97,7 +97,7 @@
 }
 
 // load reads a whole segment.
-func load(dir folder.Folder, seg uint32) ([]byte, error) {
+func load(dir storage.Dir, seg uint32) ([]byte, error) {
 	f, err := dir.Open(name(seg))
 	if err != nil {
 		return nil, err
@@ -310,7 +310,7 @@
 }
 
 // Read returns the record of a place. It may be called from any goroutine.
-func Read(dir folder.Folder, p Position) (Record, error) {
+func Read(dir storage.Dir, p Position) (Record, error) {
 	f, err := dir.Open(name(p.Segment))
 	if err != nil {
 		return Record{}, err
--- a/internal/journal/verify.go
+++ b/internal/journal/verify.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"io/fs"
 
-	"whinrudder/internal/folder"
+	"whinrudder/internal/storage"
 )
 
 // Verify reads a whole journal, without taking the folder, hands each record that is whole to visit, and returns all that
 // is wrong. What a crash may leave behind the last batch counts as wrong, too, as nothing tells it from damage: its Reason
 // says so. A running node may remove a segment meanwhile; then it begins again, a few times.
-func Verify(dir folder.Folder, visit func(Record, Position)) (found Summary, all []Damage, err error) {
+func Verify(dir storage.Dir, visit func(Record, Position)) (found Summary, all []Damage, err error) {
 	for range 5 {
 		var records []Record
 		var places []Position
@@ -27,7 +27,7 @@
 	return found, all, err
 }
 
-func verify(dir folder.Folder, visit func(Record, Position)) (found Summary, all []Damage, err error) {
+func verify(dir storage.Dir, visit func(Record, Position)) (found Summary, all []Damage, err error) {
 	segs, err := numbers(dir)
 	if err != nil {
 		return found, nil, err
--- a/internal/kept/holder.go
+++ b/internal/kept/holder.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"whinrudder/internal/core"
-	"whinrudder/internal/folder"
 	"whinrudder/internal/ops"
 	"whinrudder/internal/ownership"
+	"whinrudder/internal/storage"
 )
 
 // Holder has the journal of a node while this process is the one that shall have it. It drives package ownership, which
@@ -109,7 +109,7 @@
 			k.j.Close()
 		}
 	}
-	if err != nil && !errors.Is(err, folder.ErrInUse) && err.Error() != h.fault { // once, however often it is tried
+	if err != nil && !errors.Is(err, storage.ErrInUse) && err.Error() != h.fault { // once, however often it is tried
 		h.fault = err.Error()
 		h.host.Log("kept", "code", "unopened", "error", err)
 	}
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"whinrudder/internal/core"
-	"whinrudder/internal/folder"
 	"whinrudder/internal/journal"
 	"whinrudder/internal/ops"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storage"
 )
 
 // Bounds of a batch, and pauses in milliseconds.
@@ -38,7 +38,7 @@
 // Keeper holds the journal of a node.
 type Keeper struct {
 	host   Host
-	dir    folder.Folder
+	dir    storage.Dir
 	j      *journal.Journal
 	socket net.Listener
 
@@ -59,7 +59,7 @@
 }
 
 // Open recovers the operations of a folder. Nothing is written before Run.
-func Open(h Host, dir folder.Folder, o settings.Kept, now float64) (*Keeper, *ops.Table, error) {
+func Open(h Host, dir storage.Dir, o settings.Kept, now float64) (*Keeper, *ops.Table, error) {
 	t := ops.New(Limits(o))
 	j, found, err := journal.Open(dir, journal.Options{Node: h.Name, SegmentBytes: int64(o.SegmentMB) << 20}, t.Recover)
 	if err != nil {
--- a/internal/kept/look.go
+++ b/internal/kept/look.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fastjson"
 
-	"whinrudder/internal/folder"
 	"whinrudder/internal/journal"
 	"whinrudder/internal/ops"
+	"whinrudder/internal/storage"
 )
 
 // Look is what a folder holds, read without taking it: a node may run on it.
@@ -18,12 +18,12 @@
 	Found  journal.Summary
 	Damage []journal.Damage
 	Items  []ops.Operation
-	dir    folder.Folder
+	dir    storage.Dir
 }
 
 // LookAt reads a folder.
 func LookAt(path string) (*Look, error) {
-	dir, err := folder.At(path)
+	dir, err := storage.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/kept/resolve.go
+++ b/internal/kept/resolve.go
@@ -12,9 +12,9 @@
 	"github.com/valyala/fastjson"
 
 	"whinrudder/internal/core"
-	"whinrudder/internal/folder"
 	"whinrudder/internal/journal"
 	"whinrudder/internal/ops"
+	"whinrudder/internal/storage"
 )
 
 // Bounds of the talk with an operator.
@@ -121,13 +121,13 @@
 
 // Say gives a word to the node that has a folder, or, if none has, writes it into the journal itself.
 func Say(path, node string, w Word, now float64) error {
-	dir, err := folder.At(path)
+	dir, err := storage.OpenDir(path)
 	if err != nil {
 		return err
 	}
 	t := ops.New(ops.Limits{Keys: 1 << 30, AgeMs: 1e15, DoubtMs: 1e15})
 	j, _, err := journal.Open(dir, journal.Options{Node: node, SegmentBytes: 1 << 20}, t.Recover)
-	if errors.Is(err, folder.ErrInUse) {
+	if errors.Is(err, storage.ErrInUse) {
 		return ask(filepath.Join(path, socketName), w, now)
 	}
 	if err != nil {
--- a/internal/lab/kept.go
+++ b/internal/lab/kept.go
@@ -20,11 +20,11 @@
 	"go.etcd.io/bbolt"
 	"gonum.org/v1/gonum/stat"
 
-	"whinrudder/internal/folder"
 	"whinrudder/internal/journal"
 	"whinrudder/internal/kept"
 	"whinrudder/internal/ops"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storage"
 )
 
 // KeptRun is what bookings took in one way of keeping their results.
@@ -104,7 +104,7 @@
 	}{
 		{"no disk", func(string) (keeper, error) { return nothingKeeper{}, nil }},
 		{"log", func(path string) (keeper, error) {
-			f, err := folder.At(path)
+			f, err := storage.OpenDir(path)
 			if err != nil {
 				return nil, err
 			}
@@ -309,7 +309,7 @@
 func Recoveries(dir string, sizes []int) (out []Recovery, err error) {
 	for _, n := range sizes {
 		path := filepath.Join(dir, fmt.Sprint("recover", n))
-		f, err := folder.At(path)
+		f, err := storage.OpenDir(path)
 		if err != nil {
 			return out, err
 		}
--- a/internal/lab/stall.go
+++ b/internal/lab/stall.go
@@ -13,9 +13,9 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"whinrudder/internal/folder"
 	"whinrudder/internal/node"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storage"
 )
 
 // StallRun is what became of a class's requests before, during and after a stall of the disk.
@@ -27,17 +27,17 @@
 
 // stalling is a folder whose syncs wait while it stalls.
 type stalling struct {
-	folder.Folder
+	storage.Dir
 	mu sync.RWMutex // held while it stalls
 }
 
 type stallingFile struct {
-	folder.File
+	storage.File
 	of *stalling
 }
 
-func (s *stalling) Create(name string) (folder.File, error) {
-	f, err := s.Folder.Create(name)
+func (s *stalling) Create(name string) (storage.File, error) {
+	f, err := s.Dir.Create(name)
 	if err != nil {
 		return nil, err
 	}
@@ -70,9 +70,9 @@
 		return nil, err
 	}
 	var disk *stalling
-	n.KeepIn(func(path string) (folder.Folder, error) {
-		f, err := folder.At(path)
-		disk = &stalling{Folder: f}
+	n.KeepIn(func(path string) (storage.Dir, error) {
+		f, err := storage.OpenDir(path)
+		disk = &stalling{Dir: f}
 		return disk, err
 	})
 	if err := n.Listen(); err != nil {
--- a/internal/memfolder/memfolder.go
+++ b/internal/memfolder/memfolder.go
@@ -1,4 +1,4 @@
-// Package memfolder is a stand-in for a disk, in memory: a folder.Folder that fails, tears and forgets. Each operation has
+// Package memfolder is a stand-in for a disk, in memory: a storage.Dir that fails, tears and forgets. Each operation has
 // a number; a Fault says what becomes of it. A crash keeps what was synced, and of the rest what chance leaves, in sectors
 // and in any order, as a disk with a cache may.
 package memfolder
@@ -12,7 +12,7 @@
 	"slices"
 	"sync"
 
-	"whinrudder/internal/folder"
+	"whinrudder/internal/storage"
 )
 
 // sector is the unit that is written whole or not at all, in bytes.
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// Names implements folder.Folder.
+// Names implements storage.Dir.
 func (f *Folder) Names() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,8 +212,8 @@
 	return keysOf(f.files, nil), nil
 }
 
-// Create implements folder.Folder.
-func (f *Folder) Create(name string) (folder.File, error) {
+// Create implements storage.Dir.
+func (f *Folder) Create(name string) (storage.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.op("create", name); err != nil {
@@ -226,8 +226,8 @@
 	return &file{f, name, f.files[name]}, nil
 }
 
-// Open implements folder.Folder.
-func (f *Folder) Open(name string) (folder.File, error) {
+// Open implements storage.Dir.
+func (f *Folder) Open(name string) (storage.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.op("open", name); err != nil {
@@ -239,7 +239,7 @@
 	return &file{f, name, f.files[name]}, nil
 }
 
-// Remove implements folder.Folder.
+// Remove implements storage.Dir.
 func (f *Folder) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -250,7 +250,7 @@
 	return nil
 }
 
-// Sync implements folder.Folder.
+// Sync implements storage.Dir.
 func (f *Folder) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -264,12 +264,12 @@
 	return nil
 }
 
-// Lock implements folder.Folder.
+// Lock implements storage.Dir.
 func (f *Folder) Lock() (func(), error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.held {
-		return nil, folder.ErrInUse
+		return nil, storage.ErrInUse
 	}
 	f.held = true
 	return func() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,13 +17,13 @@
 	"whinrudder/internal/core"
 	"whinrudder/internal/counters"
 	"whinrudder/internal/door"
-	"whinrudder/internal/folder"
 	"whinrudder/internal/front"
 	"whinrudder/internal/h2"
 	"whinrudder/internal/httpfront"
 	"whinrudder/internal/kept"
 	"whinrudder/internal/pool"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storage"
 	"whinrudder/internal/uwsgi"
 )
 
@@ -79,7 +79,7 @@
 	leave  leave       // set before the core hears of it
 	away   atomic.Bool // operators have sent the clients away
 
-	folderAt  func(path string) (folder.Folder, error)
+	folderAt  func(path string) (storage.Dir, error)
 	holder    *kept.Holder // nil: no results are kept
 	parts     []Part       // what the operator's file turns on, see parts.go
 	peerAddr  string       // of the peer port
@@ -107,7 +107,7 @@
 	}
 	n := &Node{cfg: cfg, op: op, site: front.NewSite(cfg.Settings.Classes, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
 		addrs: map[string]string{}, sockets: map[string]net.Listener{}, in: make(chan core.Input, 4096), quit: make(chan struct{}), over: make(chan struct{})}
-	n.folderAt, n.catalog = folder.At, classindex.New(cfg.Settings)
+	n.folderAt, n.catalog = storage.OpenDir, classindex.New(cfg.Settings)
 	n.view = n.catalog.View(cfg.Settings.Policy)
 	n.site.Set(n.terms(n.view, kept))
 	c.SetCounters(n.figures.Classes(n.view.Names))
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -9,10 +9,10 @@
 
 	"whinrudder/internal/core"
 	"whinrudder/internal/door"
-	"whinrudder/internal/folder"
 	"whinrudder/internal/kept"
 	"whinrudder/internal/membership"
 	"whinrudder/internal/ops"
+	"whinrudder/internal/storage"
 	"whinrudder/internal/warmup"
 	"whinrudder/internal/zk"
 )
@@ -64,7 +64,7 @@
 }
 
 // KeepIn lets results be kept in folders of another kind than those of the disk. It must be called before Listen.
-func (n *Node) KeepIn(at func(path string) (folder.Folder, error)) { n.folderAt = at }
+func (n *Node) KeepIn(at func(path string) (storage.Dir, error)) { n.folderAt = at }
 
 // keep recovers the operations whose results are kept, before any request is read; where another process of the node is
 // there, once that gives them up.
--- a/internal/folder/folder.go
+++ b/internal/storage/storage.go
@@ -1,7 +1,7 @@
-// Package folder is the narrow interface through which durable state meets a disk: one folder of append-only files. What
-// is written counts only once File.Sync has returned, names only once Folder.Sync has. A stand-in that fails, tears and
+// Package storage is the narrow interface through which durable state meets a disk: one folder of append-only files. What
+// is written counts only once File.Sync has returned, names only once Dir.Sync has. A stand-in that fails, tears and
 // crashes is in memfolder.
-package folder
+package storage
 
 import (
 	"errors"
@@ -12,8 +12,8 @@
 	"syscall"
 )
 
-// Folder holds files by their names.
-type Folder interface {
+// Dir holds files by their names.
+type Dir interface {
 	Names() ([]string, error)
 	// Create makes a file that must not exist.
 	Create(name string) (File, error)
@@ -46,8 +46,8 @@
 
 type disk string
 
-// At returns the folder of a path, which is made if it does not exist.
-func At(path string) (Folder, error) {
+// OpenDir returns the folder of a path, which is made if it does not exist.
+func OpenDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/folder/folder_test.go
+++ b/internal/storage/storage_test.go
@@ -1,4 +1,4 @@
-package folder
+package storage
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 // A folder on the disk keeps what was written, refuses a second holder, and takes no file for its own that is none.
 func TestOnDisk(t *testing.T) {
 	path := t.TempDir()
-	d, err := At(path)
+	d, err := OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := At(path)
+	other, err := OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
