--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -10,11 +10,11 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"whinrudder/internal/memfolder"
+	"whinrudder/internal/storagetest"
 )
 
 // read opens a journal and returns what it holds.
-func read(t interface{ Fatal(...any) }, dir *memfolder.Folder) (*Journal, Summary, []Record, []Position) {
+func read(t interface{ Fatal(...any) }, dir *storagetest.Dir) (*Journal, Summary, []Record, []Position) {
 	var all []Record
 	var places []Position
 	j, found, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, p Position) {
@@ -35,12 +35,12 @@
 // be there only if nothing was taken after it, and the journal can be used again after each reboot.
 func TestBatchesOutliveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dir := memfolder.New(rapid.Uint64().Draw(t, "seed"))
+		dir := storagetest.New(rapid.Uint64().Draw(t, "seed"))
 		var sure []string    // keys in order
 		var maybe [][]string // batches of which one, or its beginning, may follow
 		n := 0
 		for range rapid.IntRange(1, 5).Draw(t, "lives") {
-			dir.Faults(nil)
+			dir.SetFaults(nil)
 			j, _, got, places := read(t, dir)
 			var keys []string
 			for i, r := range got {
@@ -57,16 +57,16 @@
 				t.Fatalf("read %v after what was taken, but one of %v might be there", rest, maybe)
 			}
 			sure, maybe = keys, nil
-			crash := dir.Ops() + rapid.IntRange(1, 60).Draw(t, "crash after")
+			crash := dir.OpCount() + rapid.IntRange(1, 60).Draw(t, "crash after")
 			flaky := rapid.IntRange(0, 8).Draw(t, "one of so many fails")
-			dir.Faults(func(o memfolder.Op) memfolder.Fault {
+			dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
 				switch {
-				case o.N == crash:
-					return memfolder.Crash
-				case flaky > 1 && o.N%(flaky+1) == 0:
-					return memfolder.Fail
+				case o.Number == crash:
+					return storagetest.Crash
+				case flaky > 1 && o.Number%(flaky+1) == 0:
+					return storagetest.Fail
 				}
-				return memfolder.None
+				return storagetest.None
 			})
 			for range 25 {
 				var batch []Record
@@ -77,7 +77,7 @@
 				}
 				if _, err := j.Append(batch); err == nil {
 					sure, maybe = append(sure, keys...), nil
-				} else if maybe = append(maybe, keys); !errors.Is(err, memfolder.ErrCrash) && !errors.Is(err, memfolder.ErrFault) {
+				} else if maybe = append(maybe, keys); !errors.Is(err, storagetest.ErrCrash) && !errors.Is(err, storagetest.ErrInjected) {
 					t.Fatal(err)
 				}
 			}
@@ -88,7 +88,7 @@
 
 // Each flipped bit is found by Verify, and Open never takes one for something else: it refuses, or drops the last batch.
 func TestEachFlippedByteIsFound(t *testing.T) {
-	dir := memfolder.New(1)
+	dir := storagetest.New(1)
 	j, _, _, _ := read(t, dir)
 	last := 0
 	for n := range 14 {
@@ -108,7 +108,7 @@
 	flips, refused, dropped := 0, 0, 0
 	for _, name := range names {
 		for at := range dir.Read(name) {
-			dir.Flip(name, at)
+			dir.FlipBit(name, at)
 			flips++
 			if _, all, err := Verify(dir, func(Record, Position) {}); err != nil || len(all) == 0 {
 				t.Fatalf("%s byte %d: not found (%v)", name, at, err)
@@ -131,7 +131,7 @@
 			if j != nil {
 				j.Close()
 			}
-			dir.Flip(name, at)
+			dir.FlipBit(name, at)
 		}
 	}
 	t.Logf("%d flips: %d refused, %d dropped the last batch", flips, refused, dropped)
@@ -139,15 +139,15 @@
 
 // A journal is refused by another node, by an older program and while it is in use, and a segment that is gone is missed.
 func TestWhatIsRefused(t *testing.T) {
-	open := func(dir *memfolder.Folder, node string) error {
+	open := func(dir *storagetest.Dir, node string) error {
 		j, _, err := Open(dir, Options{Node: node, SegmentBytes: 900}, func(Record, Position) {})
 		if err == nil {
 			j.Close()
 		}
 		return err
 	}
-	make := func() (*memfolder.Folder, *Journal) {
-		dir := memfolder.New(1)
+	make := func() (*storagetest.Dir, *Journal) {
+		dir := storagetest.New(1)
 		j, _, _, _ := read(t, dir)
 		for n := range 60 {
 			if _, err := j.Append([]Record{record(n)}); err != nil {
@@ -168,7 +168,7 @@
 	if err := open(dir, "n1"); !errors.Is(err, ErrDamaged) {
 		t.Error(err)
 	}
-	dir = memfolder.New(1)
+	dir = storagetest.New(1)
 	f, _ := dir.Create(name(1))
 	b, err := appendFrame(nil, 1, 0, 1, Record{Kind: header, Version: Version + 1, Node: "n1"})
 	if err != nil {
--- a/internal/kept/crash_test.go
+++ b/internal/kept/crash_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"whinrudder/internal/journal"
-	"whinrudder/internal/memfolder"
+	"whinrudder/internal/storagetest"
 )
 
 func b64(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
@@ -69,29 +69,29 @@
 	for _, e := range clean.wrong {
 		t.Fatal(e)
 	}
-	total := clean.dir.Ops()
+	total := clean.dir.OpCount()
 	points, moved := 0, clean.j.Segments()[0].Number
-	for _, fault := range []memfolder.Fault{memfolder.Crash, memfolder.Fail, memfolder.Full} {
+	for _, fault := range []storagetest.Fault{storagetest.Crash, storagetest.Fail, storagetest.Full} {
 		for _, back := range []bool{true, false} {
 			for at := 1; at <= total; at++ {
 				w := newWorld(uint64(at), usual)
 				w.back = back
-				w.dir.Faults(func(o memfolder.Op) memfolder.Fault {
-					if o.N == at {
+				w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+					if o.Number == at {
 						return fault
 					}
-					return memfolder.None
+					return storagetest.None
 				})
 				life(w)
 				points++
-				if fault == memfolder.Crash {
+				if fault == storagetest.Crash {
 					w.crash()
-					again := w.dir.Ops() + 1 + at%4
-					w.dir.Faults(func(o memfolder.Op) memfolder.Fault {
-						if o.N == again {
-							return memfolder.Crash
+					again := w.dir.OpCount() + 1 + at%4
+					w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+						if o.Number == again {
+							return storagetest.Crash
 						}
-						return memfolder.None
+						return storagetest.None
 					})
 					w.boot()
 					if w.failed == nil {
@@ -99,7 +99,7 @@
 						w.lay()
 					}
 					w.crash()
-					w.dir.Faults(nil)
+					w.dir.SetFaults(nil)
 					w.boot()
 				}
 				w.calm(keysOf(w))
@@ -116,7 +116,7 @@
 }
 
 // Records of a journal as another life would have left them.
-func fill(tb testing.TB, dir *memfolder.Folder, n int, at float64) {
+func fill(tb testing.TB, dir *storagetest.Dir, n int, at float64) {
 	j, _, err := journal.Open(dir, journal.Options{Node: "n1", SegmentBytes: 1 << 20}, func(journal.Record, journal.Position) {})
 	if err != nil {
 		tb.Fatal(err)
@@ -143,7 +143,7 @@
 	const subjects = 36000
 	full := usual
 	full.Keys, full.SegmentMB, full.DiskMB = subjects+10, 4000, 64 // segments of 1.2 MB
-	base := memfolder.New(1)
+	base := storagetest.New(1)
 	fill(t, base, subjects, 1e6)
 	steps := []func(w *world){
 		func(w *world) { w.ask("k", "b:k") },
@@ -164,17 +164,17 @@
 		if w.failed != nil {
 			t.Fatal(w.failed)
 		}
-		from := w.dir.Ops()
-		w.dir.Faults(func(o memfolder.Op) memfolder.Fault {
-			if o.N == from+fault {
-				return memfolder.Crash
+		from := w.dir.OpCount()
+		w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+			if o.Number == from+fault {
+				return storagetest.Crash
 			}
-			return memfolder.None
+			return storagetest.None
 		})
 		for _, s := range steps[:after] {
 			s(w)
 		}
-		return w.dir.Ops() - from, w
+		return w.dir.OpCount() - from, w
 	}
 	total, _ := play(len(steps), 0)
 	points := 0
@@ -220,7 +220,7 @@
 	w.ask("a", "b:a")
 	w.lay()
 	w.read()
-	w.dir.Limit(w.dir.Bytes() + 50) // the end of a does not fit
+	w.dir.SetCapacity(w.dir.Bytes() + 50) // the end of a does not fit
 	for _, id := range w.unfinished() {
 		w.finish(id)
 	}
@@ -235,7 +235,7 @@
 	if len(w.order) != 1 || refused < 15 {
 		t.Errorf("%d runs, %d refused", len(w.order), refused)
 	}
-	w.dir.Limit(0)
+	w.dir.SetCapacity(0)
 	w.lay()
 	w.lay()
 	w.calm([]string{"a", "n0", "n19"})
@@ -261,7 +261,7 @@
 	book("b")
 	for _, i := range w.table.Operations() {
 		if i.Key == "book/a" {
-			w.dir.Flip(fmt.Sprintf("%08d.log", i.Position.Segment), int(i.Position.Offset+i.Position.Length-3))
+			w.dir.FlipBit(fmt.Sprintf("%08d.log", i.Position.Segment), int(i.Position.Offset+i.Position.Length-3))
 		}
 	}
 	read := w.ask("a", "b:a")
--- a/internal/kept/model_test.go
+++ b/internal/kept/model_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"whinrudder/internal/memfolder"
+	"whinrudder/internal/storagetest"
 )
 
 // move is a thing that may happen next; it returns false where it can't.
@@ -36,14 +36,14 @@
 	}},
 	{"lay fails", func(w *world) bool {
 		can := !w.dead && len(w.writes) > 0
-		w.dir.Faults(func(o memfolder.Op) memfolder.Fault {
-			if o.Word == "sync" {
-				return memfolder.Fail
+		w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+			if o.Kind == "sync" {
+				return storagetest.Fail
 			}
-			return memfolder.None
+			return storagetest.None
 		})
 		w.lay()
-		w.dir.Faults(nil)
+		w.dir.SetFaults(nil)
 		return can
 	}},
 	{"read", func(w *world) bool {
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -10,10 +10,10 @@
 	"whinrudder"
 	"whinrudder/internal/core"
 	"whinrudder/internal/journal"
-	"whinrudder/internal/memfolder"
 	"whinrudder/internal/ops"
 	"whinrudder/internal/pool"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storagetest"
 )
 
 // world is a node with its journal on a stand-in disk, its link to a stand-in worker pool, and callers, all driven step by
@@ -21,7 +21,7 @@
 // outlives the node: it keeps the book of what was run.
 type world struct {
 	now   float64
-	dir   *memfolder.Folder
+	dir   *storagetest.Dir
 	limit settings.Kept
 	back  bool // the worker pool tells a new node of the runs of its earlier lives
 
@@ -75,10 +75,10 @@
 func (a *try) Deliver(x core.Answer) { a.answers = append(a.answers, x) }
 
 func newWorld(seed uint64, limit settings.Kept) *world {
-	return newWorldOn(memfolder.New(seed), limit)
+	return newWorldOn(storagetest.New(seed), limit)
 }
 
-func newWorldOn(dir *memfolder.Folder, limit settings.Kept) *world {
+func newWorldOn(dir *storagetest.Dir, limit settings.Kept) *world {
 	w := &world{now: 1e6, dir: dir, limit: limit, runs: map[string]*run{}, asks: map[string]*try{}, free: map[string]bool{}, back: true}
 	w.boot()
 	return w
@@ -357,7 +357,7 @@
 // calm brings all to an end, with a disk that works: every request has one answer, and a last request of each key is
 // served, or in doubt where it never ran, or word of that can't reach the node.
 func (w *world) calm(keys []string) {
-	w.dir.Faults(nil)
+	w.dir.SetFaults(nil)
 	if w.dead {
 		w.boot()
 		if w.failed != nil {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,6 +1,6 @@
 // Package storage is the narrow interface through which durable state meets a disk: one folder of append-only files. What
 // is written counts only once File.Sync has returned, names only once Dir.Sync has. A stand-in that fails, tears and
-// crashes is in memfolder.
+// crashes is in storagetest.
 package storage
 
 import (
--- a/internal/memfolder/memfolder.go
+++ b/internal/storagetest/storagetest.go
@@ -1,7 +1,7 @@
-// Package memfolder is a stand-in for a disk, in memory: a storage.Dir that fails, tears and forgets. Each operation has
+// Package storagetest is a stand-in for a disk, in memory: a storage.Dir that fails, tears and forgets. Each operation has
 // a number; a Fault says what becomes of it. A crash keeps what was synced, and of the rest what chance leaves, in sectors
 // and in any order, as a disk with a cache may.
-package memfolder
+package storagetest
 
 import (
 	"errors"
@@ -31,19 +31,19 @@
 
 // Errors of faults.
 var (
-	ErrFault = errors.New("memfolder: fault")
-	ErrFull  = errors.New("memfolder: no space left on device")
-	ErrCrash = errors.New("memfolder: crashed")
+	ErrInjected = errors.New("storagetest: fault")
+	ErrFull     = errors.New("storagetest: no space left on device")
+	ErrCrash    = errors.New("storagetest: crashed")
 )
 
 // Op is an operation: its number from 1, its word (create, open, remove, write, sync, syncdir) and the name.
 type Op struct {
-	N          int
-	Word, Name string
+	Number     int
+	Kind, Name string
 }
 
-// Folder is the stand-in. It is safe for concurrent use.
-type Folder struct {
+// Dir is the stand-in. It is safe for concurrent use.
+type Dir struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	faults  func(Op) Fault
@@ -63,12 +63,12 @@
 }
 
 // New returns an empty folder whose crashes go by a seed.
-func New(seed uint64) *Folder {
-	return &Folder{rng: rand.New(rand.NewPCG(seed, 7)), files: map[string]*content{}, lasting: map[string]*content{}}
+func New(seed uint64) *Dir {
+	return &Dir{rng: rand.New(rand.NewPCG(seed, 7)), files: map[string]*content{}, lasting: map[string]*content{}}
 }
 
 // Clone returns a folder that holds the same, all of it synced.
-func (f *Folder) Clone(seed uint64) *Folder {
+func (f *Dir) Clone(seed uint64) *Dir {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := New(seed)
@@ -79,57 +79,57 @@
 	return out
 }
 
-// Faults sets what decides on faults; nil: none.
-func (f *Folder) Faults(faults func(Op) Fault) {
+// SetFaults sets what decides on faults; nil: none.
+func (f *Dir) SetFaults(faults func(Op) Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// Limit sets how many bytes fit in all.
-func (f *Folder) Limit(bytes int64) {
+// SetCapacity sets how many bytes fit in all.
+func (f *Dir) SetCapacity(bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.size = bytes
 }
 
-// Ops returns how many operations there were.
-func (f *Folder) Ops() int {
+// OpCount returns how many operations there were.
+func (f *Dir) OpCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.n
 }
 
 // Bytes returns how much all files hold.
-func (f *Folder) Bytes() (n int64) {
+func (f *Dir) Bytes() (n int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.bytes()
 }
 
-func (f *Folder) bytes() (n int64) {
+func (f *Dir) bytes() (n int64) {
 	for _, c := range f.files {
 		n += int64(len(c.data))
 	}
 	return n
 }
 
-// Flip changes a bit of a file.
-func (f *Folder) Flip(name string, at int) {
+// FlipBit changes a bit of a file.
+func (f *Dir) FlipBit(name string, at int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[name].data[at] ^= 1 << (at % 8)
 }
 
 // Read returns what a file holds.
-func (f *Folder) Read(name string) []byte {
+func (f *Dir) Read(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.files[name].data)
 }
 
 // Reboot ends the program's hold on the folder and leaves what outlives a crash.
-func (f *Folder) Reboot() {
+func (f *Dir) Reboot() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashed, f.held = false, false
@@ -182,7 +182,7 @@
 }
 
 // op counts an operation and returns the error that it ends with.
-func (f *Folder) op(word, name string) error {
+func (f *Dir) op(word, name string) error {
 	if f.crashed {
 		return ErrCrash
 	}
@@ -192,7 +192,7 @@
 	}
 	switch f.faults(Op{f.n, word, name}) {
 	case Fail:
-		return ErrFault
+		return ErrInjected
 	case Full:
 		return ErrFull
 	case Crash:
@@ -203,7 +203,7 @@
 }
 
 // Names implements storage.Dir.
-func (f *Folder) Names() ([]string, error) {
+func (f *Dir) Names() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.crashed {
@@ -213,7 +213,7 @@
 }
 
 // Create implements storage.Dir.
-func (f *Folder) Create(name string) (storage.File, error) {
+func (f *Dir) Create(name string) (storage.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.op("create", name); err != nil {
@@ -227,7 +227,7 @@
 }
 
 // Open implements storage.Dir.
-func (f *Folder) Open(name string) (storage.File, error) {
+func (f *Dir) Open(name string) (storage.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.op("open", name); err != nil {
@@ -240,7 +240,7 @@
 }
 
 // Remove implements storage.Dir.
-func (f *Folder) Remove(name string) error {
+func (f *Dir) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.op("remove", name); err != nil {
@@ -251,7 +251,7 @@
 }
 
 // Sync implements storage.Dir.
-func (f *Folder) Sync() error {
+func (f *Dir) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.op("syncdir", ""); err != nil {
@@ -265,7 +265,7 @@
 }
 
 // Lock implements storage.Dir.
-func (f *Folder) Lock() (func(), error) {
+func (f *Dir) Lock() (func(), error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.held {
@@ -280,7 +280,7 @@
 }
 
 type file struct {
-	of   *Folder
+	of   *Dir
 	name string
 	*content
 }
@@ -348,4 +348,4 @@
 func (f *file) Close() error { return nil }
 
 // String names an operation.
-func (o Op) String() string { return fmt.Sprintf("%d %s %s", o.N, o.Word, o.Name) }
+func (o Op) String() string { return fmt.Sprintf("%d %s %s", o.Number, o.Kind, o.Name) }
