--- a/cmd/whinrudder/kept.go
+++ b/cmd/whinrudder/kept.go
@@ -18,12 +18,12 @@
 // keptCommand lets operators look at the operations whose results are kept, and settle those in doubt.
 func keptCommand(out io.Writer) *cli.Command {
 	dir := &cli.StringFlag{Name: "dir", Usage: "folder of the journal", Required: true}
-	look := func(do func(l *kept.Look, c *cli.Command) error) cli.ActionFunc {
+	look := func(do func(l *kept.Contents, c *cli.Command) error) cli.ActionFunc {
 		return func(_ context.Context, c *cli.Command) error {
 			if _, err := os.Stat(c.String("dir")); err != nil {
 				return err
 			}
-			l, err := kept.LookAt(c.String("dir"))
+			l, err := kept.ReadContents(c.String("dir"))
 			if err != nil {
 				return err
 			}
@@ -40,22 +40,22 @@
 		Commands: []*cli.Command{
 			{Name: "list", Usage: "a line for each operation", Flags: []cli.Flag{dir,
 				&cli.StringFlag{Name: "state", Usage: "only those: in-doubt, finished or failed"}},
-				Action: look(func(l *kept.Look, c *cli.Command) error {
+				Action: look(func(l *kept.Contents, c *cli.Command) error {
 					l.List(out, c.String("state"))
 					return nil
 				})},
 			{Name: "show", Usage: "one operation, with its result", ArgsUsage: "KEY", Flags: []cli.Flag{dir},
-				Action: look(func(l *kept.Look, c *cli.Command) error { return l.Show(out, c.Args().First()) })},
+				Action: look(func(l *kept.Contents, c *cli.Command) error { return l.Show(out, c.Args().First()) })},
 			{Name: "export", Usage: "all operations as JSON lines", Flags: []cli.Flag{dir},
-				Action: look(func(l *kept.Look, _ *cli.Command) error { return l.Export(out) })},
+				Action: look(func(l *kept.Contents, _ *cli.Command) error { return l.Export(out) })},
 			{Name: "verify", Usage: "check each byte of the journal; exits 1 if anything is wrong", Flags: []cli.Flag{dir},
-				Action: look(func(l *kept.Look, _ *cli.Command) error { return l.Verify(out) })},
+				Action: look(func(l *kept.Contents, _ *cli.Command) error { return l.Verify(out) })},
 			{Name: "resolve", Usage: "tell what became of an operation in doubt", ArgsUsage: "KEY", Flags: []cli.Flag{dir,
 				&cli.StringFlag{Name: "how", Usage: "finished, failed or not-run", Required: true},
 				&cli.StringFlag{Name: "result", Usage: "of one that finished: what its callers get"},
 				&cli.StringFlag{Name: "by", Usage: "who says so", Required: true}},
-				Action: look(func(l *kept.Look, c *cli.Command) error {
-					w := kept.Word{Key: c.Args().First(), Result: []byte(c.String("result")), By: c.String("by")}
+				Action: look(func(l *kept.Contents, c *cli.Command) error {
+					w := kept.Resolution{Key: c.Args().First(), Result: []byte(c.String("result")), By: c.String("by")}
 					switch c.String("how") {
 					case "finished":
 						w.Kind = journal.Finished
@@ -69,7 +69,7 @@
 					if w.Key == "" {
 						return errors.New("kept resolve: want a key")
 					}
-					if err := kept.Say(c.String("dir"), l.Found.Node, w, float64(time.Now().UnixMilli())); err != nil {
+					if err := kept.Resolve(c.String("dir"), l.Summary.Node, w, float64(time.Now().UnixMilli())); err != nil {
 						return fmt.Errorf("kept resolve: %w", err)
 					}
 					fmt.Fprintln(out, "ok")
--- a/internal/kept/look.go
+++ b/internal/kept/contents.go
@@ -13,16 +13,16 @@
 	"whinrudder/internal/storage"
 )
 
-// Look is what a folder holds, read without taking it: a node may run on it.
-type Look struct {
-	Found  journal.Summary
-	Damage []journal.Damage
-	Items  []ops.Operation
-	dir    storage.Dir
+// Contents is what a folder holds, read without taking it: a node may run on it.
+type Contents struct {
+	Summary    journal.Summary
+	Damage     []journal.Damage
+	Operations []ops.Operation
+	dir        storage.Dir
 }
 
-// LookAt reads a folder.
-func LookAt(path string) (*Look, error) {
+// ReadContents reads a folder.
+func ReadContents(path string) (*Contents, error) {
 	dir, err := storage.OpenDir(path)
 	if err != nil {
 		return nil, err
@@ -35,11 +35,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Look{found, damage, t.Operations(), dir}, nil
+	return &Contents{found, damage, t.Operations(), dir}, nil
 }
 
 // Result returns the result of an operation that has one.
-func (l *Look) Result(i ops.Operation) ([]byte, error) {
+func (l *Contents) Result(i ops.Operation) ([]byte, error) {
 	r, err := journal.Read(l.dir, i.Position)
 	return r.Result, err
 }
@@ -55,8 +55,8 @@
 func stamp(ms float64) string { return time.UnixMilli(int64(ms)).UTC().Format(time.RFC3339) }
 
 // List writes a line for each operation; only those of a state, if one is given.
-func (l *Look) List(w io.Writer, only string) {
-	for _, i := range l.Items {
+func (l *Contents) List(w io.Writer, only string) {
+	for _, i := range l.Operations {
 		if only == "" || only == state(i) {
 			fmt.Fprintf(w, "%-9s %s %s run=%s\n", state(i), stamp(i.At), i.Key, i.Run)
 		}
@@ -64,9 +64,9 @@
 }
 
 // Export writes all operations as JSON, one a line, with their results.
-func (l *Look) Export(w io.Writer) error {
+func (l *Contents) Export(w io.Writer) error {
 	var a fastjson.Arena
-	for _, i := range l.Items {
+	for _, i := range l.Operations {
 		a.Reset()
 		o := a.NewObject()
 		o.Set("key", a.NewString(i.Key))
@@ -91,8 +91,8 @@
 }
 
 // Show writes one operation.
-func (l *Look) Show(w io.Writer, key string) error {
-	for _, i := range l.Items {
+func (l *Contents) Show(w io.Writer, key string) error {
+	for _, i := range l.Operations {
 		if i.Key != key {
 			continue
 		}
@@ -113,16 +113,16 @@
 }
 
 // Verify writes what the folder holds and all that is wrong with it. The error tells that something is.
-func (l *Look) Verify(w io.Writer) error {
-	f := l.Found
+func (l *Contents) Verify(w io.Writer) error {
+	f := l.Summary
 	doubts := 0
-	for _, i := range l.Items {
+	for _, i := range l.Operations {
 		if i.State == ops.InDoubt {
 			doubts++
 		}
 	}
 	fmt.Fprintf(w, "node %s, version %d, %d segments, %d bytes, %d records, %d operations, %d without an end\n", f.Node, f.Version,
-		f.Segments, f.Bytes, f.Records, len(l.Items), doubts)
+		f.Segments, f.Bytes, f.Records, len(l.Operations), doubts)
 	for _, d := range l.Damage {
 		fmt.Fprintln(w, d.Error())
 	}
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -31,12 +31,12 @@
 // Host is the node around a keeper.
 type Host struct {
 	Name string
-	Tell func(core.Input) // may block until the core takes it, or the node has ended
+	Send func(core.Input) // may block until the core takes it, or the node has ended
 	Log  func(word string, pairs ...any)
 }
 
-// Keeper holds the journal of a node.
-type Keeper struct {
+// Store holds the journal of a node.
+type Store struct {
 	host   Host
 	dir    storage.Dir
 	j      *journal.Journal
@@ -52,15 +52,15 @@
 	done    chan struct{} // closed once all is written
 }
 
-// Limits returns the limits of a table.
-func Limits(o settings.Kept) ops.Limits {
+// TableLimits returns the limits of a table.
+func TableLimits(o settings.Kept) ops.Limits {
 	return ops.Limits{Keys: o.Keys, DiskBytes: int64(o.DiskMB) << 20, SegmentBytes: int64(o.SegmentMB) << 20, AgeMs: o.AgeMs,
 		DoubtMs: o.DoubtMs}
 }
 
-// Open recovers the operations of a folder. Nothing is written before Run.
-func Open(h Host, dir storage.Dir, o settings.Kept, now float64) (*Keeper, *ops.Table, error) {
-	t := ops.New(Limits(o))
+// Open recovers the operations of a folder. Nothing is written before Start.
+func Open(h Host, dir storage.Dir, o settings.Kept, now float64) (*Store, *ops.Table, error) {
+	t := ops.New(TableLimits(o))
 	j, found, err := journal.Open(dir, journal.Options{Node: h.Name, SegmentBytes: int64(o.SegmentMB) << 20}, t.Recover)
 	if err != nil {
 		return nil, nil, err
@@ -69,13 +69,13 @@
 	keys, doubts, _, disk := t.Counts()
 	h.Log("kept", "code", "open", "records", found.Records, "segments", found.Segments, "bytes", disk, "torn", found.TornBytes,
 		"keys", keys, "doubts", doubts)
-	k := &Keeper{host: h, dir: dir, j: j, wake: make(chan struct{}, 1), wakeF: make(chan struct{}, 1),
+	k := &Store{host: h, dir: dir, j: j, wake: make(chan struct{}, 1), wakeF: make(chan struct{}, 1),
 		over: make(chan struct{}), done: make(chan struct{})}
 	return k, t, nil
 }
 
-// Run starts the goroutines. An empty path has no socket.
-func (k *Keeper) Run(path string) error {
+// Start starts the goroutines. An empty path has no socket.
+func (k *Store) Start(path string) error {
 	if path != "" {
 		path = filepath.Join(path, socketName)
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Carry takes an output of the core that is for the journal.
-func (k *Keeper) Carry(o core.Output) {
+// HandleOutput takes an output of the core that is for the journal.
+func (k *Store) HandleOutput(o core.Output) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	wake := k.wake
@@ -114,8 +114,8 @@
 	}
 }
 
-// Ended writes what is left, as far as there is time.
-func (k *Keeper) Ended(by float64) {
+// Shutdown writes what is left, as far as there is time.
+func (k *Store) Shutdown(by float64) {
 	close(k.over)
 	if k.socket != nil {
 		k.socket.Close()
@@ -130,7 +130,7 @@
 }
 
 // batch takes what is to be written next.
-func (k *Keeper) batch() (out []ops.Write, drops []uint32) {
+func (k *Store) batch() (out []ops.Write, drops []uint32) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n, bytes := 0, 0
@@ -147,14 +147,14 @@
 }
 
 // append writes batches as long as there are any, or the node lives.
-func (k *Keeper) append() {
+func (k *Store) append() {
 	defer close(k.done)
 	defer k.j.Close()
 	for {
 		all, drops := k.batch()
 		for _, seg := range drops {
 			err := k.j.DropOldest()
-			k.host.Tell(core.SegmentDropped{Segment: seg, Err: err, Segments: k.j.Segments()})
+			k.host.Send(core.SegmentDropped{Segment: seg, Err: err, Segments: k.j.Segments()})
 		}
 		ended := false
 		select {
@@ -179,7 +179,7 @@
 }
 
 // lay writes a batch. Copies that can't be read fail alone.
-func (k *Keeper) lay(all []ops.Write) bool {
+func (k *Store) lay(all []ops.Write) bool {
 	var records []journal.Record
 	var bad error
 	for _, w := range all {
@@ -198,17 +198,17 @@
 		places, err := k.j.Append(records)
 		if err != nil {
 			k.host.Log("kept", "code", "unwritten", "records", len(all), "error", err)
-			k.host.Tell(core.AppendFailed{N: len(all), Segments: k.j.Segments()})
+			k.host.Send(core.AppendFailed{N: len(all), Segments: k.j.Segments()})
 			k.pause()
 			return false
 		}
-		k.host.Tell(core.Appended{Positions: places, Segments: k.j.Segments()})
+		k.host.Send(core.Appended{Positions: places, Segments: k.j.Segments()})
 	}
 	if bad != nil {
 		if errors.Is(bad, journal.ErrDamaged) {
-			k.host.Tell(core.CopyUnreadable{})
+			k.host.Send(core.CopyUnreadable{})
 		} else { // the disk may read it another time: nothing is given up
-			k.host.Tell(core.AppendFailed{N: 1, Segments: k.j.Segments()})
+			k.host.Send(core.AppendFailed{N: 1, Segments: k.j.Segments()})
 			k.pause()
 		}
 		if rest := all[len(records)+1:]; len(rest) > 0 {
@@ -219,7 +219,7 @@
 }
 
 // pause waits for a while before a disk is tried again.
-func (k *Keeper) pause() {
+func (k *Store) pause() {
 	t := time.NewTimer(failPause * time.Millisecond)
 	defer t.Stop()
 	select {
@@ -229,7 +229,7 @@
 }
 
 // fetch reads records.
-func (k *Keeper) fetch() {
+func (k *Store) fetch() {
 	for {
 		k.mu.Lock()
 		all := k.fetches
@@ -237,7 +237,7 @@
 		k.mu.Unlock()
 		for _, f := range all {
 			r, err := journal.Read(k.dir, f.Position)
-			k.host.Tell(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
+			k.host.Send(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
 		}
 		if len(all) > 0 {
 			continue
--- a/internal/kept/holder.go
+++ b/internal/kept/owner.go
@@ -11,39 +11,39 @@
 	"whinrudder/internal/storage"
 )
 
-// Holder has the journal of a node while this process is the one that shall have it. It drives package ownership, which
+// Owner has the journal of a node while this process is the one that shall have it. It drives package ownership, which
 // decides when that is.
-type Holder struct {
+type Owner struct {
 	host Host
-	open func(now float64) (*Keeper, *ops.Table, error)
+	open func(now float64) (*Store, *ops.Table, error)
 	path string // of the folder, for the socket of operators
 
 	fault string // of the last try, told already; of the goroutine
 
 	mu    sync.Mutex // of what follows
 	m     *ownership.Machine
-	k     *Keeper // nil: another process has the journal
+	k     *Store // nil: another process has the journal
 	ended bool
 	poke  chan struct{}
 	over  chan struct{}
 	done  chan struct{}
 }
 
-// NewHolder returns a holder that opens a journal by open. It must be started.
-func NewHolder(host Host, path string, open func(now float64) (*Keeper, *ops.Table, error)) *Holder {
-	return &Holder{host: host, open: open, path: path, poke: make(chan struct{}, 1), over: make(chan struct{}), done: make(chan struct{})}
+// NewOwner returns a holder that opens a journal by open. It must be started.
+func NewOwner(host Host, path string, open func(now float64) (*Store, *ops.Table, error)) *Owner {
+	return &Owner{host: host, open: open, path: path, poke: make(chan struct{}, 1), over: make(chan struct{}), done: make(chan struct{})}
 }
 
 func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
 // Start begins. A process that succeeds no other must have the journal at once, and its table is returned; one that does
 // tries for it, and the table comes to the core as AdoptOps.
-func (h *Holder) Start(successor bool) (t *ops.Table, err error) {
+func (h *Owner) Start(successor bool) (t *ops.Table, err error) {
 	if !successor {
 		if h.k, t, err = h.open(now()); err != nil {
 			return nil, err
 		}
-		if err := h.k.Run(h.path); err != nil {
+		if err := h.k.Start(h.path); err != nil {
 			return nil, err
 		}
 	}
@@ -53,7 +53,7 @@
 }
 
 // tell lets the machine hear something.
-func (h *Holder) tell(what func(m *ownership.Machine)) {
+func (h *Owner) tell(what func(m *ownership.Machine)) {
 	h.mu.Lock()
 	what(h.m)
 	h.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-func (h *Holder) run() {
+func (h *Owner) run() {
 	defer close(h.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -77,10 +77,10 @@
 			continue
 		case ownership.Yield:
 			h.host.Log("kept", "code", "yielding")
-			h.host.Tell(core.YieldOps{On: true})
+			h.host.Send(core.YieldOps{On: true})
 			continue
 		case ownership.Resume:
-			h.host.Tell(core.YieldOps{On: false})
+			h.host.Send(core.YieldOps{On: false})
 			h.host.Log("kept", "code", "resumed")
 			continue
 		case ownership.Close:
@@ -102,10 +102,10 @@
 }
 
 // take tries for the journal.
-func (h *Holder) take() {
+func (h *Owner) take() {
 	k, t, err := h.open(now())
 	if err == nil {
-		if err = k.Run(h.path); err != nil {
+		if err = k.Start(h.path); err != nil {
 			k.j.Close()
 		}
 	}
@@ -116,7 +116,7 @@
 	h.mu.Lock()
 	if err == nil && h.ended {
 		h.mu.Unlock()
-		k.Ended(now())
+		k.Shutdown(now())
 		return
 	}
 	if err == nil {
@@ -125,18 +125,18 @@
 	h.m.Opened(now(), err == nil)
 	h.mu.Unlock()
 	if err == nil {
-		h.host.Tell(core.AdoptOps{Table: t})
+		h.host.Send(core.AdoptOps{Table: t})
 	}
 }
 
 // release lets the journal go: nothing of it is in hand.
-func (h *Holder) release() {
+func (h *Owner) release() {
 	h.mu.Lock()
 	k := h.k
 	h.k = nil
 	h.mu.Unlock()
 	if k != nil {
-		k.Ended(now() + releaseFor)
+		k.Shutdown(now() + releaseFor)
 		<-k.done
 	}
 	h.host.Log("kept", "code", "released")
@@ -146,8 +146,8 @@
 // releaseFor is how long the close of a journal may take before that is logged, in milliseconds.
 const releaseFor = 1000
 
-// Carry takes an output of the core that is for the journal.
-func (h *Holder) Carry(o core.Output) {
+// HandleOutput takes an output of the core that is for the journal.
+func (h *Owner) HandleOutput(o core.Output) {
 	if _, ok := o.(core.OpsReleased); ok {
 		h.tell((*ownership.Machine).Released)
 		return
@@ -156,27 +156,27 @@
 	k := h.k
 	h.mu.Unlock()
 	if k != nil {
-		k.Carry(o)
+		k.HandleOutput(o)
 	}
 }
 
 // Ready, Reload and Leaving have no meaning here: what the node has read is answered, and that needs the journal.
-func (h *Holder) Ready(bool)      {}
-func (h *Holder) Reload()         {}
-func (h *Holder) Leaving(float64) {}
+func (h *Owner) Ready(bool)      {}
+func (h *Owner) Reload()         {}
+func (h *Owner) Leaving(float64) {}
 
 // Succeeded tells that another process of the node takes over, or is lost.
-func (h *Holder) Succeeded(on bool) { h.tell(func(m *ownership.Machine) { m.SetSuccessorServing(on) }) }
+func (h *Owner) Succeeded(on bool) { h.tell(func(m *ownership.Machine) { m.SetSuccessorServing(on) }) }
 
 // Ended writes what is left, and ends a try or a close that is under way, as far as there is time.
-func (h *Holder) Ended(by float64) {
+func (h *Owner) Ended(by float64) {
 	h.mu.Lock()
 	h.ended = true
 	k := h.k
 	h.mu.Unlock()
 	close(h.over)
 	if k != nil {
-		k.Ended(by)
+		k.Shutdown(by)
 	}
 	late := time.NewTimer(time.Until(time.UnixMicro(int64(by * 1e3))))
 	defer late.Stop()
--- a/internal/kept/holder_test.go
+++ b/internal/kept/owner_test.go
@@ -17,7 +17,7 @@
 	defer goleak.VerifyNone(t)
 	begun, free := make(chan bool, 9), make(chan bool)
 	var over atomic.Bool
-	h := NewHolder(Host{Tell: func(core.Input) {}, Log: func(string, ...any) {}}, t.TempDir(), func(float64) (*Keeper, *ops.Table, error) {
+	h := NewOwner(Host{Send: func(core.Input) {}, Log: func(string, ...any) {}}, t.TempDir(), func(float64) (*Store, *ops.Table, error) {
 		begun <- true
 		<-free
 		time.Sleep(50 * time.Millisecond)
--- a/internal/kept/resolve.go
+++ b/internal/kept/resolve.go
@@ -24,8 +24,8 @@
 	talkMost = 4        // at a time
 )
 
-// Word is an operator's word on an operation in doubt.
-type Word struct {
+// Resolution is an operator's word on an operation in doubt.
+type Resolution struct {
 	Key    string
 	Kind   journal.Kind // Finished, Failed or NotRun
 	Result []byte
@@ -45,7 +45,7 @@
 }
 
 // line is a word as one line of JSON.
-func (w Word) line() []byte {
+func (w Resolution) line() []byte {
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("key", a.NewString(w.Key))
@@ -56,12 +56,12 @@
 }
 
 // parseWord reads a line.
-func parseWord(b []byte) (w Word, err error) {
+func parseWord(b []byte) (w Resolution, err error) {
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
 		return w, err
 	}
-	w = Word{Key: string(v.GetStringBytes("key")), Kind: kinds[string(v.GetStringBytes("how"))], By: string(v.GetStringBytes("by"))}
+	w = Resolution{Key: string(v.GetStringBytes("key")), Kind: kinds[string(v.GetStringBytes("how"))], By: string(v.GetStringBytes("by"))}
 	if w.Key == "" || w.Kind == 0 {
 		return w, errors.New("want a key, how it ended, and by whom")
 	}
@@ -70,7 +70,7 @@
 }
 
 // listen takes the word of operators.
-func (k *Keeper) listen(l net.Listener) {
+func (k *Store) listen(l net.Listener) {
 	room := make(chan struct{}, talkMost)
 	for {
 		c, err := l.Accept()
@@ -88,7 +88,7 @@
 }
 
 // talk hears one word and answers it.
-func (k *Keeper) talk(c net.Conn) (code string) {
+func (k *Store) talk(c net.Conn) (code string) {
 	by := time.Now().Add(wordFor * time.Millisecond)
 	c.SetDeadline(by)
 	line, err := bufio.NewReaderSize(c, wordMost).ReadSlice('\n')
@@ -101,7 +101,7 @@
 		return "bad-word"
 	}
 	told := make(chan error, 1)
-	k.host.Tell(core.Resolve{Key: w.Key, Kind: w.Kind, Result: w.Result, By: w.By, Done: func(err error) { told <- err }})
+	k.host.Send(core.Resolve{Key: w.Key, Kind: w.Kind, Result: w.Result, By: w.By, Done: func(err error) { told <- err }})
 	t := time.NewTimer(time.Until(by))
 	defer t.Stop()
 	select {
@@ -119,8 +119,8 @@
 	return "ok"
 }
 
-// Say gives a word to the node that has a folder, or, if none has, writes it into the journal itself.
-func Say(path, node string, w Word, now float64) error {
+// Resolve gives a word to the node that has a folder, or, if none has, writes it into the journal itself.
+func Resolve(path, node string, w Resolution, now float64) error {
 	dir, err := storage.OpenDir(path)
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 }
 
 // ask gives a word to a running node.
-func ask(socket string, w Word, now float64) error {
+func ask(socket string, w Resolution, now float64) error {
 	by := time.UnixMicro(int64((now + wordFor) * 1e3))
 	d := net.Dialer{Deadline: by}
 	c, err := d.Dial("unix", socket)
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -225,7 +225,7 @@
 		r, err := journal.Read(w.dir, f.Position)
 		w.step(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
 	}
-	k := Keeper{dir: w.dir, j: w.j, over: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Tell: func(i core.Input) {
+	k := Store{dir: w.dir, j: w.j, over: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Send: func(i core.Input) {
 		if l, ok := i.(core.Appended); ok {
 			for n := range l.Positions {
 				if r := writes[n].Record; r.Kind != 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,9 +80,9 @@
 	away   atomic.Bool // operators have sent the clients away
 
 	folderAt  func(path string) (storage.Dir, error)
-	holder    *kept.Holder // nil: no results are kept
-	parts     []Part       // what the operator's file turns on, see parts.go
-	peerAddr  string       // of the peer port
+	holder    *kept.Owner // nil: no results are kept
+	parts     []Part      // what the operator's file turns on, see parts.go
+	peerAddr  string      // of the peer port
 	listeners []net.Listener
 	sockets   map[string]net.Listener // by front, that of the peer port included; of mu
 	starts    []func()                // of the fronts, which wait until the node serves
@@ -327,7 +327,7 @@
 	case core.LogEvent:
 		n.log(o.Event, o.Pairs...)
 	case core.Append, core.Fetch, core.DropSegment, core.OpsReleased:
-		n.holder.Carry(o)
+		n.holder.HandleOutput(o)
 	}
 }
 
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -76,8 +76,8 @@
 	if err != nil {
 		return err
 	}
-	host := kept.Host{Name: n.cfg.Name, Tell: n.tell, Log: n.log}
-	h := kept.NewHolder(host, n.op.Kept.Dir, func(now float64) (*kept.Keeper, *ops.Table, error) {
+	host := kept.Host{Name: n.cfg.Name, Send: n.tell, Log: n.log}
+	h := kept.NewOwner(host, n.op.Kept.Dir, func(now float64) (*kept.Store, *ops.Table, error) {
 		return kept.Open(host, dir, n.op.Kept, now)
 	})
 	t, err := h.Start(n.taken != nil)
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -58,7 +58,7 @@
 	waitLeast = 64 // a line of so many that wait is looked through for those that left before it grows
 )
 
-// Reason an operation's request is not served.
+// Reason is why an operation's request is not served.
 type Reason uint8
 
 // The reasons.
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -111,7 +111,7 @@
 	return None
 }
 
-// WakeAt returns when Next has something to do if nothing happens; 0: never.
+// WakeAt returns when NextAction has something to do if nothing happens; 0: never.
 func (m *Machine) WakeAt() float64 {
 	if m.state == without && !m.succeeded {
 		return m.tryAt
--- a/internal/rehearse/player.go
+++ b/internal/rehearse/player.go
@@ -221,9 +221,9 @@
 		rest, _, _ = strings.Cut(rest, " => ")
 		key, how, _ := strings.Cut(rest, " ")
 		how, result, _ := strings.Cut(how, " ")
-		w := kept.Word{Key: key, Kind: map[string]journal.Kind{"finished": journal.Finished, "failed": journal.Failed, "not-run": journal.NotRun}[how],
+		w := kept.Resolution{Key: key, Kind: map[string]journal.Kind{"finished": journal.Finished, "failed": journal.Failed, "not-run": journal.NotRun}[how],
 			Result: []byte(result), By: "player"}
-		if err := kept.Say(p.folder, "r1", w, float64(time.Now().UnixMilli())); err != nil {
+		if err := kept.Resolve(p.folder, "r1", w, float64(time.Now().UnixMilli())); err != nil {
 			return line + " => " + err.Error(), nil
 		}
 		return line, nil
