--- a/internal/kept/model_test.go
+++ b/internal/kept/model_test.go
@@ -233,9 +233,9 @@
 		t.Skip("it builds the tests anew for each fault")
 	}
 	for _, f := range []struct{ file, line, instead string }{
-		{"ops/disk.go", "	t.turn(o, Doubt, r.At)\n", "	t.forget(o)\n"},
-		{"ops/ops.go", "	t.writing = append(t.writing, o)\n", "	t.writing = append(t.writing, o)\n	t.do(Start{id})\n"},
-		{"ops/ops.go", "	case o.digest != digest:\n		t.do(Note{\"other-body\", key, id})\n		return Verdict{Kind: Fails, Why: WhyOtherBody}\n", ""},
+		{"ops/disk.go", "	t.turn(o, InDoubt, r.At)\n", "	t.forget(o)\n"},
+		{"ops/ops.go", "	t.writing = append(t.writing, o)\n", "	t.writing = append(t.writing, o)\n	t.do(StartRun{id})\n"},
+		{"ops/ops.go", "	case o.digest != digest:\n		t.do(LogEvent{\"other-body\", key, id})\n		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}\n", ""},
 		{"ops/disk.go", "			t.pending = append(t.pending, &write{op: o, rec: w.rec, since: now})\n			t.do(Write{Record: w.rec})\n", ""},
 		{"ops/disk.go", "		if o != nil && o.run == r.Run {\n			t.forget(o)\n		}\n", ""},
 		{"core/core.go", "			c.ops.Cancel(c.now, r.ID)\n", ""},
