--- a/internal/core/kept.go
+++ b/internal/core/kept.go
@@ -12,67 +12,67 @@
 	"whinrudder/internal/ops"
 )
 
-// Inputs and outputs about operations whose results are kept. What stores them answers Append by Lasts or Lapses, in
+// Inputs and outputs about operations whose results are kept. What stores them answers Append by Appended or AppendFailed, in
 // the order of the appends, and need not be fast.
 type (
-	// Lasts tells that the first records that were to be appended last, where they stand, and what segments there are.
-	Lasts struct {
-		Places   []journal.Place
-		Segments []journal.Segment
+	// Appended tells that the first records that were to be appended last, where they stand, and what segments there are.
+	Appended struct {
+		Positions []journal.Position
+		Segments  []journal.Segment
 	}
-	// Lapses tells that the first so many do not.
-	Lapses struct {
+	// AppendFailed tells that the first so many do not.
+	AppendFailed struct {
 		N        int
 		Segments []journal.Segment
 	}
-	// Unread tells that the first one was to be copied from a record that is damaged.
-	Unread struct{}
-	// Fetched brings a record that was asked for.
-	Fetched struct {
-		ID     string
-		Place  journal.Place
-		Result []byte
-		Err    error
+	// CopyUnreadable tells that the first one was to be copied from a record that is damaged.
+	CopyUnreadable struct{}
+	// RecordFetched brings a record that was asked for.
+	RecordFetched struct {
+		ID       string
+		Position journal.Position
+		Result   []byte
+		Err      error
 	}
-	// Dropped tells whether a segment was removed.
-	Dropped struct {
-		Seg      uint32
+	// SegmentDropped tells whether a segment was removed.
+	SegmentDropped struct {
+		Segment  uint32
 		Err      error
 		Segments []journal.Segment
 	}
-	// Resolve is an operator's word on an operation in doubt. To must not block.
+	// Resolve is an operator's word on an operation in doubt. Done must not block.
 	Resolve struct {
 		Key    string
 		Kind   journal.Kind
 		Result []byte
 		By     string
-		To     func(error)
+		Done   func(error)
 	}
 
-	// Append is a record to be appended; if From is given, it is the one that stands there.
+	// Append is a record to be appended; if CopyFrom is given, it is the one that stands there.
 	Append struct{ ops.Write }
 	// Fetch asks for the record of a place.
 	Fetch struct{ ops.Fetch }
 	// DropSegment removes the oldest segment.
-	DropSegment struct{ Seg uint32 }
+	DropSegment struct{ Segment uint32 }
 )
 
-func (Lasts) input()        {}
-func (Lapses) input()       {}
-func (Unread) input()       {}
-func (Fetched) input()      {}
-func (Dropped) input()      {}
-func (Resolve) input()      {}
-func (Append) output()      {}
-func (Fetch) output()       {}
-func (DropSegment) output() {}
+func (Appended) input()       {}
+func (AppendFailed) input()   {}
+func (CopyUnreadable) input() {}
+func (RecordFetched) input()  {}
+func (SegmentDropped) input() {}
+func (Resolve) input()        {}
+func (Append) output()        {}
+func (Fetch) output()         {}
+func (DropSegment) output()   {}
 
 var errMoved = errors.New("another process of the node has the operations")
 
-// Keep lets the core keep the results of some classes, by their names, in a table that has been recovered; nil: it comes later, by
-// Adopt. It must be called before the first step. To the module these are classes whose repeats may share an answer; the window is 0, as what is kept takes
+// KeepResults lets the core keep the results of some classes, by their names, in a table that has been recovered; nil: it comes later, by
+// AdoptOps. It must be called before the first step. To the module these are classes whose repeats may share an answer; the window is 0, as what is kept takes
 // none of the worker pool's memory.
-func (c *Core) Keep(t *ops.Table, names map[int]string) {
+func (c *Core) KeepResults(t *ops.Table, names map[int]string) {
 	c.ops, c.kept = t, names
 	c.settings.Classes = c.keyed(c.settings.Classes)
 }
@@ -94,8 +94,8 @@
 // begin takes a request with a token. It returns whether it goes on to the module.
 func (c *Core) begin(r *request) bool {
 	if c.ops == nil {
-		a := c.unserved(ops.WhyMoved)
-		a.Wait = c.settings.MaxRetryAfter
+		a := c.unserved(ops.ReasonMoved)
+		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 		return false
 	}
@@ -103,25 +103,25 @@
 	sum := sha256.Sum256(r.Body)
 	v := c.ops.Begin(c.now, r.ID, r.key, [16]byte(sum[:16]))
 	switch v.Kind {
-	case ops.Waits:
-		r.of = v.Of
-	case ops.Fails:
-		c.answer(r, c.unserved(v.Why))
-	case ops.Refused:
-		a := c.unserved(v.Why)
-		a.Wait = c.settings.MaxRetryAfter
+	case ops.VerdictWaits:
+		r.of = v.RepeatOf
+	case ops.VerdictFails:
+		c.answer(r, c.unserved(v.Reason))
+	case ops.VerdictRefused:
+		a := c.unserved(v.Reason)
+		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	}
-	return v.Kind == ops.Leads || v.Kind == ops.Waits
+	return v.Kind == ops.VerdictFirst || v.Kind == ops.VerdictWaits
 }
 
 // unserved is the answer to a request whose operation gives none.
-func (c *Core) unserved(why ops.Why) Answer {
+func (c *Core) unserved(why ops.Reason) Answer {
 	a := Answer{Outcome: Failed, Kept: why.String()}
 	switch why {
-	case ops.WhyOtherBody:
-		a.Outcome = Unlike
-	case ops.WhyFull, ops.WhyStalled, ops.WhyNotRun, ops.WhyMoved:
+	case ops.ReasonOtherBody:
+		a.Outcome = BodyMismatch
+	case ops.ReasonFull, ops.ReasonStalled, ops.ReasonNotRun, ops.ReasonMoved:
 		a.Outcome = Refused
 	}
 	return a
@@ -129,10 +129,10 @@
 
 // intend holds back a run until it lasts that it may have been started.
 func (c *Core) intend(r *request) {
-	if !c.ops.Intend(c.now, r.ID) { // it repeats another, which the module no longer knew
+	if !c.ops.WriteIntent(c.now, r.ID) { // it repeats another, which the module no longer knew
 		r.running = false
 		c.event(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Moot})
-		c.answer(r, c.unserved(ops.WhyNotRun))
+		c.answer(r, c.unserved(ops.ReasonNotRun))
 		return
 	}
 	r.writing = true
@@ -148,34 +148,34 @@
 		c.answer(r, Answer{Outcome: Failed})
 		return
 	}
-	result, ok, ended := c.ops.Early(r.ID)
+	result, ok, ended := c.ops.UnsyncedEnd(r.ID)
 	switch {
 	case ended && ok && r.of != "":
 		c.answer(r, Answer{Outcome: Served, Result: result, Kept: "result"})
 	case ended && ok:
 		c.answer(r, Answer{Outcome: Served, Result: result})
 	case ended:
-		c.answer(r, c.unserved(ops.WhyFailed))
+		c.answer(r, c.unserved(ops.ReasonFailed))
 	case r.writing:
-		a := c.unserved(ops.WhyStalled)
-		a.Wait = c.settings.MaxRetryAfter
+		a := c.unserved(ops.ReasonStalled)
+		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	case r.queued:
-		c.answer(r, c.unserved(ops.WhyNotRun)) // the link is down, and its start never left
+		c.answer(r, c.unserved(ops.ReasonNotRun)) // the link is down, and its start never left
 	case r.doubt:
-		c.answer(r, c.unserved(ops.WhyDoubt))
+		c.answer(r, c.unserved(ops.ReasonInDoubt))
 	default:
 		c.answer(r, Answer{Outcome: Failed})
 	}
 }
 
 // opEnded takes the end of a run to its operation, and tells whether its requests are answered once that lasts.
-func (c *Core) opEnded(f Finished) bool {
-	if f.End == EndMoot {
-		c.ops.Moot(c.now, f.ID)
+func (c *Core) opEnded(f RunFinished) bool {
+	if f.End == RunMoot {
+		c.ops.RunNotStarted(c.now, f.ID)
 		return false
 	}
-	return c.ops.Finish(c.now, f.ID, f.End == EndOK, f.Result)
+	return c.ops.Finish(c.now, f.ID, f.End == RunOK, f.Result)
 }
 
 // effects carries out what the operations want.
@@ -199,27 +199,27 @@
 	switch e := e.(type) {
 	case ops.Write:
 		c.do(Append{e})
-	case ops.Start:
+	case ops.StartRun:
 		c.begun(e.ID)
 	case ops.Serve:
 		a := Answer{Outcome: Served, Result: e.Result}
-		if e.Again {
+		if e.Replayed {
 			a.Kept = "result"
 		}
 		c.settle(e.ID, a, whinrudder.OK)
 	case ops.Fetch:
 		c.do(Fetch{e})
 	case ops.Fail:
-		c.settle(e.ID, c.unserved(e.Why), whinrudder.Error)
+		c.settle(e.ID, c.unserved(e.Reason), whinrudder.Error)
 	case ops.Refuse:
-		a := c.unserved(e.Why)
-		if e.Why == ops.WhyStalled {
-			a.Wait = c.settings.MaxRetryAfter
+		a := c.unserved(e.Reason)
+		if e.Reason == ops.ReasonStalled {
+			a.RetryAfter = c.settings.MaxRetryAfter
 		}
 		c.settle(e.ID, a, whinrudder.Moot)
-	case ops.Drop:
-		c.do(DropSegment{e.Seg})
-	case ops.Note:
+	case ops.DropSegment:
+		c.do(DropSegment{e.Segment})
+	case ops.LogEvent:
 		c.log("kept", "code", e.Code, "key", e.Key, "run", e.Run)
 	}
 }
@@ -253,7 +253,7 @@
 }
 
 // fetched serves a request with the result of an earlier one. Its record may have been moved meanwhile.
-func (c *Core) fetched(f Fetched) {
+func (c *Core) fetched(f RecordFetched) {
 	r := c.reqs[f.ID]
 	if r == nil || !r.open {
 		return
@@ -262,8 +262,8 @@
 		c.settle(f.ID, Answer{Outcome: Served, Result: f.Result, Kept: "result"}, whinrudder.OK)
 		return
 	}
-	if p, ok := c.ops.Place(r.key); ok && p != f.Place {
-		c.do(Fetch{ops.Fetch{ID: f.ID, Place: p}})
+	if p, ok := c.ops.Position(r.key); ok && p != f.Position {
+		c.do(Fetch{ops.Fetch{ID: f.ID, Position: p}})
 		return
 	}
 	c.log("kept", "code", "unreadable", "key", r.key, "error", f.Err)
@@ -273,10 +273,10 @@
 // resolve takes an operator's word.
 func (c *Core) resolve(i Resolve) {
 	if c.ops == nil {
-		i.To(errMoved)
+		i.Done(errMoved)
 		return
 	}
-	i.To(c.ops.Resolve(c.now, i.Key, i.Kind, i.Result, i.By))
+	i.Done(c.ops.Resolve(c.now, i.Key, i.Kind, i.Result, i.By))
 }
 
 // Dump is the state of what is in hand as text, without times, for tests that compare states.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -10,14 +10,14 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"whinrudder/internal/memfolder"
+	"whinrudder/internal/storagetest"
 )
 
 // read opens a journal and returns what it holds.
-func read(t interface{ Fatal(...any) }, dir *memfolder.Folder) (*Journal, Found, []Record, []Place) {
+func read(t interface{ Fatal(...any) }, dir *storagetest.Dir) (*Journal, Summary, []Record, []Position) {
 	var all []Record
-	var places []Place
-	j, found, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, p Place) {
+	var places []Position
+	j, found, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, p Position) {
 		all, places = append(all, r), append(places, p)
 	})
 	if err != nil {
@@ -35,12 +35,12 @@
 // be there only if nothing was taken after it, and the journal can be used again after each reboot.
 func TestBatchesOutliveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dir := memfolder.New(rapid.Uint64().Draw(t, "seed"))
+		dir := storagetest.New(rapid.Uint64().Draw(t, "seed"))
 		var sure []string    // keys in order
 		var maybe [][]string // batches of which one, or its beginning, may follow
 		n := 0
 		for range rapid.IntRange(1, 5).Draw(t, "lives") {
-			dir.Faults(nil)
+			dir.SetFaults(nil)
 			j, _, got, places := read(t, dir)
 			var keys []string
 			for i, r := range got {
@@ -57,16 +57,16 @@
 				t.Fatalf("read %v after what was taken, but one of %v might be there", rest, maybe)
 			}
 			sure, maybe = keys, nil
-			crash := dir.Ops() + rapid.IntRange(1, 60).Draw(t, "crash after")
+			crash := dir.OpCount() + rapid.IntRange(1, 60).Draw(t, "crash after")
 			flaky := rapid.IntRange(0, 8).Draw(t, "one of so many fails")
-			dir.Faults(func(o memfolder.Op) memfolder.Fault {
+			dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
 				switch {
-				case o.N == crash:
-					return memfolder.Crash
-				case flaky > 1 && o.N%(flaky+1) == 0:
-					return memfolder.Fail
+				case o.Number == crash:
+					return storagetest.Crash
+				case flaky > 1 && o.Number%(flaky+1) == 0:
+					return storagetest.Fail
 				}
-				return memfolder.None
+				return storagetest.None
 			})
 			for range 25 {
 				var batch []Record
@@ -77,7 +77,7 @@
 				}
 				if _, err := j.Append(batch); err == nil {
 					sure, maybe = append(sure, keys...), nil
-				} else if maybe = append(maybe, keys); !errors.Is(err, memfolder.ErrCrash) && !errors.Is(err, memfolder.ErrFault) {
+				} else if maybe = append(maybe, keys); !errors.Is(err, storagetest.ErrCrash) && !errors.Is(err, storagetest.ErrInjected) {
 					t.Fatal(err)
 				}
 			}
@@ -88,7 +88,7 @@
 
 // Each flipped bit is found by Verify, and Open never takes one for something else: it refuses, or drops the last batch.
 func TestEachFlippedByteIsFound(t *testing.T) {
-	dir := memfolder.New(1)
+	dir := storagetest.New(1)
 	j, _, _, _ := read(t, dir)
 	last := 0
 	for n := range 14 {
@@ -102,19 +102,19 @@
 	if len(names) < 3 {
 		t.Fatalf("%d segments, want some", len(names))
 	}
-	if _, all, err := Verify(dir, func(Record, Place) {}); err != nil || len(all) > 0 {
+	if _, all, err := Verify(dir, func(Record, Position) {}); err != nil || len(all) > 0 {
 		t.Fatal(all, err)
 	}
 	flips, refused, dropped := 0, 0, 0
 	for _, name := range names {
 		for at := range dir.Read(name) {
-			dir.Flip(name, at)
+			dir.FlipBit(name, at)
 			flips++
-			if _, all, err := Verify(dir, func(Record, Place) {}); err != nil || len(all) == 0 {
+			if _, all, err := Verify(dir, func(Record, Position) {}); err != nil || len(all) == 0 {
 				t.Fatalf("%s byte %d: not found (%v)", name, at, err)
 			}
 			n := 0
-			j, _, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, _ Place) {
+			j, _, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, _ Position) {
 				if cmp.Diff(record(n), r, cmpopts.EquateEmpty()) != "" {
 					t.Fatalf("%s byte %d: %v is read as the record %d", name, at, r, n)
 				}
@@ -123,7 +123,7 @@
 			switch {
 			case err == nil && n >= 28-last && n < 28:
 				dropped++
-			case errors.Is(err, ErrDamage):
+			case errors.Is(err, ErrDamaged):
 				refused++
 			default:
 				t.Fatalf("%s byte %d: %d records, %v", name, at, n, err)
@@ -131,7 +131,7 @@
 			if j != nil {
 				j.Close()
 			}
-			dir.Flip(name, at)
+			dir.FlipBit(name, at)
 		}
 	}
 	t.Logf("%d flips: %d refused, %d dropped the last batch", flips, refused, dropped)
@@ -139,15 +139,15 @@
 
 // A journal is refused by another node, by an older program and while it is in use, and a segment that is gone is missed.
 func TestWhatIsRefused(t *testing.T) {
-	open := func(dir *memfolder.Folder, node string) error {
-		j, _, err := Open(dir, Options{Node: node, SegmentBytes: 900}, func(Record, Place) {})
+	open := func(dir *storagetest.Dir, node string) error {
+		j, _, err := Open(dir, Options{Node: node, SegmentBytes: 900}, func(Record, Position) {})
 		if err == nil {
 			j.Close()
 		}
 		return err
 	}
-	make := func() (*memfolder.Folder, *Journal) {
-		dir := memfolder.New(1)
+	make := func() (*storagetest.Dir, *Journal) {
+		dir := storagetest.New(1)
 		j, _, _, _ := read(t, dir)
 		for n := range 60 {
 			if _, err := j.Append([]Record{record(n)}); err != nil {
@@ -161,21 +161,21 @@
 		t.Error("two have the folder")
 	}
 	j.Close()
-	if err := open(dir, "n2"); !errors.Is(err, ErrNode) {
+	if err := open(dir, "n2"); !errors.Is(err, ErrOtherNode) {
 		t.Error(err)
 	}
 	dir.Remove(name(2))
-	if err := open(dir, "n1"); !errors.Is(err, ErrDamage) {
+	if err := open(dir, "n1"); !errors.Is(err, ErrDamaged) {
 		t.Error(err)
 	}
-	dir = memfolder.New(1)
+	dir = storagetest.New(1)
 	f, _ := dir.Create(name(1))
 	b, err := appendFrame(nil, 1, 0, 1, Record{Kind: header, Version: Version + 1, Node: "n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Write(b)
-	if err := open(dir, "n1"); !errors.Is(err, ErrVersion) {
+	if err := open(dir, "n1"); !errors.Is(err, ErrNewerVersion) {
 		t.Error(err)
 	}
 	dir, j = make()
@@ -194,8 +194,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []Place{{1, 0, 0}, {1, 64, 0}, {2, 0, 0}} {
-		if _, _, _, what := readFrame(b, p.Seg, p.At); (what == "") != (p == Place{1, 0, 0}) {
+	for _, p := range []Position{{1, 0, 0}, {1, 64, 0}, {2, 0, 0}} {
+		if _, _, _, what := readFrame(b, p.Segment, p.Offset); (what == "") != (p == Position{1, 0, 0}) {
 			t.Errorf("at %v: %q", p, what)
 		}
 	}
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"whinrudder/internal/core"
-	"whinrudder/internal/folder"
 	"whinrudder/internal/journal"
 	"whinrudder/internal/ops"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storage"
 )
 
 // Bounds of a batch, and pauses in milliseconds.
@@ -31,14 +31,14 @@
 // Host is the node around a keeper.
 type Host struct {
 	Name string
-	Tell func(core.Input) // may block until the core takes it, or the node has ended
+	Send func(core.Input) // may block until the core takes it, or the node has ended
 	Log  func(word string, pairs ...any)
 }
 
-// Keeper holds the journal of a node.
-type Keeper struct {
+// Store holds the journal of a node.
+type Store struct {
 	host   Host
-	dir    folder.Folder
+	dir    storage.Dir
 	j      *journal.Journal
 	socket net.Listener
 
@@ -52,30 +52,30 @@
 	done    chan struct{} // closed once all is written
 }
 
-// Limits returns the limits of a table.
-func Limits(o settings.KeptConfig) ops.Limits {
+// TableLimits returns the limits of a table.
+func TableLimits(o settings.KeptConfig) ops.Limits {
 	return ops.Limits{Keys: o.MaxOperations, DiskBytes: int64(o.DiskMB) << 20, SegmentBytes: int64(o.SegmentMB) << 20, AgeMs: o.ResultTTLMs,
 		DoubtMs: o.InDoubtTTLMs}
 }
 
-// Open recovers the operations of a folder. Nothing is written before Run.
-func Open(h Host, dir folder.Folder, o settings.KeptConfig, now float64) (*Keeper, *ops.Table, error) {
-	t := ops.New(Limits(o))
+// Open recovers the operations of a folder. Nothing is written before Start.
+func Open(h Host, dir storage.Dir, o settings.KeptConfig, now float64) (*Store, *ops.Table, error) {
+	t := ops.New(TableLimits(o))
 	j, found, err := journal.Open(dir, journal.Options{Node: h.Name, SegmentBytes: int64(o.SegmentMB) << 20}, t.Recover)
 	if err != nil {
 		return nil, nil, err
 	}
-	t.Recovered(now, j.Segments())
+	t.FinishRecovery(now, j.Segments())
 	keys, doubts, _, disk := t.Counts()
-	h.Log("kept", "code", "open", "records", found.Records, "segments", found.Segments, "bytes", disk, "torn", found.Torn,
+	h.Log("kept", "code", "open", "records", found.Records, "segments", found.Segments, "bytes", disk, "torn", found.TornBytes,
 		"keys", keys, "doubts", doubts)
-	k := &Keeper{host: h, dir: dir, j: j, wake: make(chan struct{}, 1), wakeF: make(chan struct{}, 1),
+	k := &Store{host: h, dir: dir, j: j, wake: make(chan struct{}, 1), wakeF: make(chan struct{}, 1),
 		over: make(chan struct{}), done: make(chan struct{})}
 	return k, t, nil
 }
 
-// Run starts the goroutines. An empty path has no socket.
-func (k *Keeper) Run(path string) error {
+// Start starts the goroutines. An empty path has no socket.
+func (k *Store) Start(path string) error {
 	if path != "" {
 		path = filepath.Join(path, socketName)
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Carry takes an output of the core that is for the journal.
-func (k *Keeper) Carry(o core.Output) {
+// HandleOutput takes an output of the core that is for the journal.
+func (k *Store) HandleOutput(o core.Output) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	wake := k.wake
@@ -102,7 +102,7 @@
 	case core.Append:
 		k.writes = append(k.writes, o.Write)
 	case core.DropSegment:
-		k.drops = append(k.drops, o.Seg)
+		k.drops = append(k.drops, o.Segment)
 	case core.Fetch:
 		k.fetches, wake = append(k.fetches, o), k.wakeF
 	default:
@@ -114,8 +114,8 @@
 	}
 }
 
-// Ended writes what is left, as far as there is time.
-func (k *Keeper) Ended(by float64) {
+// Shutdown writes what is left, as far as there is time.
+func (k *Store) Shutdown(by float64) {
 	close(k.over)
 	if k.socket != nil {
 		k.socket.Close()
@@ -130,12 +130,12 @@
 }
 
 // batch takes what is to be written next.
-func (k *Keeper) batch() (out []ops.Write, drops []uint32) {
+func (k *Store) batch() (out []ops.Write, drops []uint32) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n, bytes := 0, 0
 	for n < min(len(k.writes), batchMost) && bytes < batchBytes {
-		bytes += len(k.writes[n].Record.Result) + int(k.writes[n].From.Len) + 256
+		bytes += len(k.writes[n].Record.Result) + int(k.writes[n].CopyFrom.Length) + 256
 		n++
 	}
 	out = append(out, k.writes[:n]...)
@@ -147,14 +147,14 @@
 }
 
 // append writes batches as long as there are any, or the node lives.
-func (k *Keeper) append() {
+func (k *Store) append() {
 	defer close(k.done)
 	defer k.j.Close()
 	for {
 		all, drops := k.batch()
 		for _, seg := range drops {
 			err := k.j.DropOldest()
-			k.host.Tell(core.Dropped{Seg: seg, Err: err, Segments: k.j.Segments()})
+			k.host.Send(core.SegmentDropped{Segment: seg, Err: err, Segments: k.j.Segments()})
 		}
 		ended := false
 		select {
@@ -179,15 +179,15 @@
 }
 
 // lay writes a batch. Copies that can't be read fail alone.
-func (k *Keeper) lay(all []ops.Write) bool {
+func (k *Store) lay(all []ops.Write) bool {
 	var records []journal.Record
 	var bad error
 	for _, w := range all {
 		r := w.Record
-		if w.From.Seg > 0 {
+		if w.CopyFrom.Segment > 0 {
 			var err error
-			if r, err = journal.Read(k.dir, w.From); err != nil {
-				k.host.Log("kept", "code", "unreadable", "segment", w.From.Seg, "at", w.From.At, "error", err)
+			if r, err = journal.Read(k.dir, w.CopyFrom); err != nil {
+				k.host.Log("kept", "code", "unreadable", "segment", w.CopyFrom.Segment, "at", w.CopyFrom.Offset, "error", err)
 				bad = err
 				break
 			}
@@ -198,17 +198,17 @@
 		places, err := k.j.Append(records)
 		if err != nil {
 			k.host.Log("kept", "code", "unwritten", "records", len(all), "error", err)
-			k.host.Tell(core.Lapses{N: len(all), Segments: k.j.Segments()})
+			k.host.Send(core.AppendFailed{N: len(all), Segments: k.j.Segments()})
 			k.pause()
 			return false
 		}
-		k.host.Tell(core.Lasts{Places: places, Segments: k.j.Segments()})
+		k.host.Send(core.Appended{Positions: places, Segments: k.j.Segments()})
 	}
 	if bad != nil {
-		if errors.Is(bad, journal.ErrDamage) {
-			k.host.Tell(core.Unread{})
+		if errors.Is(bad, journal.ErrDamaged) {
+			k.host.Send(core.CopyUnreadable{})
 		} else { // the disk may read it another time: nothing is given up
-			k.host.Tell(core.Lapses{N: 1, Segments: k.j.Segments()})
+			k.host.Send(core.AppendFailed{N: 1, Segments: k.j.Segments()})
 			k.pause()
 		}
 		if rest := all[len(records)+1:]; len(rest) > 0 {
@@ -219,7 +219,7 @@
 }
 
 // pause waits for a while before a disk is tried again.
-func (k *Keeper) pause() {
+func (k *Store) pause() {
 	t := time.NewTimer(failPause * time.Millisecond)
 	defer t.Stop()
 	select {
@@ -229,15 +229,15 @@
 }
 
 // fetch reads records.
-func (k *Keeper) fetch() {
+func (k *Store) fetch() {
 	for {
 		k.mu.Lock()
 		all := k.fetches
 		k.fetches = nil
 		k.mu.Unlock()
 		for _, f := range all {
-			r, err := journal.Read(k.dir, f.Place)
-			k.host.Tell(core.Fetched{ID: f.ID, Place: f.Place, Result: r.Result, Err: err})
+			r, err := journal.Read(k.dir, f.Position)
+			k.host.Send(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
 		}
 		if len(all) > 0 {
 			continue
--- a/internal/kept/model_test.go
+++ b/internal/kept/model_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"whinrudder/internal/memfolder"
+	"whinrudder/internal/storagetest"
 )
 
 // move is a thing that may happen next; it returns false where it can't.
@@ -36,14 +36,14 @@
 	}},
 	{"lay fails", func(w *world) bool {
 		can := !w.dead && len(w.writes) > 0
-		w.dir.Faults(func(o memfolder.Op) memfolder.Fault {
-			if o.Word == "sync" {
-				return memfolder.Fail
+		w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+			if o.Kind == "sync" {
+				return storagetest.Fail
 			}
-			return memfolder.None
+			return storagetest.None
 		})
 		w.lay()
-		w.dir.Faults(nil)
+		w.dir.SetFaults(nil)
 		return can
 	}},
 	{"read", func(w *world) bool {
@@ -233,9 +233,9 @@
 		t.Skip("it builds the tests anew for each fault")
 	}
 	for _, f := range []struct{ file, line, instead string }{
-		{"ops/disk.go", "	t.turn(o, Doubt, r.At)\n", "	t.forget(o)\n"},
-		{"ops/ops.go", "	t.writing = append(t.writing, o)\n", "	t.writing = append(t.writing, o)\n	t.do(Start{id})\n"},
-		{"ops/ops.go", "	case o.digest != digest:\n		t.do(Note{\"other-body\", key, id})\n		return Verdict{Kind: Fails, Why: WhyOtherBody}\n", ""},
+		{"ops/disk.go", "	t.turn(o, InDoubt, r.At)\n", "	t.forget(o)\n"},
+		{"ops/ops.go", "	t.writing = append(t.writing, o)\n", "	t.writing = append(t.writing, o)\n	t.do(StartRun{id})\n"},
+		{"ops/ops.go", "	case o.digest != digest:\n		t.do(LogEvent{\"other-body\", key, id})\n		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}\n", ""},
 		{"ops/disk.go", "			t.pending = append(t.pending, &write{op: o, rec: w.rec, since: now})\n			t.do(Write{Record: w.rec})\n", ""},
 		{"ops/disk.go", "		if o != nil && o.run == r.Run {\n			t.forget(o)\n		}\n", ""},
 		{"core/core.go", "			c.ops.Cancel(c.now, r.ID)\n", ""},
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -10,10 +10,10 @@
 	"whinrudder"
 	"whinrudder/internal/core"
 	"whinrudder/internal/journal"
-	"whinrudder/internal/memfolder"
 	"whinrudder/internal/ops"
 	"whinrudder/internal/pool"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storagetest"
 )
 
 // world is a node with its journal on a stand-in disk, its link to a stand-in worker pool, and callers, all driven step by
@@ -21,7 +21,7 @@
 // outlives the node: it keeps the book of what was run.
 type world struct {
 	now   float64
-	dir   *memfolder.Folder
+	dir   *storagetest.Dir
 	limit settings.KeptConfig
 	back  bool // the worker pool tells a new node of the runs of its earlier lives
 
@@ -75,10 +75,10 @@
 func (a *try) Deliver(x core.Answer) { a.answers = append(a.answers, x) }
 
 func newWorld(seed uint64, limit settings.KeptConfig) *world {
-	return newWorldOn(memfolder.New(seed), limit)
+	return newWorldOn(storagetest.New(seed), limit)
 }
 
-func newWorldOn(dir *memfolder.Folder, limit settings.KeptConfig) *world {
+func newWorldOn(dir *storagetest.Dir, limit settings.KeptConfig) *world {
 	w := &world{now: 1e6, dir: dir, limit: limit, runs: map[string]*run{}, asks: map[string]*try{}, free: map[string]bool{}, back: true}
 	w.boot()
 	return w
@@ -102,8 +102,8 @@
 		w.failed = err
 		return
 	}
-	t.Recovered(w.now, j.Segments())
-	c.Keep(t, map[int]string{0: "book"})
+	t.FinishRecovery(w.now, j.Segments())
+	c.KeepResults(t, map[int]string{0: "book"})
 	w.core, w.table, w.j, w.link, w.dead = c, t, j, pool.New([]string{"book"}, nil), false
 	w.writes, w.fetches, w.drops, w.failed = nil, nil, nil, nil
 	w.n++
@@ -143,7 +143,7 @@
 		case core.Fetch:
 			w.fetches = append(w.fetches, o)
 		case core.DropSegment:
-			w.drops = append(w.drops, o.Seg)
+			w.drops = append(w.drops, o.Segment)
 		}
 	}
 	if w.linked {
@@ -200,14 +200,14 @@
 		return a
 	}
 	w.asks[a.id] = a
-	w.step(core.Arrived{Request: &core.Request{ID: a.id, Came: w.now, Due: a.due, KB: 20, Token: key, Body: []byte(body), To: a}})
+	w.step(core.RequestArrived{Request: &core.Request{ID: a.id, ArrivedAt: w.now, Due: a.due, KB: 20, Token: key, Body: []byte(body), ReplyTo: a}})
 	return a
 }
 
 // leave lets a caller give up.
 func (w *world) leave(a *try) {
 	a.gone = true
-	w.step(core.Left{ID: a.id})
+	w.step(core.CallerGone{ID: a.id})
 }
 
 // lay does what the keeper's goroutines do: one batch, what is to be read, what is to be removed.
@@ -219,20 +219,20 @@
 	w.writes, w.fetches, w.drops = nil, nil, nil
 	for _, seg := range drops {
 		err := w.j.DropOldest()
-		w.step(core.Dropped{Seg: seg, Err: err, Segments: w.j.Segments()})
+		w.step(core.SegmentDropped{Segment: seg, Err: err, Segments: w.j.Segments()})
 	}
 	for _, f := range fetches {
-		r, err := journal.Read(w.dir, f.Place)
-		w.step(core.Fetched{ID: f.ID, Place: f.Place, Result: r.Result, Err: err})
+		r, err := journal.Read(w.dir, f.Position)
+		w.step(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
 	}
-	k := Keeper{dir: w.dir, j: w.j, over: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Tell: func(i core.Input) {
-		if l, ok := i.(core.Lasts); ok {
-			for n := range l.Places {
+	k := Store{dir: w.dir, j: w.j, over: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Send: func(i core.Input) {
+		if l, ok := i.(core.Appended); ok {
+			for n := range l.Positions {
 				if r := writes[n].Record; r.Kind != 0 {
 					w.free[r.Key] = r.Kind == journal.NotRun
 				}
 			}
-			writes = writes[len(l.Places):]
+			writes = writes[len(l.Positions):]
 		}
 		w.step(i)
 	}}}
@@ -258,7 +258,7 @@
 func (w *world) unlink() {
 	if w.linked {
 		w.linked, w.inbox = false, nil // what was not read is lost
-		w.step(core.Lost{})
+		w.step(core.LinkLost{})
 	}
 }
 
@@ -357,7 +357,7 @@
 // calm brings all to an end, with a disk that works: every request has one answer, and a last request of each key is
 // served, or in doubt where it never ran, or word of that can't reach the node.
 func (w *world) calm(keys []string) {
-	w.dir.Faults(nil)
+	w.dir.SetFaults(nil)
 	if w.dead {
 		w.boot()
 		if w.failed != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,16 +14,16 @@
 	"time"
 
 	"whinrudder/internal/admin"
-	"whinrudder/internal/catalog"
+	"whinrudder/internal/classindex"
 	"whinrudder/internal/core"
-	"whinrudder/internal/figures"
-	"whinrudder/internal/folder"
+	"whinrudder/internal/counters"
 	"whinrudder/internal/front"
 	"whinrudder/internal/h2"
 	"whinrudder/internal/httpfront"
 	"whinrudder/internal/kept"
 	"whinrudder/internal/pool"
 	"whinrudder/internal/settings"
+	"whinrudder/internal/storage"
 	"whinrudder/internal/uwsgi"
 )
 
@@ -64,25 +64,25 @@
 	core *core.Core
 	link *link
 
-	figures figures.Book
+	figures counters.Registry
 	serving atomic.Bool // the worker pool is up, and the module serves
 
 	reports reporter
 	mu      sync.Mutex // of what follows, which a reload changes
 	stopMs  float64
-	view    catalog.View
+	view    classindex.View
 	granted settings.Config // the last one that held
 
-	catalog *catalog.Catalog // of the goroutine of reloads
+	catalog *classindex.Allocator // of the goroutine of reloads
 	succession
 	moving atomic.Bool // a successor takes new connections, and those at rest
 	leave  leave       // set before the core hears of it
 	away   atomic.Bool // operators have sent the clients away
 
-	folderAt  func(path string) (folder.Folder, error)
-	holder    *kept.Holder // nil: no results are kept
-	parts     []Subsystem  // what the operator's file turns on, see parts.go
-	peerAddr  string       // of the peer port
+	folderAt  func(path string) (storage.Dir, error)
+	holder    *kept.Owner // nil: no results are kept
+	parts     []Subsystem // what the operator's file turns on, see parts.go
+	peerAddr  string      // of the peer port
 	listeners []net.Listener
 	sockets   map[string]net.Listener // by front, that of the peer port included; of mu
 	starts    []func()                // of the fronts, which wait until the node serves
@@ -107,10 +107,10 @@
 	}
 	n := &Node{cfg: cfg, op: op, site: front.NewValidator(cfg.Settings.ClassNames, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
 		addrs: map[string]string{}, sockets: map[string]net.Listener{}, in: make(chan core.Input, 4096), quit: make(chan struct{}), over: make(chan struct{})}
-	n.folderAt, n.catalog = folder.At, catalog.New(cfg.Settings)
+	n.folderAt, n.catalog = storage.OpenDir, classindex.New(cfg.Settings)
 	n.view = n.catalog.View(cfg.Settings.Policy)
 	n.site.SetConfig(n.terms(n.view, kept))
-	c.Count(n.figures.Classes(n.view.Names))
+	c.SetCounters(n.figures.Classes(n.view.Names))
 	n.granted = cfg
 	n.conns.most = n.mostConns(cfg, false)
 	n.idle.Store(int64(cfg.Settings.Policy.KeepAlive))
@@ -224,7 +224,7 @@
 		case <-ctx.Done():
 		}
 		n.leave = n.leaveNow()
-		n.in <- core.Leave{StopAt: now() + n.leave.ms, Succeeded: n.leave.succeeded}
+		n.in <- core.StopNotice{StopAt: now() + n.leave.ms, HasSuccessor: n.leave.succeeded}
 	}()
 	n.loop()
 	close(n.over)
@@ -289,7 +289,7 @@
 			}
 		}
 		for _, o := range n.core.Step(now(), batch) {
-			if _, over := o.(core.Over); over {
+			if _, over := o.(core.DrainFinished); over {
 				return
 			}
 			n.carry(o)
@@ -306,7 +306,7 @@
 		o.To.Deliver(o.Answer)
 	case core.Spawn, core.Suspend, core.Poll, core.Verify:
 		n.link.push(o)
-	case core.Idle:
+	case core.SetIdleTimeout:
 		n.idle.Store(int64(o.After))
 		n.conns.wakeAll()
 	case core.Ready:
@@ -314,20 +314,20 @@
 		n.open()
 		n.serving.Store(true)
 		n.parted(func(p Subsystem) { p.Ready(o.Cold) })
-	case core.Leaving:
+	case core.DrainStarted:
 		n.taking.Store(false)
 		n.reports.now()
 		n.log("drain", "stop_ms", n.leave.ms, "succeeded", n.leave.succeeded)
 		by := now() + n.leave.ms/2
 		n.parted(func(p Subsystem) { p.BeginShutdown(by) })
-	case core.Closing:
+	case core.DrainConns:
 		n.conns.leaveAll()
-	case core.Deaf:
+	case core.StopAccepting:
 		n.deafen()
-	case core.Line:
-		n.log(o.Word, o.Pairs...)
-	case core.Append, core.Fetch, core.DropSegment, core.Released:
-		n.holder.Carry(o)
+	case core.LogEvent:
+		n.log(o.Event, o.Pairs...)
+	case core.Append, core.Fetch, core.DropSegment, core.OpsReleased:
+		n.holder.HandleOutput(o)
 	}
 }
 
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -9,10 +9,10 @@
 
 	"whinrudder/internal/admin"
 	"whinrudder/internal/core"
-	"whinrudder/internal/folder"
 	"whinrudder/internal/kept"
 	"whinrudder/internal/membership"
 	"whinrudder/internal/ops"
+	"whinrudder/internal/storage"
 	"whinrudder/internal/warmup"
 	"whinrudder/internal/zk"
 )
@@ -58,13 +58,13 @@
 	}
 	if len(n.op.Ensemble) > 0 {
 		n.parts = append(n.parts, &registered{node: n, self: membership.Entry{Name: n.cfg.Name, Listen: n.cfg.Listen, UWSGI: n.op.UWSGI,
-			H2C: n.op.H2C, Peer: peerAddr, Start: membership.NewStart(now(), rand.Uint64())}})
+			H2C: n.op.H2C, Peer: peerAddr, Start: membership.NewStartID(now(), rand.Uint64())}})
 	}
 	return nil
 }
 
 // SetFolderOpener lets results be kept in folders of another kind than those of the disk. It must be called before Listen.
-func (n *Node) SetFolderOpener(at func(path string) (folder.Folder, error)) { n.folderAt = at }
+func (n *Node) SetFolderOpener(at func(path string) (storage.Dir, error)) { n.folderAt = at }
 
 // keep recovers the operations whose results are kept, before any request is read; where another process of the node is
 // there, once that gives them up.
@@ -76,15 +76,15 @@
 	if err != nil {
 		return err
 	}
-	host := kept.Host{Name: n.cfg.Name, Tell: n.tell, Log: n.log}
-	h := kept.NewHolder(host, n.op.Kept.Dir, func(now float64) (*kept.Keeper, *ops.Table, error) {
+	host := kept.Host{Name: n.cfg.Name, Send: n.tell, Log: n.log}
+	h := kept.NewOwner(host, n.op.Kept.Dir, func(now float64) (*kept.Store, *ops.Table, error) {
 		return kept.Open(host, dir, n.op.Kept, now)
 	})
 	t, err := h.Start(n.taken != nil)
 	if err != nil {
 		return fmt.Errorf("kept: %w", err)
 	}
-	n.core.Keep(t, n.site.Config().KeptClasses)
+	n.core.KeepResults(t, n.site.Config().KeptClasses)
 	n.holder, n.parts = h, append(n.parts, h)
 	return nil
 }
@@ -192,7 +192,7 @@
 	late := time.NewTimer(time.Until(at(by)))
 	defer late.Stop()
 	select {
-	case o.in <- core.Drained{On: on, Done: func() { o.sentAway(on); close(done) }}:
+	case o.in <- core.OperatorDrain{On: on, Done: func() { o.sentAway(on); close(done) }}:
 	case <-o.over:
 		return false
 	case <-late.C:
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -37,7 +37,7 @@
 	}
 	n.share(true)
 	if n.taken.OperatorDrained {
-		n.in <- core.Drained{On: true, Done: func() { n.away.Store(true) }}
+		n.in <- core.OperatorDrain{On: true, Done: func() { n.away.Store(true) }}
 	}
 	names, s := n.present()
 	prior, remarks := knowledge.Merge(knowledge.DefaultTrustParams, knowledge.Recipient{ClassNames: names, Settings: s}, []knowledge.Report{n.taken.Report})
@@ -45,7 +45,7 @@
 		n.log("prior", r.Pairs()...)
 	}
 	if !prior.Empty() {
-		n.in <- core.Teach{Prior: prior}
+		n.in <- core.AdoptPrior{Prior: prior}
 	}
 	return nil
 }
@@ -154,7 +154,7 @@
 		return leave{n.stopAfter(), false}
 	}
 	_, s := n.present()
-	return leave{handover.Grace(s.Classes), true}
+	return leave{handover.GraceMs(s.Classes), true}
 }
 
 // moves hands a connection at rest to a successor. It tells true if the connection is the successor's now.
--- a/internal/ops/dump.go
+++ b/internal/ops/dump.go
@@ -19,29 +19,29 @@
 				live++
 			}
 		}
-		lines = append(lines, fmt.Sprint(o.key, " ", o.state, " ", o.run, " ", o.led, " ", o.end, " ", live, " ", o.place.Seg > 0))
+		lines = append(lines, fmt.Sprint(o.key, " ", o.state, " ", o.run, " ", o.led, " ", o.end, " ", live, " ", o.place.Segment > 0))
 	}
 	slices.Sort(lines)
 	for _, w := range t.pending {
-		lines = append(lines, fmt.Sprint("write ", w.rec.Kind, " ", w.rec.Run, " ", w.from.Seg > 0))
+		lines = append(lines, fmt.Sprint("write ", w.rec.Kind, " ", w.rec.Run, " ", w.from.Segment > 0))
 	}
 	return fmt.Sprint(strings.Join(lines, "\n"), "\nfailing ", t.failing)
 }
 
-// Item is an operation as operators see it.
-type Item struct {
-	Key, Run, By string
-	State        State
-	End          journal.Kind // of one that is done
-	At           float64
-	Place        journal.Place
+// Operation is an operation as operators see it.
+type Operation struct {
+	Key, Run, ResolvedBy string
+	State                State
+	End                  journal.Kind // of one that is done
+	At                   float64
+	Position             journal.Position
 }
 
-// All lists the operations in order of their last change.
-func (t *Table) All() (out []Item) {
+// Operations lists the operations in order of their last change.
+func (t *Table) Operations() (out []Operation) {
 	for _, o := range t.ops {
-		out = append(out, Item{o.key, o.run, o.by, o.state, o.end, o.at, o.place})
+		out = append(out, Operation{o.key, o.run, o.by, o.state, o.end, o.at, o.place})
 	}
-	slices.SortFunc(out, func(a, b Item) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(out, func(a, b Operation) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Key, b.Key)) })
 	return out
 }
