--- a/client/call.go
+++ b/client/call.go
@@ -46,13 +46,13 @@
 			k.m.Cancel()
 		}
 		do := k.m.Next(now, rand.Float64())
-		switch do.What {
+		switch do.Kind {
 		case attempt.Done:
 			if do.Reason == attempt.None {
 				return k.result, nil
 			}
 			err := &Error{Reason: do.Reason, Class: k.request.Class, Tries: append([]Try(nil), k.tries...), Cause: k.cause,
-				Wait: time.Duration(k.m.Advice() * float64(time.Millisecond))}
+				Wait: time.Duration(k.m.RetryAfter() * float64(time.Millisecond))}
 			if cause := k.ctx.Err(); cause != nil {
 				err.Cause = cause
 			} else if c.closed {
@@ -67,18 +67,18 @@
 		m, until := c.router.Pick(now, use, route.Want{Key: k.key, Keyed: k.keyed && len(k.tried) == 0, Exclude: k.tried, Last: !do.Hedge,
 			Draws: [3]float64{rand.Float64(), rand.Float64(), rand.Float64()}})
 		if m == nil {
-			k.m.NoneFree(now, until)
+			k.m.NoNodeFree(now, until)
 			continue
 		}
-		k.m.Sent(now)
+		k.m.TrySent(now)
 		c.router.Sent(now, m.ID)
 		k.tried = append(k.tried, m.Name)
 		r := k.request
-		r.ID, r.Retry = fmt.Sprintf("%016x", rand.Uint64()), do.Again
+		r.ID, r.Retry = fmt.Sprintf("%016x", rand.Uint64()), do.Retry
 		k.tries = append(k.tries, Try{Node: m.Name, ID: r.ID, Outcome: "open"})
 		i, due := len(k.tries)-1, do.Due
 		if h := c.options.Hooks.Try; h != nil {
-			h(r.Class, m.Name, do.Again, do.Hedge)
+			h(r.Class, m.Name, do.Retry, do.Hedge)
 		}
 		c.work.Add(1)
 		go func() {
@@ -104,7 +104,7 @@
 
 // outcome is what came of a try.
 type outcome struct {
-	end    attempt.End
+	end    attempt.Outcome
 	answer *wire.Answer // nil: none
 	err    error
 }
@@ -140,7 +140,7 @@
 		a.Unheard = true
 	}
 	c.router.Ended(now, m.ID, a, len(c.members.Use(now)))
-	k.m.Ended(now, o.end, took, a.Wait, stay)
+	k.m.TryEnded(now, o.end, took, a.Wait, stay)
 	t := &k.tries[i]
 	t.Outcome, t.Took = outcomes[o.end], time.Duration(took*float64(time.Millisecond))
 	if o.answer != nil {
@@ -162,7 +162,7 @@
 }
 
 // outcomes are the words for the ends of tries.
-var outcomes = map[attempt.End]string{attempt.Served: "served", attempt.Refused: "refused", attempt.Unsent: "unsent", attempt.Failed: "failed",
+var outcomes = map[attempt.Outcome]string{attempt.Served: "served", attempt.Refused: "refused", attempt.Unsent: "unsent", attempt.Failed: "failed",
 	attempt.Broken: "broken", attempt.Late: "late", attempt.Withdrawn: "withdrawn"}
 
 // exchange has a connection and sends a request over it.
--- a/client/client.go
+++ b/client/client.go
@@ -177,7 +177,7 @@
 	mu      sync.Mutex // of all below
 	members *members.Members
 	router  *route.Router
-	shared  *attempt.Shared
+	shared  *attempt.ClientState
 	pools   *pools.Pools
 	conns   map[int]conn  // by number of the connection
 	free    chan struct{} // closed and made anew when a connection may be had
@@ -215,7 +215,7 @@
 		limits = *o.Limits
 	}
 	c := &Client{options: o, classes: map[string]int{}, start: time.Now(), members: members.New(rand.Uint64(), o.Subset), router: route.New(),
-		shared: &attempt.Shared{Budget: attempt.NewBudget(), Waits: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Usual: attempt.NewUsual(len(o.Classes))},
+		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(o.Classes))},
 		pools:  pools.New(limits), conns: map[int]conn{}, free: make(chan struct{}), listed: make(chan struct{})}
 	for i, k := range o.Classes {
 		if _, twice := c.classes[k.Name]; twice || k.Name == "" {
--- a/client/conn.go
+++ b/client/conn.go
@@ -148,7 +148,7 @@
 }
 
 // ended is how a try ended whose context is done.
-func ended(ctx context.Context) attempt.End {
+func ended(ctx context.Context) attempt.Outcome {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return attempt.Late
 	}
--- a/client/h2.go
+++ b/client/h2.go
@@ -68,7 +68,7 @@
 }
 
 // fault says what an error proves.
-func (w *h2) fault(ctx context.Context, err error) attempt.End {
+func (w *h2) fault(ctx context.Context, err error) attempt.Outcome {
 	if ctx.Err() != nil {
 		return ended(ctx)
 	}
--- a/internal/client/attempt/attempt.go
+++ b/internal/client/attempt/attempt.go
@@ -14,18 +14,18 @@
 	Hedge bool // reads alone
 }
 
-// End is how a try ended.
-type End uint8
+// Outcome is how a try ended.
+type Outcome uint8
 
 // The ends of tries.
 const (
-	Served    End = iota
-	Refused       // turned away with the promise that it did not run
-	Unsent        // it provably did not reach a node that would run it: no connection, REFUSED_STREAM, above a GOAWAY
-	Failed        // an answer without a promise
-	Broken        // the connection broke with the request in hand
-	Late          // no answer within the time of the try
-	Withdrawn     // the client took it back
+	Served    Outcome = iota
+	Refused           // turned away with the promise that it did not run
+	Unsent            // it provably did not reach a node that would run it: no connection, REFUSED_STREAM, above a GOAWAY
+	Failed            // an answer without a promise
+	Broken            // the connection broke with the request in hand
+	Late              // no answer within the time of the try
+	Withdrawn         // the client took it back
 )
 
 // Reason is why a call ended without a result.
@@ -58,39 +58,39 @@
 	waitMost    = 1000.0
 )
 
-// What says what is to be done for a call.
-type What uint8
+// ActionKind says what is to be done for a call.
+type ActionKind uint8
 
 // What is to be done.
 const (
-	Try   What = iota // pick a node, then say Sent or NoneFree
-	Sleep             // until Do.At, or until a try ends
-	Done              // the call is over: Reason says how
+	Try   ActionKind = iota // pick a node, then call TrySent or NoNodeFree
+	Sleep                   // until Action.At, or until a try ends
+	Done                    // the call is over: Reason says how
 )
 
-// Do is what is to be done.
-type Do struct {
-	What   What
+// Action is what is to be done.
+type Action struct {
+	Kind   ActionKind
 	At     float64 // of a sleep; infinity: until a try ends
 	Due    float64 // of a try
-	Again  bool    // the try is a retry or a hedge, and is marked as one
+	Retry  bool    // the try is a retry or a hedge, and is marked as one
 	Hedge  bool
 	Reason Reason
 }
 
-// Shared is what the calls of a client have in common.
-type Shared struct {
-	Budget   *Budget // of tries that are not first ones
-	Waits    *Budget // of calls that wait for a node to be free: what waits takes the room of what comes
-	Throttle *Throttle
-	Usual    *Usual
+// ClientState is what the calls of a client have in common.
+type ClientState struct {
+	RetryBudget *Budget // of tries that are not first ones
+	WaitBudget  *Budget // of calls that wait for a node to be free: what waits takes the room of what comes
+	Throttle    *Throttle
+	Latencies   *Latencies
 }
 
 // Call is one call.
 type Call struct {
 	class    Class
 	due      float64
-	shared   *Shared
+	shared   *ClientState
 	of       int // number of the class
 	began    float64
 	sent     int
@@ -99,7 +99,7 @@
 	notTill  float64
 	none     float64 // no node is free until
 	waits    bool    // it has waited for one
-	last     End
+	last     Outcome
 	advice   float64 // the latest advice of a refusal
 	stay     bool    // a node asked not to be passed over
 	hedgeAt  float64
@@ -110,18 +110,18 @@
 }
 
 // New returns a call. Draw, evenly from 0 to 1, is for the client's own throttling.
-func New(now, due float64, class Class, of int, s *Shared, draw float64) *Call {
+func New(now, due float64, class Class, of int, s *ClientState, draw float64) *Call {
 	c := &Call{class: class, of: of, due: due, shared: s, began: now, hedgeAt: math.Inf(1)}
-	s.Budget.First(now)
-	s.Waits.First(now)
-	if s.Throttle.Holds(now, draw) {
+	s.RetryBudget.Deposit(now)
+	s.WaitBudget.Deposit(now)
+	if s.Throttle.ShouldReject(now, draw) {
 		c.end(Throttled)
 	}
 	return c
 }
 
-// Open returns how many tries are not over.
-func (c *Call) Open() int { return c.open }
+// OpenTries returns how many tries are not over.
+func (c *Call) OpenTries() int { return c.open }
 
 // Tries returns how many tries were made.
 func (c *Call) Tries() int { return c.sent }
@@ -129,12 +129,12 @@
 // Due returns until when the call may take.
 func (c *Call) Due() float64 { return c.due }
 
-// Advice returns how long nodes asked the call to stay away, at last.
-func (c *Call) Advice() float64 { return c.advice }
+// RetryAfter returns how long nodes asked the call to stay away, at last.
+func (c *Call) RetryAfter() float64 { return c.advice }
 
 func (c *Call) end(r Reason) {
 	if !c.over && c.sent == 0 && r == NoNode {
-		c.shared.Throttle.Missed()
+		c.shared.Throttle.RecordNoNode()
 	}
 	if !c.over {
 		c.over, c.reason = true, r
@@ -149,14 +149,14 @@
 }
 
 // Next returns what is to be done now. Draw, evenly from 0 to 1, is for a pause.
-func (c *Call) Next(now, draw float64) Do {
+func (c *Call) Next(now, draw float64) Action {
 	c.unheld = draw
 	if c.over {
-		return Do{What: Done, Reason: c.reason}
+		return Action{Kind: Done, Reason: c.reason}
 	}
 	if now >= c.due {
 		c.fail(now)
-		return Do{What: Done, Reason: c.reason}
+		return Action{Kind: Done, Reason: c.reason}
 	}
 	if c.open > 0 {
 		return c.hedge(now)
@@ -164,15 +164,15 @@
 	if c.sent > 0 || c.none > 0 { // something came before
 		if r, stop := c.stops(now); stop {
 			c.end(r)
-			return Do{What: Done, Reason: c.reason}
+			return Action{Kind: Done, Reason: c.reason}
 		}
 	}
 	if at := math.Max(c.notTill, c.none); at > now {
 		if at+c.needs() > c.due {
 			c.fail(now)
-			return Do{What: Done, Reason: c.reason}
+			return Action{Kind: Done, Reason: c.reason}
 		}
-		return Do{What: Sleep, At: at}
+		return Action{Kind: Sleep, At: at}
 	}
 	if c.due-now < c.needs() {
 		if c.sent == 0 {
@@ -180,14 +180,14 @@
 		} else {
 			c.fail(now)
 		}
-		return Do{What: Done, Reason: c.reason}
+		return Action{Kind: Done, Reason: c.reason}
 	}
-	return Do{What: Try, Due: c.tryDue(now), Again: c.sent > 0}
+	return Action{Kind: Try, Due: c.tryDue(now), Retry: c.sent > 0}
 }
 
 // needs is the least time with which a try is worth it.
 func (c *Call) needs() float64 {
-	return math.Max(leastTry, expectShare*c.shared.Usual.Low(c.of))
+	return math.Max(leastTry, expectShare*c.shared.Latencies.P5(c.of))
 }
 
 // tryDue is until when a try may take: a read leaves time for another, a write has all there is, since nothing may follow a
@@ -197,7 +197,7 @@
 		return c.due
 	}
 	left := c.due - now
-	if share := tryShare * left; share >= c.shared.Usual.High(c.of) && left-share >= c.needs() {
+	if share := tryShare * left; share >= c.shared.Latencies.P95(c.of) && left-share >= c.needs() {
 		return now + share
 	}
 	return c.due
@@ -247,38 +247,38 @@
 }
 
 // hedge says what to do while a try is open: one more, once it takes longer than nearly all do.
-func (c *Call) hedge(now float64) Do {
+func (c *Call) hedge(now float64) Action {
 	if c.class.Write || !c.class.Hedge || c.open > 1 || c.sent >= c.tries() || now < c.none {
-		return Do{What: Sleep, At: c.due}
+		return Action{Kind: Sleep, At: c.due}
 	}
 	switch {
 	case now < c.hedgeAt:
-		return Do{What: Sleep, At: math.Min(c.due, c.hedgeAt)}
-	case c.due-now < c.needs() || !c.shared.Budget.Take(now):
+		return Action{Kind: Sleep, At: math.Min(c.due, c.hedgeAt)}
+	case c.due-now < c.needs() || !c.shared.RetryBudget.Spend(now):
 		c.hedgeAt = math.Inf(1)
-		return Do{What: Sleep, At: c.due}
+		return Action{Kind: Sleep, At: c.due}
 	}
 	c.hedgeAt = math.Inf(1)
-	return Do{What: Try, Due: c.due, Again: true, Hedge: true}
+	return Action{Kind: Try, Due: c.due, Retry: true, Hedge: true}
 }
 
-// Sent takes it that the try that was wanted went out.
-func (c *Call) Sent(now float64) {
+// TrySent takes it that the try that was wanted went out.
+func (c *Call) TrySent(now float64) {
 	c.sent++
 	c.open++
 	c.none = 0
-	if h := c.shared.Usual.High(c.of); h > 0 && c.sent == 1 {
+	if h := c.shared.Latencies.P95(c.of); h > 0 && c.sent == 1 {
 		c.hedgeAt = now + h
 	}
 }
 
-// NoneFree takes it that no node can be asked before a time. Few calls may wait for one: the others end at once.
-func (c *Call) NoneFree(now, until float64) {
+// NoNodeFree takes it that no node can be asked before a time. Few calls may wait for one: the others end at once.
+func (c *Call) NoNodeFree(now, until float64) {
 	if c.open > 0 {
 		c.none = math.Max(until, now+1)
 		return // a hedge that finds nobody
 	}
-	if !c.waits && !c.shared.Waits.Take(now) {
+	if !c.waits && !c.shared.WaitBudget.Spend(now) {
 		c.fail(now)
 		return
 	}
@@ -289,15 +289,15 @@
 	c.none = math.Max(until, now+1)
 }
 
-// Ended takes the end of a try: how, how long it took, and what a refusal said: when to come back, and not to ask elsewhere.
-func (c *Call) Ended(now float64, e End, took, wait float64, stay bool) {
+// TryEnded takes the end of a try: how, how long it took, and what a refusal said: when to come back, and not to ask elsewhere.
+func (c *Call) TryEnded(now float64, e Outcome, took, wait float64, stay bool) {
 	c.open--
 	if e == Withdrawn {
 		return
 	}
-	c.shared.Throttle.Ended(now, e)
+	c.shared.Throttle.RecordTry(now, e)
 	if e == Served {
-		c.shared.Usual.Add(c.of, took)
+		c.shared.Latencies.Add(c.of, took)
 		c.over, c.reason = true, None
 		return
 	}
@@ -313,7 +313,7 @@
 		c.end(r)
 		return
 	}
-	if !c.shared.Budget.Take(now) {
+	if !c.shared.RetryBudget.Spend(now) {
 		c.end(c.why())
 		return
 	}
--- a/internal/client/attempt/attempt_test.go
+++ b/internal/client/attempt/attempt_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-func shared() *Shared {
-	return &Shared{Budget: &Budget{Ratio: 0.1, tokens: 10}, Waits: &Budget{Ratio: 0.1, tokens: 10}, Throttle: NewThrottle(), Usual: NewUsual(1)}
+func shared() *ClientState {
+	return &ClientState{RetryBudget: &Budget{Ratio: 0.1, tokens: 10}, WaitBudget: &Budget{Ratio: 0.1, tokens: 10}, Throttle: NewThrottle(), Latencies: NewLatencies(1)}
 }
 
 // A call by hand: the end of each try, and what the call comes to.
 func TestCalls(t *testing.T) {
 	type try struct {
-		end  End
+		end  Outcome
 		stay bool
 	}
 	for _, c := range []struct {
@@ -41,18 +41,18 @@
 		call := New(now, 10000, c.class, 0, shared(), 0.5)
 		for i, x := range c.tries {
 			do := call.Next(now, 0.5)
-			if do.What == Sleep {
+			if do.Kind == Sleep {
 				now = do.At
 				do = call.Next(now, 0.5)
 			}
-			if do.What != Try || do.Again != (i > 0) || do.Due <= now || do.Due > 10000 || c.class.Write && do.Due != 10000 {
+			if do.Kind != Try || do.Retry != (i > 0) || do.Due <= now || do.Due > 10000 || c.class.Write && do.Due != 10000 {
 				t.Fatalf("%s: try %d: %+v", c.name, i, do)
 			}
-			call.Sent(now)
+			call.TrySent(now)
 			now += 100
-			call.Ended(now, x.end, 100, 250, x.stay)
+			call.TryEnded(now, x.end, 100, 250, x.stay)
 		}
-		if do := call.Next(now, 0.5); do.What != Done || do.Reason != c.reason || call.Tries() != c.sent {
+		if do := call.Next(now, 0.5); do.Kind != Done || do.Reason != c.reason || call.Tries() != c.sent {
 			t.Errorf("%s: %+v after %d tries", c.name, do, call.Tries())
 		}
 	}
@@ -62,32 +62,32 @@
 func TestTime(t *testing.T) {
 	s := shared()
 	for range usualEvery {
-		s.Usual.Add(0, 400)
+		s.Latencies.Add(0, 400)
 	}
-	if do := New(0, 150, Class{}, 0, s, 0.5).Next(0, 0); do.What != Done || do.Reason != NoTime {
+	if do := New(0, 150, Class{}, 0, s, 0.5).Next(0, 0); do.Kind != Done || do.Reason != NoTime {
 		t.Errorf("150 ms are left of the usual 400: %+v", do)
 	}
 	c := New(0, 1000, Class{}, 0, s, 0.5)
-	c.NoneFree(0, 900)
-	if do := c.Next(0, 0); do.What != Done || do.Reason != NoNode {
+	c.NoNodeFree(0, 900)
+	if do := c.Next(0, 0); do.Kind != Done || do.Reason != NoNode {
 		t.Errorf("no node is free until just before the end: %+v", do)
 	}
 	c = New(0, 10000, Class{}, 0, s, 0.5)
-	c.NoneFree(0, 200)
-	if do := c.Next(0, 0); do.What != Sleep || do.At != 200 {
+	c.NoNodeFree(0, 200)
+	if do := c.Next(0, 0); do.Kind != Sleep || do.At != 200 {
 		t.Errorf("no node is free for a while: %+v", do)
 	}
 	c = New(0, 2000, Class{}, 0, s, 0.5)
 	if do := c.Next(0, 0); do.Due != 1200 {
 		t.Errorf("a read leaves time for another try: %+v", do)
 	}
-	c.Sent(0)
-	if do := c.Next(2000, 0); do.What != Done || do.Reason != Failure {
+	c.TrySent(0)
+	if do := c.Next(2000, 0); do.Kind != Done || do.Reason != Failure {
 		t.Errorf("the end of its time: %+v", do)
 	}
-	c.Ended(2500, Served, 2500, 0, false)
+	c.TryEnded(2500, Served, 2500, 0, false)
 	c = New(0, 2000, Class{Write: true}, 0, s, 0.5)
-	c.Sent(0)
+	c.TrySent(0)
 	c.Cancel()
 	if do := c.Next(10, 0); do.Reason != Cancelled {
 		t.Errorf("cancelled: %+v", do)
@@ -98,31 +98,31 @@
 func TestHedge(t *testing.T) {
 	s := shared()
 	for range usualEvery {
-		s.Usual.Add(0, 100)
+		s.Latencies.Add(0, 100)
 	}
 	c := New(0, 10000, Class{Hedge: true}, 0, s, 0.5)
 	c.Next(0, 0)
-	c.Sent(0)
-	high := s.Usual.High(0)
-	if do := c.Next(0, 0); do.What != Sleep || do.At != high {
+	c.TrySent(0)
+	high := s.Latencies.P95(0)
+	if do := c.Next(0, 0); do.Kind != Sleep || do.At != high {
 		t.Errorf("%+v, want a sleep until %v", do, high)
 	}
 	do := c.Next(high, 0)
-	if do.What != Try || !do.Hedge || !do.Again {
+	if do.Kind != Try || !do.Hedge || !do.Retry {
 		t.Errorf("%+v, want a hedge", do)
 	}
-	c.Sent(high)
-	c.Ended(high+50, Failed, 50, 0, false)
-	if do := c.Next(high+50, 0); do.What != Sleep {
+	c.TrySent(high)
+	c.TryEnded(high+50, Failed, 50, 0, false)
+	if do := c.Next(high+50, 0); do.Kind != Sleep {
 		t.Errorf("the first try is still out: %+v", do)
 	}
-	c.Ended(high+60, Served, high+60, 0, false)
-	if do := c.Next(high+60, 0); do.What != Done || do.Reason != None {
+	c.TryEnded(high+60, Served, high+60, 0, false)
+	if do := c.Next(high+60, 0); do.Kind != Done || do.Reason != None {
 		t.Errorf("%+v", do)
 	}
 	w := New(0, 10000, Class{Write: true, Hedge: true}, 0, s, 0.5)
-	w.Sent(0)
-	if do := w.Next(5000, 0); do.What != Sleep {
+	w.TrySent(0)
+	if do := w.Next(5000, 0); do.Kind != Sleep {
 		t.Errorf("a write is hedged: %+v", do)
 	}
 }
@@ -131,7 +131,7 @@
 // call ends by its due time, and once it is over it wants nothing more.
 func TestCallsKeepTheirWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Shared{Budget: NewBudget(), Waits: NewBudget(), Throttle: NewThrottle(), Usual: NewUsual(1)}
+		s := &ClientState{RetryBudget: NewBudget(), WaitBudget: NewBudget(), Throttle: NewThrottle(), Latencies: NewLatencies(1)}
 		now, first, again := 0.0, 0, 0
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
 			write := rapid.Bool().Draw(t, "write")
@@ -143,8 +143,8 @@
 					t.Fatal("it does not end")
 				}
 				do := c.Next(now, rapid.Float64Range(0, 1).Draw(t, "pause"))
-				if do.What == Done {
-					if again := c.Next(now+1, 0); again.What != Done || again.Reason != do.Reason {
+				if do.Kind == Done {
+					if again := c.Next(now+1, 0); again.Kind != Done || again.Reason != do.Reason {
 						t.Fatalf("%+v, and then %+v", do, again)
 					}
 					if write && unknown && do.Reason != Unknown && do.Reason != None {
@@ -152,32 +152,32 @@
 					}
 					break
 				}
-				if do.What == Try {
+				if do.Kind == Try {
 					if now >= due || do.Due > due || unknown && write {
 						t.Fatalf("%+v at %v of %v, unknown %v", do, now, due, unknown)
 					}
 					if rapid.IntRange(0, 4).Draw(t, "none") == 0 {
-						c.NoneFree(now, now+rapid.Float64Range(0, 2000).Draw(t, "until"))
+						c.NoNodeFree(now, now+rapid.Float64Range(0, 2000).Draw(t, "until"))
 						continue
 					}
-					if do.Again {
+					if do.Retry {
 						again++
 					} else {
 						first++
 					}
-					c.Sent(now)
+					c.TrySent(now)
 					continue
 				}
 				to := math.Min(do.At, due)
-				if c.Open() > 0 && rapid.Bool().Draw(t, "ends") {
+				if c.OpenTries() > 0 && rapid.Bool().Draw(t, "ends") {
 					now += (to - now) * rapid.Float64Range(0, 1).Draw(t, "when")
-					e := End(rapid.IntRange(int(Served), int(Late)).Draw(t, "end"))
+					e := Outcome(rapid.IntRange(int(Served), int(Late)).Draw(t, "end"))
 					unknown = unknown || e == Failed || e == Broken || e == Late
-					c.Ended(now, e, 100, 100, rapid.Bool().Draw(t, "stay"))
+					c.TryEnded(now, e, 100, 100, rapid.Bool().Draw(t, "stay"))
 					continue
 				}
 				now = to
-				if c.Open() > 0 && to >= due {
+				if c.OpenTries() > 0 && to >= due {
 					unknown = true
 				}
 			}
@@ -193,8 +193,8 @@
 	b := NewBudget()
 	taken := 0
 	for i := range 5000 {
-		b.First(float64(i) * 10)
-		for b.Take(float64(i) * 10) {
+		b.Deposit(float64(i) * 10)
+		for b.Spend(float64(i) * 10) {
 			taken++
 		}
 	}
@@ -202,14 +202,14 @@
 		t.Errorf("%d of 5,000 are tried again, want about 400 and the trickle", taken)
 	}
 	for _, c := range []struct {
-		end       End
+		end       Outcome
 		low, high int
 	}{{Served, 1000, 1000}, {Refused, 20, 250}, {Failed, 1000, 1000}} {
 		th, sent := NewThrottle(), 0
 		for i := range 1000 {
-			if !th.Holds(float64(i)*10, float64(i*617%1000)/1000) {
+			if !th.ShouldReject(float64(i)*10, float64(i*617%1000)/1000) {
 				sent++
-				th.Ended(float64(i)*10, c.end)
+				th.RecordTry(float64(i)*10, c.end)
 			}
 		}
 		if sent < c.low || sent > c.high {
@@ -219,7 +219,7 @@
 	// Calls under way were not turned away: a client that begins with many holds none back. Those for which no node was free were.
 	th, held := NewThrottle(), 0
 	for range 500 {
-		if th.Holds(0, 0) {
+		if th.ShouldReject(0, 0) {
 			held++
 		}
 	}
@@ -227,9 +227,9 @@
 		t.Errorf("%d calls are held back before anything was heard", held)
 	}
 	for range 100 {
-		th.Missed()
+		th.RecordNoNode()
 	}
-	if !th.Holds(0, 0.5) {
+	if !th.ShouldReject(0, 0.5) {
 		t.Error("none is held back though no node is ever free")
 	}
 }
--- a/internal/client/attempt/limits.go
+++ b/internal/client/attempt/limits.go
@@ -9,8 +9,8 @@
 // Budget bounds the tries of a client that are not first ones: a share of the first ones of the last while, and a trickle for
 // clients that ask for little.
 type Budget struct {
-	Ratio   float64 // of first tries
-	Trickle float64 // a second
+	Ratio        float64 // of first tries
+	MinPerSecond float64 // a second
 
 	tokens, at float64
 }
@@ -23,22 +23,22 @@
 )
 
 // NewBudget returns the usual budget: a tenth, and one in five seconds.
-func NewBudget() *Budget { return &Budget{Ratio: 0.08, Trickle: 0.2, tokens: budgetFirst} }
+func NewBudget() *Budget { return &Budget{Ratio: 0.08, MinPerSecond: 0.2, tokens: budgetFirst} }
 
 func (b *Budget) age(now float64) {
 	dt := math.Max(0, now-b.at)
-	b.tokens = math.Min(budgetMost, b.tokens*math.Exp(-dt/budgetWindow)+b.Trickle*dt/1000)
+	b.tokens = math.Min(budgetMost, b.tokens*math.Exp(-dt/budgetWindow)+b.MinPerSecond*dt/1000)
 	b.at = math.Max(b.at, now)
 }
 
-// First takes a first try.
-func (b *Budget) First(now float64) {
+// Deposit takes a first try.
+func (b *Budget) Deposit(now float64) {
 	b.age(now)
 	b.tokens = math.Min(budgetMost, b.tokens+b.Ratio)
 }
 
-// Take takes a token for another try, if there is one.
-func (b *Budget) Take(now float64) bool {
+// Spend takes a token for another try, if there is one.
+func (b *Budget) Spend(now float64) bool {
 	if b.age(now); b.tokens < 1 {
 		return false
 	}
@@ -55,8 +55,8 @@
 	asked, accepted, at float64
 }
 
-// Missed takes a call for which no node was free: nodes turned it away beforehand, by their credit.
-func (t *Throttle) Missed() { t.asked++ }
+// RecordNoNode takes a call for which no node was free: nodes turned it away beforehand, by their credit.
+func (t *Throttle) RecordNoNode() { t.asked++ }
 
 // NewThrottle returns the usual one: at half turned away it begins, over half a minute.
 func NewThrottle() *Throttle { return &Throttle{K: 2, Window: 30e3, Slack: 10} }
@@ -66,9 +66,9 @@
 	t.asked, t.accepted, t.at = t.asked*f, t.accepted*f, math.Max(t.at, now)
 }
 
-// Holds tells whether a call is held back; the draw is evenly from 0 to 1. One that is counts as asked, so that clients that are
+// ShouldReject tells whether a call is held back; the draw is evenly from 0 to 1. One that is counts as asked, so that clients that are
 // held back go on to be. One that is not counts with the end of its tries: what is under way has not been turned away.
-func (t *Throttle) Holds(now, draw float64) bool {
+func (t *Throttle) ShouldReject(now, draw float64) bool {
 	t.age(now)
 	if p := math.Max(0, (t.asked-t.K*t.accepted-t.Slack)/(t.asked+1)); draw >= p {
 		return false
@@ -77,8 +77,8 @@
 	return true
 }
 
-// Ended takes the end of a try; all but refusals and lost connections show that nodes work.
-func (t *Throttle) Ended(now float64, e End) {
+// RecordTry takes the end of a try; all but refusals and lost connections show that nodes work.
+func (t *Throttle) RecordTry(now float64, e Outcome) {
 	t.age(now)
 	t.asked++
 	if e == Served || e == Failed || e == Late {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Usual knows how long answers usually take, by class.
-type Usual struct {
+// Latencies knows how long answers usually take, by class.
+type Latencies struct {
 	classes []*hdrhistogram.Histogram
 	low     []float64
 	high    []float64
@@ -103,9 +103,9 @@
 	longest    = 3600e3
 )
 
-// NewUsual returns one for so many classes.
-func NewUsual(classes int) *Usual {
-	u := &Usual{low: make([]float64, classes), high: make([]float64, classes), n: make([]int, classes)}
+// NewLatencies returns one for so many classes.
+func NewLatencies(classes int) *Latencies {
+	u := &Latencies{low: make([]float64, classes), high: make([]float64, classes), n: make([]int, classes)}
 	for range classes {
 		u.classes = append(u.classes, hdrhistogram.New(1, longest, 2))
 	}
@@ -113,7 +113,7 @@
 }
 
 // Add takes how long an answer took.
-func (u *Usual) Add(class int, took float64) {
+func (u *Latencies) Add(class int, took float64) {
 	h := u.classes[class]
 	h.RecordValue(int64(math.Min(longest, math.Max(1, took))))
 	if u.n[class]++; u.n[class]%usualEvery != 0 {
@@ -125,8 +125,8 @@
 	}
 }
 
-// Low returns the latency that a twentieth of the answers had at most; 0: it is not known.
-func (u *Usual) Low(class int) float64 { return u.low[class] }
+// P5 returns the latency that a twentieth of the answers had at most; 0: it is not known.
+func (u *Latencies) P5(class int) float64 { return u.low[class] }
 
-// High returns the latency that all but a twentieth had at most; 0: it is not known.
-func (u *Usual) High(class int) float64 { return u.high[class] }
+// P95 returns the latency that all but a twentieth had at most; 0: it is not known.
+func (u *Latencies) P95(class int) float64 { return u.high[class] }
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -17,13 +17,13 @@
 	draws   int
 	members *members.Members
 	router  *route.Router
-	shared  *attempt.Shared
+	shared  *attempt.ClientState
 	classes []attempt.Class
 }
 
 func newLibrary(p *play, h Habit, seed vtime.Seed) *library {
 	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.Subset), router: route.New(),
-		shared: &attempt.Shared{Budget: attempt.NewBudget(), Waits: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Usual: attempt.NewUsual(len(p.day.Classes))}}
+		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(p.day.Classes))}}
 	for _, c := range p.day.Classes {
 		l.classes = append(l.classes, attempt.Class{Write: c.Write, Hedge: false})
 	}
@@ -60,7 +60,7 @@
 	now := l.p.k.Now()
 	for !q.over {
 		do := q.call.Next(now, l.draw(q))
-		switch do.What {
+		switch do.Kind {
 		case attempt.Done:
 			if q.tries == 0 {
 				l.p.res.Withheld++
@@ -78,11 +78,11 @@
 		}
 		m, until := l.router.Pick(now, use, w)
 		if m == nil {
-			q.call.NoneFree(now, until)
+			q.call.NoNodeFree(now, until)
 			continue
 		}
 		n, _ := strconv.Atoi(m.Name)
-		q.call.Sent(now)
+		q.call.TrySent(now)
 		l.router.Sent(now, m.ID)
 		l.p.launch(q, n, do.Due)
 		q.open[len(q.open)-1].member = m
@@ -93,7 +93,7 @@
 func (l *library) withdraw(t *try) {
 	now := l.p.k.Now()
 	l.router.Ended(now, t.member.ID, route.Answer{Took: now - t.sent, Credit: -1, Unheard: true}, len(l.members.Use(now)))
-	t.q.call.Ended(now, attempt.Withdrawn, now-t.sent, 0, false)
+	t.q.call.TryEnded(now, attempt.Withdrawn, now-t.sent, 0, false)
 }
 
 // heard takes what came of a try.
@@ -112,7 +112,7 @@
 	l.ended(t, end, r)
 }
 
-func (l *library) ended(t *try, end attempt.End, r reply) {
+func (l *library) ended(t *try, end attempt.Outcome, r reply) {
 	now, q := l.p.k.Now(), t.q
 	a := route.Answer{Took: now - t.sent, Credit: -1}
 	switch end {
@@ -137,7 +137,7 @@
 		}
 	}
 	l.router.Ended(now, t.member.ID, a, len(l.members.Use(now)))
-	q.call.Ended(now, end, now-t.sent, r.wait, r.stay)
+	q.call.TryEnded(now, end, now-t.sent, r.wait, r.stay)
 	if end == attempt.Served {
 		l.p.serve(q)
 		return
--- a/internal/emu/habits/habits.go
+++ b/internal/emu/habits/habits.go
@@ -144,7 +144,7 @@
 	if c.Tries > 0 && nth >= c.Tries*max(1, c.Copies) {
 		return false
 	}
-	if c.throttle != nil && c.throttle.Holds(now, coin) {
+	if c.throttle != nil && c.throttle.ShouldReject(now, coin) {
 		return false
 	}
 	if c.Budget == 0 {
@@ -264,7 +264,7 @@
 		v.away, how = max(v.away, now+wait), attempt.Refused
 	}
 	if c.throttle != nil {
-		c.throttle.Ended(now, how)
+		c.throttle.RecordTry(now, how)
 	}
 }
 
@@ -272,7 +272,7 @@
 func (c *Caller) Broken(now float64, node int) {
 	c.seen[node].away = max(c.seen[node].away, now+c.heardFor)
 	if c.throttle != nil {
-		c.throttle.Ended(now, attempt.Broken)
+		c.throttle.RecordTry(now, attempt.Broken)
 	}
 }
 
