--- a/client/call.go
+++ b/client/call.go
@@ -63,7 +63,7 @@
 			k.sleep(math.Min(do.At, k.due))
 			continue
 		}
-		use := c.members.Use(now)
+		use := c.members.InUse(now)
 		m, until := c.router.Pick(now, use, route.Want{Key: k.key, Keyed: k.keyed && len(k.tried) == 0, Exclude: k.tried, Last: !do.Hedge,
 			Draws: [3]float64{rand.Float64(), rand.Float64(), rand.Float64()}})
 		if m == nil {
@@ -124,9 +124,9 @@
 	if o.answer != nil {
 		a.Credit, a.Wait, stay = o.answer.Load, o.answer.Wait, o.answer.Last
 		if o.answer.Close && o.answer.Load == 0 {
-			c.members.Leaves(now, m.Name) // it wants no more, and closes: it drains
+			c.members.MarkDraining(now, m.Name) // it wants no more, and closes: it drains
 		} else {
-			c.members.Stays(now, m.Name)
+			c.members.MarkServing(now, m.Name)
 		}
 	}
 	switch o.end {
@@ -139,7 +139,7 @@
 	case attempt.Withdrawn:
 		a.Unheard = true
 	}
-	c.router.Ended(now, m.ID, a, len(c.members.Use(now)))
+	c.router.Ended(now, m.ID, a, len(c.members.InUse(now)))
 	k.m.TryEnded(now, o.end, took, a.Wait, stay)
 	t := &k.tries[i]
 	t.Outcome, t.Took = outcomes[o.end], time.Duration(took*float64(time.Millisecond))
--- a/client/client.go
+++ b/client/client.go
@@ -248,7 +248,7 @@
 		}
 		all = append(all, members.Node{Name: n.Name, Addr: n.Addr, Draining: n.Draining})
 	}
-	c.members.List(c.now(), float64(made.Sub(c.start))/float64(time.Millisecond), all)
+	c.members.SetList(c.now(), float64(made.Sub(c.start))/float64(time.Millisecond), all)
 	if !c.heard && len(all) > 0 {
 		c.heard = true
 		close(c.listed)
@@ -270,7 +270,7 @@
 		for _, p := range old {
 			c.drop(p)
 		}
-		c.router.Forget(c.members.Use(c.now()))
+		c.router.Forget(c.members.InUse(c.now()))
 		c.mu.Unlock()
 	}
 }
@@ -353,5 +353,5 @@
 func (c *Client) Nodes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.members.Use(c.now()))
+	return len(c.members.InUse(c.now()))
 }
--- a/internal/client/members/members.go
+++ b/internal/client/members/members.go
@@ -40,10 +40,10 @@
 
 // The states, the better first.
 const (
-	Up       State = iota // listed, or its own word says so
-	Lost                  // a list that lost too much at once has lost it: the last resort
-	Draining              // it said that it leaves, or its mark does: nothing new goes there
-	Gone
+	Up         State = iota // listed, or its own word says so
+	LastResort              // a list that lost too much at once has lost it: the last resort
+	Draining                // it said that it leaves, or its mark does: nothing new goes there
+	Removed
 )
 
 // Member is a node and what is known of it.
@@ -80,9 +80,9 @@
 	return &Members{self: self, subset: subset, byName: map[string]*Member{}, empty: math.Inf(1), useAt: math.Inf(-1)}
 }
 
-// List takes a list that was made at a time, which may be before now; one of the future was made now. One that is older than
+// SetList takes a list that was made at a time, which may be before now; one of the future was made now. One that is older than
 // the latest is passed over, and ok is false; of one that is too long the first MaxNodes count.
-func (m *Members) List(now, made float64, nodes []Node) (ok bool) {
+func (m *Members) SetList(now, made float64, nodes []Node) (ok bool) {
 	if made = min(made, now); made < m.listAt && m.heard {
 		return false
 	}
@@ -147,15 +147,15 @@
 	}
 }
 
-// Stays takes an answer of a node that says nothing of leaving.
-func (m *Members) Stays(now float64, name string) {
+// MarkServing takes an answer of a node that says nothing of leaving.
+func (m *Members) MarkServing(now float64, name string) {
 	if e := m.byName[name]; e != nil {
 		e.word = now
 	}
 }
 
-// Leaves takes a node's word that it leaves: a closing answer while it drains, a GOAWAY.
-func (m *Members) Leaves(now float64, name string) {
+// MarkDraining takes a node's word that it leaves: a closing answer while it drains, a GOAWAY.
+func (m *Members) MarkDraining(now float64, name string) {
 	if e := m.byName[name]; e != nil {
 		e.leaving = now
 		m.useAt = math.Inf(-1)
@@ -166,7 +166,7 @@
 func (m *Members) State(now float64, name string) State {
 	e := m.byName[name]
 	if e == nil {
-		return Gone
+		return Removed
 	}
 	return m.state(now, e)
 }
@@ -186,19 +186,19 @@
 	case e.listed:
 		return Draining
 	case e.suspect && now-e.since < lostFor:
-		return Lost
+		return LastResort
 	}
-	return Gone
+	return Removed
 }
 
-// Use returns the nodes that the client uses, in an order that is its own: those that are up, of its subset; where there are
+// InUse returns the nodes that the client uses, in an order that is its own: those that are up, of its subset; where there are
 // none, lost ones. They are valid until the next call that changes anything.
-func (m *Members) Use(now float64) (out []*Member) {
+func (m *Members) InUse(now float64) (out []*Member) {
 	if now >= m.useAt && now < m.useAt+useFor {
 		return m.use
 	}
 	defer func() { m.use, m.useAt = out, now }()
-	for _, want := range []State{Up, Lost} {
+	for _, want := range []State{Up, LastResort} {
 		for _, e := range m.byName {
 			if m.state(now, e) == want {
 				out = append(out, e)
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -40,7 +40,7 @@
 		}
 	}
 	now := l.p.k.Now()
-	l.members.List(now, max(0, now-l.p.day.ListLag), nodes)
+	l.members.SetList(now, max(0, now-l.p.day.ListLag), nodes)
 }
 
 // draw is a number from 0 to 1 for a request. It goes by the request, so that no other is shifted.
@@ -71,7 +71,7 @@
 			l.p.k.Set(&q.wake, min(do.At, q.call.Due()))
 			return
 		}
-		use := l.members.Use(now)
+		use := l.members.InUse(now)
 		w := route.Want{Draws: [3]float64{l.draw(q), l.draw(q), q.Coin}, Last: !do.Hedge}
 		for _, n := range q.tried {
 			w.Exclude = append(w.Exclude, strconv.Itoa(n))
@@ -92,7 +92,7 @@
 // withdraw takes a try back.
 func (l *library) withdraw(t *try) {
 	now := l.p.k.Now()
-	l.router.Ended(now, t.member.ID, route.Answer{Took: now - t.sent, Credit: -1, Unheard: true}, len(l.members.Use(now)))
+	l.router.Ended(now, t.member.ID, route.Answer{Took: now - t.sent, Credit: -1, Unheard: true}, len(l.members.InUse(now)))
 	t.q.call.TryEnded(now, attempt.Withdrawn, now-t.sent, 0, false)
 }
 
@@ -131,12 +131,12 @@
 	if !a.NoAnswer && end != attempt.Late {
 		a.Credit, a.Wait = r.load, r.wait
 		if r.leaves {
-			l.members.Leaves(now, t.member.Name)
+			l.members.MarkDraining(now, t.member.Name)
 		} else {
-			l.members.Stays(now, t.member.Name)
+			l.members.MarkServing(now, t.member.Name)
 		}
 	}
-	l.router.Ended(now, t.member.ID, a, len(l.members.Use(now)))
+	l.router.Ended(now, t.member.ID, a, len(l.members.InUse(now)))
 	q.call.TryEnded(now, end, now-t.sent, r.wait, r.stay)
 	if end == attempt.Served {
 		l.p.serve(q)
