--- a/client/call.go
+++ b/client/call.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"whinrudder/internal/client/attempt"
+	"whinrudder/internal/client/connpool"
 	"whinrudder/internal/client/members"
-	"whinrudder/internal/client/pools"
 	"whinrudder/internal/client/route"
 	"whinrudder/internal/client/wire"
 )
@@ -194,7 +194,7 @@
 }
 
 // connection returns a connection to a node with room for a request, a new one if need be.
-func (c *Client) connection(ctx context.Context, m *members.Member) (*pools.Conn, conn, error) {
+func (c *Client) connection(ctx context.Context, m *members.Member) (*connpool.Conn, conn, error) {
 	for {
 		c.mu.Lock()
 		if c.closed {
@@ -202,24 +202,24 @@
 			return nil, nil, errClosed
 		}
 		now := c.now()
-		do := c.pools.Want(now, m.ID)
+		do := c.pools.Acquire(now, m.ID)
 		free := c.free
 		var w conn
-		if do.What == pools.Use {
+		if do.Kind == connpool.Use {
 			w = c.conns[do.Conn.ID]
 		}
 		c.mu.Unlock()
-		switch do.What {
-		case pools.Use:
+		switch do.Kind {
+		case connpool.Use:
 			if w.dead() {
 				c.mu.Lock()
-				c.pools.Free(c.now(), do.Conn)
+				c.pools.Release(c.now(), do.Conn)
 				c.drop(do.Conn)
 				c.mu.Unlock()
 				continue
 			}
 			return do.Conn, w, nil
-		case pools.Connect:
+		case connpool.Connect:
 			w, err := dial(ctx, c.options.Protocol, m.Addr)
 			c.mu.Lock()
 			if err == nil && c.closed {
@@ -227,12 +227,12 @@
 				err = errClosed
 			}
 			if err != nil {
-				c.pools.Gone(do.Conn)
+				c.pools.Remove(do.Conn)
 				c.wakeFree()
 				c.mu.Unlock()
 				return nil, nil, err
 			}
-			c.pools.Up(c.now(), do.Conn, w.streams())
+			c.pools.MarkConnected(c.now(), do.Conn, w.streams())
 			c.conns[do.Conn.ID] = w
 			if w.streams() > 1 {
 				c.wakeFree()
@@ -256,17 +256,17 @@
 }
 
 // release gives a connection back, or closes it if it carries nothing more.
-func (c *Client) release(p *pools.Conn, w conn) {
+func (c *Client) release(p *connpool.Conn, w conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pools.Free(c.now(), p)
+	c.pools.Release(c.now(), p)
 	if w.dead() {
 		c.pools.Drain(p)
 	}
 	if c.conns[p.ID] == nil {
 		return // the client was closed
 	}
-	if c.pools.Done(c.now(), p) {
+	if c.pools.ShouldClose(c.now(), p) {
 		c.drop(p)
 		return
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -16,8 +16,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"whinrudder/internal/client/attempt"
+	"whinrudder/internal/client/connpool"
 	"whinrudder/internal/client/members"
-	"whinrudder/internal/client/pools"
 	"whinrudder/internal/client/route"
 	"whinrudder/internal/client/wire"
 )
@@ -80,7 +80,7 @@
 	// Affinity keeps the requests of one subject to one node, while that has room.
 	Affinity bool
 	Hooks    Hooks
-	Limits   *pools.Limits // nil: the usual ones; for tests of this module
+	Limits   *connpool.Limits // nil: the usual ones; for tests of this module
 }
 
 // Hooks are told what goes on. They are called on the goroutines of calls and must be fast; nil ones are left out.
@@ -178,7 +178,7 @@
 	members *members.Members
 	router  *route.Router
 	shared  *attempt.ClientState
-	pools   *pools.Pools
+	pools   *connpool.Pool
 	conns   map[int]conn  // by number of the connection
 	free    chan struct{} // closed and made anew when a connection may be had
 	listed  chan struct{} // closed with the first list
@@ -207,16 +207,16 @@
 	if len(o.Classes) == 0 {
 		return nil, errors.New("client: no classes")
 	}
-	limits := pools.Usual(streams)
+	limits := connpool.DefaultLimits(streams)
 	if o.Protocol == UWSGI {
-		limits = pools.UsualOnce()
+		limits = connpool.DefaultLimitsNoReuse()
 	}
 	if o.Limits != nil {
 		limits = *o.Limits
 	}
 	c := &Client{options: o, classes: map[string]int{}, start: time.Now(), members: members.New(rand.Uint64(), o.Subset), router: route.New(),
 		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(o.Classes))},
-		pools:  pools.New(limits), conns: map[int]conn{}, free: make(chan struct{}), listed: make(chan struct{})}
+		pools:  connpool.New(limits), conns: map[int]conn{}, free: make(chan struct{}), listed: make(chan struct{})}
 	for i, k := range o.Classes {
 		if _, twice := c.classes[k.Name]; twice || k.Name == "" {
 			return nil, fmt.Errorf("client: class %q is there twice, or has no name", k.Name)
@@ -266,7 +266,7 @@
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		old, _ := c.pools.Old(c.now())
+		old, _ := c.pools.IdleExpired(c.now())
 		for _, p := range old {
 			c.drop(p)
 		}
@@ -276,12 +276,12 @@
 }
 
 // drop closes a connection, under the lock.
-func (c *Client) drop(p *pools.Conn) {
+func (c *Client) drop(p *connpool.Conn) {
 	if w := c.conns[p.ID]; w != nil {
 		w.close()
 		delete(c.conns, p.ID)
 	}
-	c.pools.Gone(p)
+	c.pools.Remove(p)
 	c.wakeFree()
 }
 
--- a/internal/client/pools/pools_test.go
+++ b/internal/client/connpool/connpool_test.go
@@ -1,4 +1,4 @@
-package pools
+package connpool
 
 import (
 	"math"
@@ -9,58 +9,58 @@
 
 // By hand: a connection is made, shared as far as it may be, drained, and closed when nothing is on it.
 func TestLifeOfAConnection(t *testing.T) {
-	p := New(Limits{Node: 2, All: 3, Streams: 2, Idle: 100, Age: 1000, Connects: 1, Burst: 3})
-	a := p.Want(0, 7)
-	if a.What != Connect {
+	p := New(Limits{PerNode: 2, Total: 3, StreamsPerConn: 2, IdleMs: 100, MaxAgeMs: 1000, ConnectsPerSecond: 1, ConnectBurst: 3})
+	a := p.Acquire(0, 7)
+	if a.Kind != Connect {
 		t.Fatalf("%+v", a)
 	}
-	p.Up(1, a.Conn, 0)
-	if b := p.Want(2, 7); b.What != Use || b.Conn != a.Conn {
+	p.MarkConnected(1, a.Conn, 0)
+	if b := p.Acquire(2, 7); b.Kind != Use || b.Conn != a.Conn {
 		t.Errorf("the second stream: %+v", b)
 	}
-	c := p.Want(3, 7)
-	if c.What != Connect || p.Node(7) != 2 {
+	c := p.Acquire(3, 7)
+	if c.Kind != Connect || p.NodeLen(7) != 2 {
 		t.Errorf("the third request: %+v", c)
 	}
-	p.Up(4, c.Conn, 1) // the node takes one at a time there
-	if d := p.Want(5, 7); d.What != Await || !math.IsInf(d.At, 1) {
+	p.MarkConnected(4, c.Conn, 1) // the node takes one at a time there
+	if d := p.Acquire(5, 7); d.Kind != Wait || !math.IsInf(d.At, 1) {
 		t.Errorf("all connections of the node are full: %+v", d)
 	}
-	if p.Drain(a.Conn) || p.Done(6, a.Conn) {
+	if p.Drain(a.Conn) || p.ShouldClose(6, a.Conn) {
 		t.Error("a connection with requests on it is closed")
 	}
-	p.Free(7, a.Conn)
-	p.Free(8, a.Conn)
-	if !p.Done(9, a.Conn) {
+	p.Release(7, a.Conn)
+	p.Release(8, a.Conn)
+	if !p.ShouldClose(9, a.Conn) {
 		t.Error("a drained connection stays")
 	}
-	p.Gone(a.Conn)
-	p.Free(10, c.Conn)
-	if old, at := p.Old(50); len(old) != 0 || at != 110 {
+	p.Remove(a.Conn)
+	p.Release(10, c.Conn)
+	if old, at := p.IdleExpired(50); len(old) != 0 || at != 110 {
 		t.Errorf("%v are old, the next at %v", old, at)
 	}
-	if old, _ := p.Old(110); len(old) != 1 {
+	if old, _ := p.IdleExpired(110); len(old) != 1 {
 		t.Errorf("%v are old", old)
 	}
-	if e := p.Want(1004, 7); e.What != Connect || !p.Done(1004, c.Conn) {
+	if e := p.Acquire(1004, 7); e.Kind != Connect || !p.ShouldClose(1004, c.Conn) {
 		t.Errorf("a connection past its age is used: %+v", e)
 	}
 }
 
 // The death of nodes makes no stampede: connects are within the budget, whoever asks.
 func TestConnectsAreBudgeted(t *testing.T) {
-	p := New(Usual(1))
+	p := New(DefaultLimits(1))
 	made, next := 0, 0.0
 	for now := 0.0; now < 10e3; now++ {
 		for range 3 {
 			if now < next {
 				continue
 			}
-			switch do := p.Want(now, int(now)%5); do.What {
+			switch do := p.Acquire(now, int(now)%5); do.Kind {
 			case Connect:
 				made++
-				p.Gone(do.Conn) // it dies at once
-			case Await:
+				p.Remove(do.Conn) // it dies at once
+			case Wait:
 				next = do.At
 			}
 		}
@@ -73,8 +73,8 @@
 // Whatever happens, no limit is passed, no connection carries more than it may, and what is known is what there is.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Node: rapid.IntRange(1, 4).Draw(t, "node"), All: rapid.IntRange(1, 8).Draw(t, "all"), Streams: rapid.IntRange(1, 3).Draw(t, "streams"),
-			Idle: 500, Age: 3000, Connects: 5, Burst: 4}
+		l := Limits{PerNode: rapid.IntRange(1, 4).Draw(t, "node"), Total: rapid.IntRange(1, 8).Draw(t, "all"), StreamsPerConn: rapid.IntRange(1, 3).Draw(t, "streams"),
+			IdleMs: 500, MaxAgeMs: 3000, ConnectsPerSecond: 5, ConnectBurst: 4}
 		p := New(l)
 		up, under, on := map[*Conn]int{}, map[*Conn]bool{}, []*Conn{}
 		now := 0.0
@@ -83,11 +83,11 @@
 			node := rapid.IntRange(0, 2).Draw(t, "to")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				switch do := p.Want(now, node); do.What {
+				switch do := p.Acquire(now, node); do.Kind {
 				case Connect:
 					under[do.Conn] = true
 				case Use:
-					if up[do.Conn]++; up[do.Conn] > l.Streams || do.Conn.Node != node || under[do.Conn] {
+					if up[do.Conn]++; up[do.Conn] > l.StreamsPerConn || do.Conn.Node != node || under[do.Conn] {
 						t.Fatalf("%+v has %d", do.Conn, up[do.Conn])
 					}
 					on = append(on, do.Conn)
@@ -96,11 +96,11 @@
 				for c := range under {
 					delete(under, c)
 					if rapid.Bool().Draw(t, "had") {
-						p.Up(now, c, 0)
+						p.MarkConnected(now, c, 0)
 						up[c] = 1
 						on = append(on, c)
 					} else {
-						p.Gone(c)
+						p.Remove(c)
 					}
 					break
 				}
@@ -109,20 +109,20 @@
 					c := on[0]
 					on = on[1:]
 					up[c]--
-					if p.Free(now, c); p.Done(now, c) {
-						p.Gone(c)
+					if p.Release(now, c); p.ShouldClose(now, c) {
+						p.Remove(c)
 						delete(up, c)
 					}
 				}
 			default:
 				for _, c := range p.DrainNode(node) {
-					if _, is := up[c]; is && c.Busy() == 0 {
-						p.Gone(c)
+					if _, is := up[c]; is && c.InFlight() == 0 {
+						p.Remove(c)
 						delete(up, c)
 					}
 				}
 			}
-			if p.Len() != len(up)+len(under) || p.Len() > l.All || p.Node(node) > l.Node {
+			if p.Len() != len(up)+len(under) || p.Len() > l.Total || p.NodeLen(node) > l.PerNode {
 				t.Fatalf("%d connections, want %d and %d under way", p.Len(), len(up), len(under))
 			}
 		}
