--- a/client/call.go
+++ b/client/call.go
@@ -64,14 +64,14 @@
 			continue
 		}
 		use := c.members.InUse(now)
-		m, until := c.router.Pick(now, use, route.Want{Key: k.key, Keyed: k.keyed && len(k.tried) == 0, Exclude: k.tried, Last: !do.Hedge,
+		m, until := c.router.Pick(now, use, route.Query{Key: k.key, Keyed: k.keyed && len(k.tried) == 0, Exclude: k.tried, AllowExcluded: !do.Hedge,
 			Draws: [3]float64{rand.Float64(), rand.Float64(), rand.Float64()}})
 		if m == nil {
 			k.m.NoNodeFree(now, until)
 			continue
 		}
 		k.m.TrySent(now)
-		c.router.Sent(now, m.ID)
+		c.router.TrySent(now, m.ID)
 		k.tried = append(k.tried, m.Name)
 		r := k.request
 		r.ID, r.Retry = fmt.Sprintf("%016x", rand.Uint64()), do.Retry
@@ -119,10 +119,10 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	took := now - sent
-	a := route.Answer{Took: took, Credit: -1}
+	a := route.Result{Took: took, Credit: -1}
 	stay := false
 	if o.answer != nil {
-		a.Credit, a.Wait, stay = o.answer.Load, o.answer.Wait, o.answer.Last
+		a.Credit, a.RetryAfter, stay = o.answer.Load, o.answer.Wait, o.answer.Last
 		if o.answer.Close && o.answer.Load == 0 {
 			c.members.MarkDraining(now, m.Name) // it wants no more, and closes: it drains
 		} else {
@@ -133,14 +133,14 @@
 	case attempt.Refused:
 		a.Refused = true
 	case attempt.Unsent, attempt.Broken:
-		a.Failed, a.NoAnswer = true, true
+		a.Failed, a.NoResponse = true, true
 	case attempt.Failed, attempt.Late:
 		a.Failed = true
 	case attempt.Withdrawn:
-		a.Unheard = true
+		a.Cancelled = true
 	}
-	c.router.Ended(now, m.ID, a, len(c.members.InUse(now)))
-	k.m.TryEnded(now, o.end, took, a.Wait, stay)
+	c.router.TryEnded(now, m.ID, a, len(c.members.InUse(now)))
+	k.m.TryEnded(now, o.end, took, a.RetryAfter, stay)
 	t := &k.tries[i]
 	t.Outcome, t.Took = outcomes[o.end], time.Duration(took*float64(time.Millisecond))
 	if o.answer != nil {
--- a/internal/client/route/route.go
+++ b/internal/client/route/route.go
@@ -32,38 +32,38 @@
 	lookAtAll  = 64  // with more nodes two drawn ones are compared (Mitzenmacher, 2001)
 )
 
-// Stat is what is known of a node.
-type Stat struct {
-	Out     int
-	latency float64 // peak-sensitive mean; 0: none was seen
-	at      float64 // of it
-	credit  float64 // below 0: none
-	heard   float64 // of the credit
-	spent   int     // requests that were sent since it was heard
-	away    float64
-	began   float64 // traffic rises from then on
-	fails   int     // in a row
-	share   float64 // of the latest answers that are failures, over failWindow
-	ejected float64 // until
-	times   int     // ejected in a row
-	seen    bool    // it has answered
+// NodeStats is what is known of a node.
+type NodeStats struct {
+	InFlight int
+	latency  float64 // peak-sensitive mean; 0: none was seen
+	at       float64 // of it
+	credit   float64 // below 0: none
+	heard    float64 // of the credit
+	spent    int     // requests that were sent since it was heard
+	away     float64
+	began    float64 // traffic rises from then on
+	fails    int     // in a row
+	share    float64 // of the latest answers that are failures, over failWindow
+	ejected  float64 // until
+	times    int     // ejected in a row
+	seen     bool    // it has answered
 }
 
 // Router chooses.
 type Router struct {
-	stats       map[int]*Stat // by ID of the member
+	stats       map[int]*NodeStats // by ID of the member
 	epoch       float64
 	ejectedTill float64 // no node is ejected from then on
 }
 
 // New returns a router.
-func New() *Router { return &Router{stats: map[int]*Stat{}} }
+func New() *Router { return &Router{stats: map[int]*NodeStats{}} }
 
-// Stat returns what is known of a node, which is made if it is new.
-func (r *Router) Stat(id int, now float64) *Stat {
+// NodeStats returns what is known of a node, which is made if it is new.
+func (r *Router) NodeStats(id int, now float64) *NodeStats {
 	s := r.stats[id]
 	if s == nil {
-		s = &Stat{credit: -1, began: math.Inf(-1), ejected: math.Inf(-1)}
+		s = &NodeStats{credit: -1, began: math.Inf(-1), ejected: math.Inf(-1)}
 		if len(r.stats) > 0 && now-r.epoch > slowFor {
 			s.began = now // it came later than the others: it may be cold
 		}
@@ -85,24 +85,24 @@
 		keep[m.ID] = true
 	}
 	for id, s := range r.stats {
-		if !keep[id] && s.Out == 0 {
+		if !keep[id] && s.InFlight == 0 {
 			delete(r.stats, id)
 		}
 	}
 }
 
-// Want is what a node is looked for.
-type Want struct {
-	Key     uint64 // of the subject, if Keyed
-	Keyed   bool
-	Draws   [3]float64 // evenly from 0 to 1: two for nodes, one for a credit's last place
-	Exclude []string   // names of nodes that were tried
-	Last    bool       // where nothing else is left, one that was tried will do
+// Query is what a node is looked for.
+type Query struct {
+	Key           uint64 // of the subject, if Keyed
+	Keyed         bool
+	Draws         [3]float64 // evenly from 0 to 1: two for nodes, one for a credit's last place
+	Exclude       []string   // names of nodes that were tried
+	AllowExcluded bool       // where nothing else is left, one that was tried will do
 }
 
 // Pick returns the node for a request among those in use. If there is none, until is when there may be one again; infinity: it
 // can't be told.
-func (r *Router) Pick(now float64, use []*members.Member, w Want) (m *members.Member, until float64) {
+func (r *Router) Pick(now float64, use []*members.Member, w Query) (m *members.Member, until float64) {
 	if m = r.draw(now, use, w); m != nil {
 		return m, 0
 	}
@@ -110,7 +110,7 @@
 	var may []*members.Member
 	healthy := 0
 	for _, m := range use {
-		if r.Stat(m.ID, now).ejected <= now {
+		if r.NodeStats(m.ID, now).ejected <= now {
 			healthy++
 		}
 	}
@@ -127,8 +127,8 @@
 		may = append(may, m)
 	}
 	switch {
-	case len(may) == 0 && w.Last && len(w.Exclude) > 0:
-		w.Exclude, w.Last = nil, false
+	case len(may) == 0 && w.AllowExcluded && len(w.Exclude) > 0:
+		w.Exclude, w.AllowExcluded = nil, false
 		return r.Pick(now, use, w)
 	case len(may) == 0:
 		return nil, until
@@ -170,7 +170,7 @@
 const fastDraws = 16
 
 // draw returns the cheaper of two drawn nodes that may take a request, without a look at all of a large fleet; nil: it found no two.
-func (r *Router) draw(now float64, use []*members.Member, w Want) (a *members.Member) {
+func (r *Router) draw(now float64, use []*members.Member, w Query) (a *members.Member) {
 	if len(use) <= lookAtAll || w.Keyed || r.anyEjected(now) {
 		return nil
 	}
@@ -181,7 +181,7 @@
 		z := (x ^ x>>30) * 0xbf58476d1ce4e5b9
 		z = (z ^ z>>27) * 0x94d049bb133111eb
 		m := use[(z^z>>31)%uint64(len(use))]
-		if m == a || slices.Contains(w.Exclude, m.Name) || r.Stat(m.ID, now).free(now, w.Draws[2], false) > now {
+		if m == a || slices.Contains(w.Exclude, m.Name) || r.NodeStats(m.ID, now).free(now, w.Draws[2], false) > now {
 			continue
 		}
 		if a != nil {
@@ -202,16 +202,16 @@
 func (r *Router) byKey(now float64, may []*members.Member, key uint64) *members.Member {
 	sum := 0
 	for _, m := range may {
-		sum += r.stats[m.ID].Out
+		sum += r.stats[m.ID].InFlight
 	}
 	most := int(math.Ceil(bound * float64(sum+1) / float64(len(may))))
 	var best, least *members.Member
 	var high uint64
 	for _, m := range may {
-		if s := r.stats[m.ID]; least == nil || s.Out < r.stats[least.ID].Out {
+		if s := r.stats[m.ID]; least == nil || s.InFlight < r.stats[least.ID].InFlight {
 			least = m
 		}
-		if h := members.Score(key, m.Name); r.stats[m.ID].Out < most && (best == nil || h > high) {
+		if h := members.Score(key, m.Name); r.stats[m.ID].InFlight < most && (best == nil || h > high) {
 			best, high = m, h
 		}
 	}
@@ -222,21 +222,21 @@
 }
 
 // free returns when a node may take one more request; now or before: it may.
-func (s *Stat) free(now, coin float64, blind bool) float64 {
+func (s *NodeStats) free(now, coin float64, blind bool) float64 {
 	if s.away > now {
 		return s.away
 	}
 	if s.ejected > now && !blind {
 		return s.ejected
 	}
-	if !s.seen && s.Out >= probes && !blind {
+	if !s.seen && s.InFlight >= probes && !blind {
 		return now + usual
 	}
 	if s.credit < 0 || now-s.heard >= creditFor {
 		return now
 	}
 	whole, part := math.Modf(s.credit)
-	if out := float64(s.Out); out < whole || out == whole && coin < part {
+	if out := float64(s.InFlight); out < whole || out == whole && coin < part {
 		return now
 	}
 	return s.heard + creditFor
@@ -251,13 +251,13 @@
 		latency = s.mean(now)
 	}
 	// The square root: most of what is in hand waits on this client's own share of a node, and latencies are noise beside it.
-	cost := math.Sqrt(latency) * float64(s.Out+1)
+	cost := math.Sqrt(latency) * float64(s.InFlight+1)
 	cost /= s.warmth(now)
 	return cost * (1 + 4*s.share)
 }
 
 // warmth is the share of the usual traffic that a node shall have.
-func (s *Stat) warmth(now float64) float64 {
+func (s *NodeStats) warmth(now float64) float64 {
 	up := (now - s.began) / slowFor
 	if up >= 1 {
 		return 1
@@ -266,42 +266,42 @@
 }
 
 // mean is the latency now: a peak fades, so that a node that was slow is tried again.
-func (s *Stat) mean(now float64) float64 {
+func (s *NodeStats) mean(now float64) float64 {
 	f := math.Exp(-(now - s.at) / decay)
 	return s.latency*f + math.Min(s.latency, usual)*(1-f)
 }
 
-// Sent takes a try that went out.
-func (r *Router) Sent(now float64, id int) { r.Stat(id, now).Out++ }
+// TrySent takes a try that went out.
+func (r *Router) TrySent(now float64, id int) { r.NodeStats(id, now).InFlight++ }
 
-// Answer is what came of a try.
-type Answer struct {
-	Took     float64
-	Credit   float64 // below 0: it told none
-	Wait     float64 // advice to stay away
-	Refused  bool    // turned away
-	Failed   bool    // an error, a broken connection, no answer in time
-	Unheard  bool    // the client took the try back: nothing is learned but that it took so long at least
-	NoAnswer bool    // nothing came from the node itself
+// Result is what came of a try.
+type Result struct {
+	Took       float64
+	Credit     float64 // below 0: it told none
+	RetryAfter float64 // advice to stay away
+	Refused    bool    // turned away
+	Failed     bool    // an error, a broken connection, no answer in time
+	Cancelled  bool    // the client took the try back: nothing is learned but that it took so long at least
+	NoResponse bool    // nothing came from the node itself
 }
 
-// Ended takes the end of a try. Ejections hang on how many nodes there are.
-func (r *Router) Ended(now float64, id int, a Answer, fleet int) {
-	s := r.Stat(id, now)
-	s.Out--
+// TryEnded takes the end of a try. Ejections hang on how many nodes there are.
+func (r *Router) TryEnded(now float64, id int, a Result, fleet int) {
+	s := r.NodeStats(id, now)
+	s.InFlight--
 	if a.Credit >= 0 && a.Credit <= maxCredit && !math.IsNaN(a.Credit) {
 		s.credit, s.heard = a.Credit, now
 	}
-	if a.Wait > 0 && !math.IsNaN(a.Wait) {
-		s.away = math.Max(s.away, now+math.Min(a.Wait, maxAdvice))
+	if a.RetryAfter > 0 && !math.IsNaN(a.RetryAfter) {
+		s.away = math.Max(s.away, now+math.Min(a.RetryAfter, maxAdvice))
 	}
-	if a.Unheard {
+	if a.Cancelled {
 		if mean := s.mean(now); a.Took > mean && s.latency > 0 {
 			s.latency, s.at = a.Took, now // it is that slow at least
 		}
 		return
 	}
-	s.seen = s.seen || !a.NoAnswer
+	s.seen = s.seen || !a.NoResponse
 	fail := 0.0
 	if a.Failed {
 		fail = 1
@@ -309,7 +309,7 @@
 	s.share += (fail - s.share) / failWindow
 	if a.Failed {
 		s.fails++
-		if s.fails >= ejectAfter || s.share > failShare || a.NoAnswer && s.fails >= 2 {
+		if s.fails >= ejectAfter || s.share > failShare || a.NoResponse && s.fails >= 2 {
 			r.eject(now, s, fleet)
 		}
 		return
@@ -332,7 +332,7 @@
 }
 
 // eject keeps a node from requests for a while, if not too many are kept from already; it comes back by a slow start.
-func (r *Router) eject(now float64, s *Stat, fleet int) {
+func (r *Router) eject(now float64, s *NodeStats, fleet int) {
 	if s.ejected > now {
 		return
 	}
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -72,7 +72,7 @@
 			return
 		}
 		use := l.members.InUse(now)
-		w := route.Want{Draws: [3]float64{l.draw(q), l.draw(q), q.Coin}, Last: !do.Hedge}
+		w := route.Query{Draws: [3]float64{l.draw(q), l.draw(q), q.Coin}, AllowExcluded: !do.Hedge}
 		for _, n := range q.tried {
 			w.Exclude = append(w.Exclude, strconv.Itoa(n))
 		}
@@ -83,7 +83,7 @@
 		}
 		n, _ := strconv.Atoi(m.Name)
 		q.call.TrySent(now)
-		l.router.Sent(now, m.ID)
+		l.router.TrySent(now, m.ID)
 		l.p.launch(q, n, do.Due)
 		q.open[len(q.open)-1].member = m
 	}
@@ -92,7 +92,7 @@
 // withdraw takes a try back.
 func (l *library) withdraw(t *try) {
 	now := l.p.k.Now()
-	l.router.Ended(now, t.member.ID, route.Answer{Took: now - t.sent, Credit: -1, Unheard: true}, len(l.members.InUse(now)))
+	l.router.TryEnded(now, t.member.ID, route.Result{Took: now - t.sent, Credit: -1, Cancelled: true}, len(l.members.InUse(now)))
 	t.q.call.TryEnded(now, attempt.Withdrawn, now-t.sent, 0, false)
 }
 
@@ -114,7 +114,7 @@
 
 func (l *library) ended(t *try, end attempt.Outcome, r reply) {
 	now, q := l.p.k.Now(), t.q
-	a := route.Answer{Took: now - t.sent, Credit: -1}
+	a := route.Result{Took: now - t.sent, Credit: -1}
 	switch end {
 	case attempt.Served:
 	case attempt.Refused:
@@ -122,21 +122,21 @@
 		l.p.res.Refused++
 		l.p.score.bin(now).Refused++
 	case attempt.Unsent, attempt.Broken:
-		a.Failed, a.NoAnswer = true, true
+		a.Failed, a.NoResponse = true, true
 		l.p.res.Lost++
 	default:
 		a.Failed = true
 		l.p.res.Failed++
 	}
-	if !a.NoAnswer && end != attempt.Late {
-		a.Credit, a.Wait = r.load, r.wait
+	if !a.NoResponse && end != attempt.Late {
+		a.Credit, a.RetryAfter = r.load, r.wait
 		if r.leaves {
 			l.members.MarkDraining(now, t.member.Name)
 		} else {
 			l.members.MarkServing(now, t.member.Name)
 		}
 	}
-	l.router.Ended(now, t.member.ID, a, len(l.members.InUse(now)))
+	l.router.TryEnded(now, t.member.ID, a, len(l.members.InUse(now)))
 	q.call.TryEnded(now, end, now-t.sent, r.wait, r.stay)
 	if end == attempt.Served {
 		l.p.serve(q)
