--- a/client/call.go
+++ b/client/call.go
@@ -105,7 +105,7 @@
 // outcome is what came of a try.
 type outcome struct {
 	end    attempt.Outcome
-	answer *wire.Answer // nil: none
+	answer *wire.Response // nil: none
 	err    error
 }
 
@@ -122,8 +122,8 @@
 	a := route.Result{Took: took, Credit: -1}
 	stay := false
 	if o.answer != nil {
-		a.Credit, a.RetryAfter, stay = o.answer.Load, o.answer.Wait, o.answer.Last
-		if o.answer.Close && o.answer.Load == 0 {
+		a.Credit, a.RetryAfter, stay = o.answer.Credit, o.answer.RetryAfter, o.answer.NoRetry
+		if o.answer.Close && o.answer.Credit == 0 {
 			c.members.MarkDraining(now, m.Name) // it wants no more, and closes: it drains
 		} else {
 			c.members.MarkServing(now, m.Name)
--- a/client/client.go
+++ b/client/client.go
@@ -311,7 +311,7 @@
 	if !ok {
 		return nil, fmt.Errorf("client: no class %q", r.Class)
 	}
-	w := wire.Request{Class: r.Class, From: c.options.Number, KB: r.KB, Rank: r.Rank, Key: r.Key, Token: r.Token, Body: r.Body, ID: "0000000000000000"}
+	w := wire.Request{Class: r.Class, Caller: c.options.Number, KB: r.KB, Rank: r.Rank, Key: r.Key, Token: r.Token, Body: r.Body, ID: "0000000000000000"}
 	if w.KB == 0 {
 		w.KB = 32
 	}
--- a/client/conn.go
+++ b/client/conn.go
@@ -48,7 +48,7 @@
 }
 
 type read struct {
-	answer *wire.Answer
+	answer *wire.Response
 	err    error
 }
 
--- a/client/h2.go
+++ b/client/h2.go
@@ -62,9 +62,9 @@
 	case err != nil:
 		return outcome{end: w.fault(ctx, err), err: err}
 	case len(body) > wire.MaxBody:
-		return outcome{end: attempt.Broken, err: wire.LongBody}
+		return outcome{end: attempt.Broken, err: wire.ErrBodyTooLong}
 	}
-	return outcome{answer: wire.Of(resp.StatusCode, resp.Header.Get, w.dead(), body)}
+	return outcome{answer: wire.NewResponse(resp.StatusCode, resp.Header.Get, w.dead(), body)}
 }
 
 // fault says what an error proves.
--- a/internal/client/wire/wire.go
+++ b/internal/client/wire/wire.go
@@ -15,7 +15,7 @@
 type Request struct {
 	Class   string
 	ID      string // 16 hexadecimal digits
-	From    int    // number of the client
+	Caller  int    // number of the client
 	Sent    float64
 	Wait    float64 // milliseconds that the client waits from Sent on
 	KB      float64 // of memory that it takes
@@ -31,7 +31,7 @@
 func (r *Request) fields(each func(name, value string)) {
 	each("Req-Id", r.ID)
 	each("Req-Time", strconv.FormatFloat(r.Sent, 'f', 3, 64))
-	each("Req-From", strconv.Itoa(r.From))
+	each("Req-From", strconv.Itoa(r.Caller))
 	each("Req-Wait-Ms", strconv.FormatFloat(r.Wait, 'f', 3, 64))
 	each("Req-Kb", strconv.FormatFloat(r.KB, 'f', 1, 64))
 	each("Req-Rank", strconv.FormatFloat(r.Rank, 'f', 4, 64))
@@ -107,45 +107,45 @@
 	MaxBody = 1 << 20
 )
 
-// Answer is what a node answered.
-type Answer struct {
-	Status int
-	Load   float64 // the credit; below 0: it told none
-	Wait   float64 // milliseconds of advice; 0: none
-	Last   bool    // it asks not to be passed over
-	Close  bool    // the connection carries nothing more
-	Kept   string  // of a result that was kept
-	Body   []byte
+// Response is what a node answered.
+type Response struct {
+	Status     int
+	Credit     float64 // the credit; below 0: it told none
+	RetryAfter float64 // milliseconds of advice; 0: none
+	NoRetry    bool    // it asks not to be passed over
+	Close      bool    // the connection carries nothing more
+	Kept       string  // of a result that was kept
+	Body       []byte
 }
 
-// Fault is why bytes are no answer; its text is a reason code.
-type Fault string
+// ParseError is why bytes are no answer; its text is a reason code.
+type ParseError string
 
-func (f Fault) Error() string { return "wire: " + string(f) }
+func (f ParseError) Error() string { return "wire: " + string(f) }
 
 // The faults.
 const (
-	BadStatus  Fault = "bad-status"
-	BadField   Fault = "bad-field"
-	BadLength  Fault = "bad-length"
-	LongHead   Fault = "long-head"
-	LongBody   Fault = "long-body"
-	Cut        Fault = "cut" // the connection ended within an answer
-	Unasked    Fault = "unasked"
-	noProgress       = -1
+	ErrBadStatus   ParseError = "bad-status"
+	ErrBadField    ParseError = "bad-field"
+	ErrBadLength   ParseError = "bad-length"
+	ErrHeadTooLong ParseError = "long-head"
+	ErrBodyTooLong ParseError = "long-body"
+	ErrTruncated   ParseError = "cut" // the connection ended within an answer
+	ErrUnsolicited ParseError = "unasked"
+	noProgress                = -1
 )
 
 // Parser takes the bytes of one connection's answers.
 type Parser struct {
 	buf  []byte
 	head bool // the head was read
-	a    Answer
+	a    Response
 	need int // bytes of the body; noProgress: until the end of the connection
 	bad  error
 }
 
 // Feed takes bytes and returns the answer that they complete, or nil. What follows an answer is kept for the next.
-func (p *Parser) Feed(b []byte) (*Answer, error) {
+func (p *Parser) Feed(b []byte) (*Response, error) {
 	if p.bad != nil {
 		return nil, p.bad
 	}
@@ -159,7 +159,7 @@
 func (p *Parser) Idle() bool { return !p.head && len(p.buf) == 0 }
 
 // End takes the end of the connection, which may complete an answer.
-func (p *Parser) End() (*Answer, error) {
+func (p *Parser) End() (*Response, error) {
 	switch {
 	case p.bad != nil:
 		return nil, p.bad
@@ -169,15 +169,15 @@
 		*p = Parser{}
 		return &a, nil
 	}
-	p.bad = Cut
+	p.bad = ErrTruncated
 	return nil, p.bad
 }
 
-func (p *Parser) next() (*Answer, error) {
+func (p *Parser) next() (*Response, error) {
 	for !p.head {
 		end := bytes.Index(p.buf, []byte("\r\n\r\n"))
 		if end < 0 && len(p.buf) > MaxHead || end > MaxHead {
-			return nil, LongHead
+			return nil, ErrHeadTooLong
 		}
 		if end < 0 {
 			return nil, nil
@@ -190,7 +190,7 @@
 	}
 	if p.need == noProgress {
 		if len(p.buf) > MaxBody {
-			return nil, LongBody
+			return nil, ErrBodyTooLong
 		}
 		return nil, nil
 	}
@@ -207,13 +207,13 @@
 func (p *Parser) parseHead(head string) error {
 	line, rest, _ := strings.Cut(head, "\r\n")
 	if len(line) < 12 || !strings.HasPrefix(line, "HTTP/1.") || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return BadStatus
+		return ErrBadStatus
 	}
 	status, err := strconv.Atoi(line[9:12])
 	if err != nil || status < 100 || status > 599 {
-		return BadStatus
+		return ErrBadStatus
 	}
-	p.a = Answer{Status: status, Load: -1, Close: line[7] == '0'}
+	p.a = Response{Status: status, Credit: -1, Close: line[7] == '0'}
 	p.need = noProgress
 	if status == 204 || status == 304 {
 		p.need = 0
@@ -222,7 +222,7 @@
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return BadField
+			return ErrBadField
 		}
 		if err := p.field(name, strings.Trim(value, " \t")); err != nil {
 			return err
@@ -242,33 +242,33 @@
 	case strings.EqualFold(name, "Content-Length"):
 		n, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || p.need >= 0 && uint64(p.need) != n && p.a.Status != 204 && p.a.Status != 304 {
-			return BadLength // two that differ, or no number (RFC 9112, section 6.3)
+			return ErrBadLength // two that differ, or no number (RFC 9112, section 6.3)
 		}
 		if n > MaxBody {
-			return LongBody
+			return ErrBodyTooLong
 		}
 		if p.a.Status != 204 && p.a.Status != 304 {
 			p.need = int(n)
 		}
 	case strings.EqualFold(name, "Transfer-Encoding"):
-		return BadLength // nodes send none
+		return ErrBadLength // nodes send none
 	case strings.EqualFold(name, "Connection"):
 		p.a.Close = p.a.Close || strings.EqualFold(value, "close")
 	case strings.EqualFold(name, "Srv-Load"):
-		number(&p.a.Load)
+		number(&p.a.Credit)
 	case strings.EqualFold(name, "Srv-Wait-Ms"):
-		number(&p.a.Wait)
+		number(&p.a.RetryAfter)
 	case strings.EqualFold(name, "Srv-Last"):
-		p.a.Last = value == "1"
+		p.a.NoRetry = value == "1"
 	case strings.EqualFold(name, "Srv-Kept"):
 		p.a.Kept = value
 	}
 	return nil
 }
 
-// Of returns the answer of a protocol whose fields were read elsewhere.
-func Of(status int, field func(name string) string, closes bool, body []byte) *Answer {
-	p := Parser{a: Answer{Status: status, Load: -1, Close: closes, Body: body}}
+// NewResponse returns the answer of a protocol whose fields were read elsewhere.
+func NewResponse(status int, field func(name string) string, closes bool, body []byte) *Response {
+	p := Parser{a: Response{Status: status, Credit: -1, Close: closes, Body: body}}
 	for _, name := range []string{"Srv-Load", "Srv-Wait-Ms", "Srv-Last", "Srv-Kept"} {
 		if v := field(name); v != "" {
 			p.field(name, v)
--- a/internal/client/wire/wire_test.go
+++ b/internal/client/wire/wire_test.go
@@ -24,12 +24,12 @@
 	defer f.Close()
 	var name, want, got string
 	p := &Parser{}
-	tell := func(a *Answer, err error) {
+	tell := func(a *Response, err error) {
 		switch {
 		case err != nil:
 			got += err.Error() + "\n"
 		case a != nil:
-			got += fmt.Sprintf("%d load %v wait %v last %v close %v kept %q body %q\n", a.Status, a.Load, a.Wait, a.Last, a.Close, a.Kept, a.Body)
+			got += fmt.Sprintf("%d load %v wait %v last %v close %v kept %q body %q\n", a.Status, a.Credit, a.RetryAfter, a.NoRetry, a.Close, a.Kept, a.Body)
 		}
 	}
 	check := func() {
@@ -61,7 +61,7 @@
 
 // A request that goes out is read by Go's own server as it was, and by the fields of uwsgi; what could end a field is refused.
 func TestRequests(t *testing.T) {
-	r := Request{Class: "payout-book", ID: "00000000000000a1", From: 3, Sent: 1000.5, Wait: 250, KB: 12, Rank: 0.25, Key: "k", Token: "t", Retry: true, Body: []byte("hello")}
+	r := Request{Class: "payout-book", ID: "00000000000000a1", Caller: 3, Sent: 1000.5, Wait: 250, KB: 12, Rank: 0.25, Key: "k", Token: "t", Retry: true, Body: []byte("hello")}
 	if err := r.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 			a, err := p.Feed([]byte(text[:k]))
 			text = text[k:]
 			for ; a != nil; a, err = p.Feed(nil) {
-				if a.Status != 200+got || a.Load != float64(got) {
+				if a.Status != 200+got || a.Credit != float64(got) {
 					t.Fatalf("%+v", a)
 				}
 				got++
@@ -131,7 +131,7 @@
 		var p Parser
 		for i, c := range b {
 			a, err := p.Feed([]byte{c})
-			if a != nil && (len(a.Body) > MaxBody || a.Status < 200 || a.Load != a.Load) {
+			if a != nil && (len(a.Body) > MaxBody || a.Status < 200 || a.Credit != a.Credit) {
 				t.Fatalf("%+v", a)
 			}
 			if err != nil {
