--- a/cmd/whinrudder-kit/proxy.go
+++ b/cmd/whinrudder-kit/proxy.go
@@ -120,7 +120,7 @@
 	notice := time.Now()
 	ended := make(chan error, len(servers))
 	for _, s := range servers {
-		go func() { ended <- s.End(notice) }()
+		go func() { ended <- s.Shutdown(notice) }()
 	}
 	for range servers {
 		err = errors.Join(err, <-ended)
--- a/internal/client/proxy/proxy.go
+++ b/internal/client/proxy/proxy.go
@@ -32,18 +32,18 @@
 	return mux
 }
 
-// Front is a handler that can leave: its answers then end their connections, so that callers go elsewhere with nothing in
+// DrainHandler is a handler that can leave: its answers then end their connections, so that callers go elsewhere with nothing in
 // hand, and health is bad.
-type Front struct {
+type DrainHandler struct {
 	Handler http.Handler
 	leaving atomic.Bool
 }
 
-// Leave begins the drain. Whatever comes is answered as always.
-func (f *Front) Leave() { f.leaving.Store(true) }
+// Drain begins the drain. Whatever comes is answered as always.
+func (f *DrainHandler) Drain() { f.leaving.Store(true) }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *DrainHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.leaving.Load() {
 		w.Header().Set("Connection", "close")
 		if r.URL.Path == "/health" {
--- a/internal/client/proxy/server.go
+++ b/internal/client/proxy/server.go
@@ -25,7 +25,7 @@
 // Server serves a handler on one listener, and leaves without a loss. http.Server.Shutdown by itself drops what it reads
 // from then on, unanswered: of connections just accepted, and of those that had said half of a request.
 type Server struct {
-	front *Front
+	front *DrainHandler
 	l     *lastcall.Listener
 	http  *http.Server
 	conns conns
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{front: &Front{Handler: h}, l: lastcall.New(l.(*net.TCPListener)), conns: conns{busy: map[net.Conn]bool{}, moved: make(chan struct{}, 1)}}
+	s := &Server{front: &DrainHandler{Handler: h}, l: lastcall.New(l.(*net.TCPListener)), conns: conns{busy: map[net.Conn]bool{}, moved: make(chan struct{}, 1)}}
 	s.http = &http.Server{Handler: s.front, ReadHeaderTimeout: sayFor, IdleTimeout: restFor,
 		ConnState: func(c net.Conn, to http.ConnState) { s.conns.set(c, to) }}
 	return s, nil
@@ -46,7 +46,7 @@
 // Addr returns the address of the listener.
 func (s *Server) Addr() net.Addr { return s.l.Addr() }
 
-// Serve serves until the end of the listener, which is no error if End brought it about.
+// Serve serves until the end of the listener, which is no error if Shutdown brought it about.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.l)
 	if s.front.leaving.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)) {
@@ -55,14 +55,14 @@
 	return err
 }
 
-// End answers what comes until leaveFor after the notice, each time with the word that the connection ends, then closes the
+// Shutdown answers what comes until leaveFor after the notice, each time with the word that the connection ends, then closes the
 // listener, and answers what was accepted by then. It returns when no connection is left, or drainFor after the notice with an
 // error.
-func (s *Server) End(notice time.Time) error {
+func (s *Server) Shutdown(notice time.Time) error {
 	by := notice.Add(drainFor)
 	ctx, cancel := context.WithDeadline(context.Background(), by)
 	defer cancel()
-	s.front.Leave()
+	s.front.Drain()
 	time.Sleep(time.Until(notice.Add(leaveFor)))
 	err := s.l.Leave(by)
 	s.conns.rest(by)
--- a/internal/client/proxy/server_test.go
+++ b/internal/client/proxy/server_test.go
@@ -52,7 +52,7 @@
 	half := dial("GET /half HTTP/1.1\r\nHo")
 	silent, crawls := dial(""), dial("POST /rpc/book HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nx") // each ends by its own bound
 	late := dial("")
-	go func() { ended <- s.End(time.Now()) }()
+	go func() { ended <- s.Shutdown(time.Now()) }()
 	for by := time.Now().Add(10 * time.Second); time.Now().Before(by); time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", s.Addr().String())
 		if err != nil {
