--- a/client/ensemble/ensemble_test.go
+++ b/client/ensemble/ensemble_test.go
@@ -14,7 +14,7 @@
 // Nodes come and go with their znodes, at once by the watch; what is no node is passed over, and an ensemble that is lost takes
 // nobody away.
 func TestNodesComeAndGo(t *testing.T) {
-	addr, step, stop, err := rehearse.Ensemble()
+	addr, step, stop, err := rehearse.StartEnsemble()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/whinrudder/main.go
+++ b/cmd/whinrudder/main.go
@@ -62,12 +62,12 @@
 				ArgsUsage: "[FILE ...]", Flags: []cli.Flag{&cli.StringFlag{Name: "protocol", Value: "all",
 					Usage: "http, uwsgi, h2c or all, for the files named"}},
 				Action: func(_ context.Context, c *cli.Command) error {
-					return rehearse.Command(out, c.String("protocol"), c.Args().Slice())
+					return rehearse.Run(out, c.String("protocol"), c.Args().Slice())
 				}},
 			{Name: "call", Usage: "send one request to a node and print its answer", ArgsUsage: "CLASS [BODY]",
 				Flags: []cli.Flag{addr, protocol, &cli.StringFlag{Name: "wait", Usage: "milliseconds", Value: "5000"}},
 				Action: func(_ context.Context, c *cli.Command) error {
-					return ask(out, c, "call", rehearse.Request(c.Args().Get(0), c.Args().Get(1), c.String("wait")))
+					return ask(out, c, "call", rehearse.CallStep(c.Args().Get(0), c.Args().Get(1), c.String("wait")))
 				}},
 			{Name: "health", Usage: "ask a node for its health and print the answer",
 				Flags: []cli.Flag{addr, protocol, &cli.BoolFlag{Name: "real", Usage: "ask whether work gets done"}},
@@ -145,7 +145,7 @@
 }
 
 func ask(out io.Writer, c *cli.Command, word, text string) error {
-	answer, err := rehearse.Ask(c.String("addr"), c.String("protocol"), word, text)
+	answer, err := rehearse.Send(c.String("addr"), c.String("protocol"), word, text)
 	if err == nil {
 		_, err = fmt.Fprintln(out, answer)
 	}
--- a/internal/rehearse/caller.go
+++ b/internal/rehearse/caller.go
@@ -71,14 +71,14 @@
 	return k, nil
 }
 
-// Request is the text of a call step: a request of a class with a fresh id.
-func Request(class, body, wait string) string {
+// CallStep is the text of a call step: a request of a class with a fresh id.
+func CallStep(class, body, wait string) string {
 	return fmt.Sprintf("%s %016x wait=%s body=%q", class, rand.Uint64(), wait, body)
 }
 
-// Ask sends one call or check to a node and returns the answer as an exchange tells it: the status, what rides on
+// Send sends one call or check to a node and returns the answer as an exchange tells it: the status, what rides on
 // it and the body.
-func Ask(addr, protocol, word, text string) (string, error) {
+func Send(addr, protocol, word, text string) (string, error) {
 	if protocol != "http" && protocol != "uwsgi" && protocol != "h2c" {
 		return "", fmt.Errorf("unknown protocol %q", protocol)
 	}
--- a/internal/rehearse/command.go
+++ b/internal/rehearse/command.go
@@ -32,9 +32,9 @@
 	return out
 }
 
-// Command plays files over http, uwsgi or both, or the shipped exchanges if none is named. It writes one line for
+// Run plays files over http, uwsgi or both, or the shipped exchanges if none is named. It writes one line for
 // each play and what differed, and returns an error if anything did.
-func Command(w io.Writer, protocol string, files []string) error {
+func Run(w io.Writer, protocol string, files []string) error {
 	protocols := map[string][]string{"http": {"http"}, "uwsgi": {"uwsgi"}, "h2c": {"h2c"}, "all": {"http", "uwsgi", "h2c"}}[protocol]
 	if protocols == nil {
 		return fmt.Errorf("rehearse: unknown protocol %q", protocol)
--- a/internal/rehearse/ensemble.go
+++ b/internal/rehearse/ensemble.go
@@ -549,9 +549,9 @@
 	e.breakAll()
 }
 
-// Ensemble is the stand-in, for tests of other packages: its address, the steps of exchanges ("add /path data", "remove /path",
+// StartEnsemble is the stand-in, for tests of other packages: its address, the steps of exchanges ("add /path data", "remove /path",
 // "down", "up"), and its end.
-func Ensemble() (addr string, step func(word, at string) error, stop func(), err error) {
+func StartEnsemble() (addr string, step func(word, at string) error, stop func(), err error) {
 	e, err := newEnsemble()
 	if err != nil {
 		return "", nil, nil, err
