--- a/cmd/whinrudder-kit/lab.go
+++ b/cmd/whinrudder-kit/lab.go
@@ -41,8 +41,8 @@
 			&cli.StringFlag{Name: "json", Usage: "file for one JSON line a pair of variant and seed, and a summary line"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			load := lab.Load{Low: c.Float("load-low"), High: c.Float("load-high")}
-			pairs, all, err := lab.WarmUp(c.Uint64("first-seed"), c.Int("seeds"), load, func(done int) {
+			load := lab.LoadRange{Low: c.Float("load-low"), High: c.Float("load-high")}
+			pairs, all, err := lab.RunWarmUp(c.Uint64("first-seed"), c.Int("seeds"), load, func(done int) {
 				if done%10 == 0 {
 					fmt.Fprintf(os.Stderr, "%d of %d days\n", done, c.Int("seeds"))
 				}
@@ -50,7 +50,7 @@
 			if err != nil {
 				return err
 			}
-			lab.WriteTable(out, all)
+			lab.WriteSummaries(out, all)
 			if c.String("json") == "" {
 				return nil
 			}
@@ -70,7 +70,7 @@
 			&cli.FloatFlag{Name: "load-high", Value: 0.65},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			all, err := lab.OnSockets(c.Uint64("seed"), lab.Load{Low: c.Float("load-low"), High: c.Float("load-high")},
+			all, err := lab.RunWarmUpOnSockets(c.Uint64("seed"), lab.LoadRange{Low: c.Float("load-low"), High: c.Float("load-high")},
 				c.Int("seconds"))
 			if err != nil {
 				return err
@@ -88,7 +88,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return bounded(ctx, c, func(ctx context.Context, program string) error {
 				standard := []string{"/proc/self/exe", "lab", "standard-server"}
-				all, err := lab.Fronts(ctx, program, c.StringSlice("front"), standard, c.Int("requests"))
+				all, err := lab.MeasureFronts(ctx, program, c.StringSlice("front"), standard, c.Int("requests"))
 				lab.WriteFronts(out, all)
 				return err
 			})
@@ -101,7 +101,7 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return bounded(ctx, c, func(ctx context.Context, program string) error {
-				all, err := lab.Floods(ctx, program, c.Int("seconds"))
+				all, err := lab.MeasureFloods(ctx, program, c.Int("seconds"))
 				lab.WriteFloods(out, all)
 				return err
 			})
@@ -122,25 +122,25 @@
 					return err
 				}
 				defer os.RemoveAll(dir)
-				runs, err := lab.Engines(dir, c.Int("bookings"))
+				runs, err := lab.MeasureEngines(dir, c.Int("bookings"))
 				if err != nil {
 					return err
 				}
-				more, err := lab.Bookings(ctx, program, dir, c.Int("bookings"))
+				more, err := lab.MeasureBookings(ctx, program, dir, c.Int("bookings"))
 				if err != nil {
 					return err
 				}
-				all, err := lab.Recoveries(dir, c.IntSlice("recover"))
+				all, err := lab.MeasureRecoveries(dir, c.IntSlice("recover"))
 				if err != nil {
 					return err
 				}
-				stalls, err := lab.Stall(ctx, dir, c.Float("stall")) // the last: a node sets limits of its process
+				stalls, err := lab.MeasureStall(ctx, dir, c.Float("stall")) // the last: a node sets limits of its process
 				lab.WriteKept(out, append(runs, more...), all, stalls)
 				return err
 			})
 		},
 	}, {
 		Name: "standard-server", Usage: "Go's standard server, for fronts", Hidden: true,
-		Action: func(context.Context, *cli.Command) error { return lab.Standard(out) },
+		Action: func(context.Context, *cli.Command) error { return lab.ServeStandard(out) },
 	}}...)}
 }
--- a/internal/lab/floods.go
+++ b/internal/lab/floods.go
@@ -20,8 +20,8 @@
 	Flood       string
 	Connections int
 	Frames      int
-	Peak        float64 // resident memory at its highest, in MB
-	Before      float64 // and before the flood
+	PeakMB      float64 // resident memory at its highest, in MB
+	BeforeMB    float64 // and before the flood
 	Healthy     bool    // a caller over HTTP/1.1 was answered all the while
 }
 
@@ -116,15 +116,15 @@
 	f.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: f.hp.Bytes(), EndStream: end, EndHeaders: true})
 }
 
-// Floods plays each flood for some seconds against the HTTP/2 port of a node, on several connections that are made again
+// MeasureFloods plays each flood for some seconds against the HTTP/2 port of a node, on several connections that are made again
 // whenever the node closes them, and watches the memory of its process and whether it goes on to answer others.
-func Floods(ctx context.Context, program string, seconds int) (out []FloodRun, err error) {
+func MeasureFloods(ctx context.Context, program string, seconds int) (out []FloodRun, err error) {
 	for _, kind := range FloodKinds {
 		n, err := startNode(ctx, program, []string{"h2c"}, "")
 		if err != nil {
 			return out, err
 		}
-		r := FloodRun{Flood: kind, Before: memoryOf(n.pid, "VmRSS"), Healthy: true}
+		r := FloodRun{Flood: kind, BeforeMB: memoryOf(n.pid, "VmRSS"), Healthy: true}
 		by := time.Now().Add(time.Duration(seconds) * time.Second)
 		type sum struct{ conns, frames int }
 		const hostile = 8
@@ -165,7 +165,7 @@
 			r.Connections += s.conns
 			r.Frames += s.frames
 		}
-		r.Peak = memoryOf(n.pid, "VmHWM")
+		r.PeakMB = memoryOf(n.pid, "VmHWM")
 		n.stop()
 		out = append(out, r)
 	}
@@ -188,6 +188,6 @@
 func WriteFloods(w io.Writer, all []FloodRun) {
 	fmt.Fprintf(w, "%-14s %11s %9s %10s %8s %8s\n", "flood", "connections", "frames", "before MB", "peak MB", "healthy")
 	for _, r := range all {
-		fmt.Fprintf(w, "%-14s %11d %9d %10.1f %8.1f %8t\n", r.Flood, r.Connections, r.Frames, r.Before, r.Peak, r.Healthy)
+		fmt.Fprintf(w, "%-14s %11d %9d %10.1f %8.1f %8t\n", r.Flood, r.Connections, r.Frames, r.BeforeMB, r.PeakMB, r.Healthy)
 	}
 }
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -24,17 +24,17 @@
 
 // FrontRun is what one front did with so many requests in hand.
 type FrontRun struct {
-	Front  string
-	InHand int
-	Rate   float64 // answers a second
-	CPU    float64 // of the server's process, in microseconds a request
-	Failed int
+	Front    string
+	InFlight int
+	Rate     float64 // answers a second
+	CPU      float64 // of the server's process, in microseconds a request
+	Failed   int
 }
 
-// Fronts plays requests against the fronts of a node of a program, each with some numbers in hand, and against Go's
+// MeasureFronts plays requests against the fronts of a node of a program, each with some numbers in hand, and against Go's
 // standard server as a yardstick: standard is the command line of one that prints its address first. The worker pool is
 // a stand-in that ends each run at once, so that what is measured is the way through the node.
-func Fronts(ctx context.Context, program string, fronts []string, standard []string, requests int) (out []FrontRun, err error) {
+func MeasureFronts(ctx context.Context, program string, fronts []string, standard []string, requests int) (out []FrontRun, err error) {
 	n, err := startNode(ctx, program, fronts, "")
 	if err != nil {
 		return nil, err
@@ -148,8 +148,8 @@
 	return n, nil
 }
 
-// Standard serves the same answers by Go's own server, over HTTP/1.1 and HTTP/2 without TLS, until its process is ended.
-func Standard(out io.Writer) error {
+// ServeStandard serves the same answers by Go's own server, over HTTP/1.1 and HTTP/2 without TLS, until its process is ended.
+func ServeStandard(out io.Writer) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -223,7 +223,7 @@
 
 // loadFront sends requests over one front with so many in hand, and measures.
 func loadFront(ctx context.Context, front, addr string, inHand, requests, pid int) (r FrontRun, err error) {
-	r.InHand = inHand
+	r.InFlight = inHand
 	var left atomic.Int64
 	left.Store(int64(requests))
 	var failed atomic.Int64
@@ -408,6 +408,6 @@
 func WriteFronts(w io.Writer, all []FrontRun) {
 	fmt.Fprintf(w, "%-14s %8s %10s %14s %7s\n", "front", "in hand", "a second", "CPU us each", "failed")
 	for _, r := range all {
-		fmt.Fprintf(w, "%-14s %8d %10.0f %14.1f %7d\n", r.Front, r.InHand, r.Rate, r.CPU, r.Failed)
+		fmt.Fprintf(w, "%-14s %8d %10.0f %14.1f %7d\n", r.Front, r.InFlight, r.Rate, r.CPU, r.Failed)
 	}
 }
--- a/internal/lab/kept.go
+++ b/internal/lab/kept.go
@@ -29,8 +29,8 @@
 
 // KeptRun is what bookings took in one way of keeping their results.
 type KeptRun struct {
-	What     string
-	InHand   int
+	Store    string
+	InFlight int
 	Rate     float64 // bookings a second
 	CPU      float64 // of the process that keeps, in microseconds a booking
 	P50, P99 float64 // from the request to its answer, in milliseconds
@@ -95,9 +95,9 @@
 }
 func (nothingKeeper) close() error { return nil }
 
-// Engines takes bookings through the table of operations before each engine, in this process and on a folder of the
+// MeasureEngines takes bookings through the table of operations before each engine, in this process and on a folder of the
 // machine's, with so many in hand that share their syncs.
-func Engines(dir string, bookings int) (out []KeptRun, err error) {
+func MeasureEngines(dir string, bookings int) (out []KeptRun, err error) {
 	engines := []struct {
 		name string
 		open func(path string) (keeper, error)
@@ -126,7 +126,7 @@
 			if err != nil {
 				return out, err
 			}
-			r.What, r.InHand = e.name, inHand
+			r.Store, r.InFlight = e.name, inHand
 			out = append(out, r)
 			if err := k.close(); err != nil {
 				return out, err
@@ -188,8 +188,8 @@
 	return r, nil
 }
 
-// Bookings sends bookings with tokens to a node in a process of its own, with results kept and without.
-func Bookings(ctx context.Context, program, dir string, bookings int) (out []KeptRun, err error) {
+// MeasureBookings sends bookings with tokens to a node in a process of its own, with results kept and without.
+func MeasureBookings(ctx context.Context, program, dir string, bookings int) (out []KeptRun, err error) {
 	for _, on := range []bool{false, true} {
 		extra, what := "", "node, off"
 		if on {
@@ -205,7 +205,7 @@
 				n.stop()
 				return out, err
 			}
-			r.What, r.InHand = what, inHand
+			r.Store, r.InFlight = what, inHand
 			out = append(out, r)
 		}
 		n.stop()
@@ -300,13 +300,13 @@
 
 // Recovery is how long a journal of so many operations took to be read at a start.
 type Recovery struct {
-	Keys          int
-	Bytes, Memory int64
-	Ms            float64
+	Keys                   int
+	DiskBytes, MemoryBytes int64
+	ElapsedMs              float64
 }
 
-// Recoveries fills journals and opens them.
-func Recoveries(dir string, sizes []int) (out []Recovery, err error) {
+// MeasureRecoveries fills journals and opens them.
+func MeasureRecoveries(dir string, sizes []int) (out []Recovery, err error) {
 	for _, n := range sizes {
 		path := filepath.Join(dir, fmt.Sprint("recover", n))
 		f, err := folder.At(path)
@@ -360,18 +360,18 @@
 		fmt.Fprintf(w, "%-12s %8s %10s %14s %9s %9s %7s\n", "results", "in hand", "a second", "CPU us each", "p50 ms", "p99 ms", "failed")
 	}
 	for _, r := range runs {
-		fmt.Fprintf(w, "%-12s %8d %10.0f %14.1f %9.2f %9.2f %7d\n", r.What, r.InHand, r.Rate, r.CPU, r.P50, r.P99, r.Failed)
+		fmt.Fprintf(w, "%-12s %8d %10.0f %14.1f %9.2f %9.2f %7d\n", r.Store, r.InFlight, r.Rate, r.CPU, r.P50, r.P99, r.Failed)
 	}
 	if len(all) > 0 {
 		fmt.Fprintf(w, "\n%12s %12s %14s %12s %12s\n", "operations", "bytes", "memory each", "recovery ms", "us each")
 	}
 	for _, r := range all {
-		fmt.Fprintf(w, "%12d %12d %14d %12.1f %12.2f\n", r.Keys, r.Bytes, r.Memory/int64(max(1, r.Keys)), r.Ms, r.Ms*1e3/float64(max(1, r.Keys)))
+		fmt.Fprintf(w, "%12d %12d %14d %12.1f %12.2f\n", r.Keys, r.DiskBytes, r.MemoryBytes/int64(max(1, r.Keys)), r.ElapsedMs, r.ElapsedMs*1e3/float64(max(1, r.Keys)))
 	}
 	if len(stalls) > 0 {
 		fmt.Fprintf(w, "\n%-14s %-14s %7s %8s %8s %8s %9s %9s\n", "disk", "class", "served", "refused", "failed", "p50 ms", "p99 ms", "max ms")
 	}
 	for _, s := range stalls {
-		fmt.Fprintf(w, "%-14s %-14s %7d %8d %8d %8.2f %9.2f %9.2f\n", s.When, s.Class, s.Served, s.Refused, s.Failed, s.P50, s.P99, s.Max)
+		fmt.Fprintf(w, "%-14s %-14s %7d %8d %8d %8.2f %9.2f %9.2f\n", s.Phase, s.Class, s.Served, s.Refused, s.Failed, s.P50, s.P99, s.Max)
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,7 +11,7 @@
 func TestSameSeedSamePairs(t *testing.T) {
 	play := func() string {
 		var b strings.Builder
-		pairs, all, err := WarmUp(7, 2, Load{0.4, 0.5}, nil)
+		pairs, all, err := RunWarmUp(7, 2, LoadRange{0.4, 0.5}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,8 +30,8 @@
 }
 
 func TestBadRangesAreRefused(t *testing.T) {
-	for _, l := range []Load{{0, 0.5}, {0.6, 0.5}, {0.5, 9}} {
-		if _, _, err := WarmUp(1, 1, l, nil); err == nil {
+	for _, l := range []LoadRange{{0, 0.5}, {0.6, 0.5}, {0.5, 9}} {
+		if _, _, err := RunWarmUp(1, 1, l, nil); err == nil {
 			t.Errorf("load %v was taken", l)
 		}
 	}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -13,37 +13,37 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Pair is how the successors of one variant fared on the day of one seed.
-type Pair struct {
-	Variant string
-	Seed    uint64
-	Steady  float64 // milliseconds until the on-time worth stays within 5% of the steady state
-	First   float64 // on-time worth of the first 20 s, as a share of the steady state's
-	Fell    int     // worker pools that fell over
+// DayResult is how the successors of one variant fared on the day of one seed.
+type DayResult struct {
+	Variant    string
+	Seed       uint64
+	SteadyMs   float64 // milliseconds until the on-time worth stays within 5% of the steady state
+	FirstShare float64 // on-time worth of the first 20 s, as a share of the steady state's
+	Fell       int     // worker pools that fell over
 }
 
 // Summary compares a variant with the cold one, seed by seed.
 type Summary struct {
-	Variant       string
-	Pairs         int
-	Steady        float64    // median, in milliseconds
-	Ratio         float64    // median of the pairs' steady over cold
-	RatioWithin   [2]float64 // 95% interval of that median
-	Gain          float64    // mean of the pairs' first less cold
-	GainWithin    [2]float64 // 95% interval of that mean
-	WorseBeyond   bool       // the whole interval of the gain lies below that of the noise
-	Fell          int
-	noise         float64 // what the gain of a repeated cold start may be by chance alone
-	ratios, gains []float64
+	Variant        string
+	Pairs          int
+	MedianSteadyMs float64    // median, in milliseconds
+	MedianRatio    float64    // median of the pairs' steady over cold
+	RatioInterval  [2]float64 // 95% interval of that median
+	MeanGain       float64    // mean of the pairs' first less cold
+	GainInterval   [2]float64 // 95% interval of that mean
+	WorseThanNoise bool       // the whole interval of the gain lies below that of the noise
+	Fell           int
+	noise          float64 // what the gain of a repeated cold start may be by chance alone
+	ratios, gains  []float64
 }
 
-// WarmUp plays all variants on the days of some seeds, several at a time, and returns the pairs in order of seed and
+// RunWarmUp plays all variants on the days of some seeds, several at a time, and returns the pairs in order of seed and
 // variant, and the summaries in order of variant. Progress, if not nil, is told of each seed that is done.
-func WarmUp(first uint64, seeds int, load Load, progress func(done int)) ([]Pair, []Summary, error) {
+func RunWarmUp(first uint64, seeds int, load LoadRange, progress func(done int)) ([]DayResult, []Summary, error) {
 	if seeds < 1 || !(load.Low > 0 && load.Low <= load.High && load.High <= 1.5) {
 		return nil, nil, fmt.Errorf("lab: want at least one seed and 0 < low <= high <= 1.5, got %d, %v", seeds, load)
 	}
-	days := make([][]Pair, seeds)
+	days := make([][]DayResult, seeds)
 	errs := make([]error, seeds)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -76,7 +76,7 @@
 }
 
 // warmPairs plays the day of one seed in all variants.
-func warmPairs(seed uint64, load Load) (out []Pair, err error) {
+func warmPairs(seed uint64, load LoadRange) (out []DayResult, err error) {
 	d, err := newWarmDay(seed, load)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 		want := day.worth(day.twin, dayFrom, dayFrom+firstFor)
-		out = append(out, Pair{v, seed, day.steady(o.served), day.worth(o.served, dayFrom, dayFrom+firstFor) / math.Max(1, want),
+		out = append(out, DayResult{v, seed, day.steady(o.served), day.worth(o.served, dayFrom, dayFrom+firstFor) / math.Max(1, want),
 			o.fell})
 	}
 	return out, nil
@@ -129,32 +129,32 @@
 func mean(v []float64) float64 { return stat.Mean(v, nil) }
 
 // summaries compares each variant with the first.
-func summaries(days [][]Pair) (out []Summary) {
+func summaries(days [][]DayResult) (out []Summary) {
 	noise := 0.0
 	for v, name := range Variants {
 		s := Summary{Variant: name, Pairs: len(days)}
 		var times []float64
 		for _, day := range days {
 			cold, p := day[0], day[v]
-			times = append(times, p.Steady)
-			s.ratios = append(s.ratios, math.Max(p.Steady, windowBy)/math.Max(cold.Steady, windowBy))
-			s.gains = append(s.gains, p.First-cold.First)
+			times = append(times, p.SteadyMs)
+			s.ratios = append(s.ratios, math.Max(p.SteadyMs, windowBy)/math.Max(cold.SteadyMs, windowBy))
+			s.gains = append(s.gains, p.FirstShare-cold.FirstShare)
 			s.Fell += p.Fell
 		}
-		s.Steady, s.Ratio, s.Gain = middle(times), middle(s.ratios), mean(s.gains)
-		s.RatioWithin, s.GainWithin = bootstrap(s.ratios, middle), bootstrap(s.gains, mean)
+		s.MedianSteadyMs, s.MedianRatio, s.MeanGain = middle(times), middle(s.ratios), mean(s.gains)
+		s.RatioInterval, s.GainInterval = bootstrap(s.ratios, middle), bootstrap(s.gains, mean)
 		if name == "again" {
-			noise = math.Max(-s.GainWithin[0], s.GainWithin[1])
+			noise = math.Max(-s.GainInterval[0], s.GainInterval[1])
 		}
 		s.noise = noise
-		s.WorseBeyond = s.GainWithin[1] < -noise
+		s.WorseThanNoise = s.GainInterval[1] < -noise
 		out = append(out, s)
 	}
 	return out
 }
 
 // WriteJSON writes one line a pair, then one line with the summaries.
-func WriteJSON(w io.Writer, pairs []Pair, all []Summary) error {
+func WriteJSON(w io.Writer, pairs []DayResult, all []Summary) error {
 	var a fastjson.Arena
 	number := func(v float64) *fastjson.Value { return a.NewNumberFloat64(math.Round(v*1e4) / 1e4) }
 	within := func(v [2]float64) *fastjson.Value {
@@ -172,8 +172,8 @@
 		o := a.NewObject()
 		o.Set("variant", a.NewString(p.Variant))
 		o.Set("seed", a.NewNumberString(fmt.Sprint(p.Seed)))
-		o.Set("steady_ms", number(p.Steady))
-		o.Set("first_share", number(p.First))
+		o.Set("steady_ms", number(p.SteadyMs))
+		o.Set("first_share", number(p.FirstShare))
 		o.Set("fell", a.NewNumberInt(p.Fell))
 		if err := line(o); err != nil {
 			return err
@@ -183,12 +183,12 @@
 	for _, s := range all {
 		o := a.NewObject()
 		o.Set("pairs", a.NewNumberInt(s.Pairs))
-		o.Set("median_steady_ms", number(s.Steady))
-		o.Set("median_ratio_to_cold", number(s.Ratio))
-		o.Set("ratio_interval", within(s.RatioWithin))
-		o.Set("mean_gain", number(s.Gain))
-		o.Set("gain_interval", within(s.GainWithin))
-		o.Set("worse_than_noise", map[bool]*fastjson.Value{true: a.NewTrue(), false: a.NewFalse()}[s.WorseBeyond])
+		o.Set("median_steady_ms", number(s.MedianSteadyMs))
+		o.Set("median_ratio_to_cold", number(s.MedianRatio))
+		o.Set("ratio_interval", within(s.RatioInterval))
+		o.Set("mean_gain", number(s.MeanGain))
+		o.Set("gain_interval", within(s.GainInterval))
+		o.Set("worse_than_noise", map[bool]*fastjson.Value{true: a.NewTrue(), false: a.NewFalse()}[s.WorseThanNoise])
 		o.Set("fell", a.NewNumberInt(s.Fell))
 		root.Set(s.Variant, o)
 	}
@@ -197,12 +197,12 @@
 	return line(top)
 }
 
-// WriteTable writes the summaries as people read them.
-func WriteTable(w io.Writer, all []Summary) {
+// WriteSummaries writes the summaries as people read them.
+func WriteSummaries(w io.Writer, all []Summary) {
 	fmt.Fprintf(w, "%-20s %5s %10s %8s %16s %8s %18s %5s\n", "variant", "pairs", "steady s", "ratio", "95% within", "gain",
 		"95% within", "fell")
 	for _, s := range all {
 		fmt.Fprintf(w, "%-20s %5d %10.1f %8.2f    %5.2f to %5.2f %+8.3f   %+6.3f to %+6.3f %5d\n", s.Variant, s.Pairs,
-			s.Steady/1000, s.Ratio, s.RatioWithin[0], s.RatioWithin[1], s.Gain, s.GainWithin[0], s.GainWithin[1], s.Fell)
+			s.MedianSteadyMs/1000, s.MedianRatio, s.RatioInterval[0], s.RatioInterval[1], s.MeanGain, s.GainInterval[0], s.GainInterval[1], s.Fell)
 	}
 }
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -28,16 +28,16 @@
 
 // SocketRun is how one successor fared on loopback sockets.
 type SocketRun struct {
-	Variant string
-	Asked   float64   // worth asked for
-	OnTime  float64   // and answered in time
-	Seconds []float64 // share of the worth of each second that was answered in time
+	Variant      string
+	TotalWorth   float64   // worth asked for
+	OnTimeWorth  float64   // and answered in time
+	OnTimeShares []float64 // share of the worth of each second that was answered in time
 }
 
-// OnSockets plays the start of a day of the lab in real time on loopback sockets, for a cold successor and one that is
+// RunWarmUpOnSockets plays the start of a day of the lab in real time on loopback sockets, for a cold successor and one that is
 // fed by a donor there: the real node, HTTP, the link to the worker pool and the peer protocol, before the model of the
 // worker pool. It takes as long as it says, and both run side by side.
-func OnSockets(seed uint64, load Load, seconds int) ([]SocketRun, error) {
+func RunWarmUpOnSockets(seed uint64, load LoadRange, seconds int) ([]SocketRun, error) {
 	if seconds < 1 || seconds > 60 || !(load.Low > 0 && load.Low <= load.High && load.High <= 1.5) {
 		return nil, fmt.Errorf("lab: want 1 to 60 seconds and 0 < low <= high <= 1.5, got %d, %v", seconds, load)
 	}
@@ -65,15 +65,15 @@
 			sums := make([][2]float64, seconds)
 			for n, a := range day {
 				w := classes[a.class].worth
-				out[i].Asked += w
+				out[i].TotalWorth += w
 				sums[int(a.at/1000)][0] += w
 				if served != nil && served[n] {
-					out[i].OnTime += w
+					out[i].OnTimeWorth += w
 					sums[int(a.at/1000)][1] += w
 				}
 			}
 			for _, s := range sums {
-				out[i].Seconds = append(out[i].Seconds, s[1]/math.Max(1, s[0]))
+				out[i].OnTimeShares = append(out[i].OnTimeShares, s[1]/math.Max(1, s[0]))
 			}
 		})
 	}
@@ -310,8 +310,8 @@
 func WriteSockets(w io.Writer, all []SocketRun) {
 	fmt.Fprintf(w, "%-6s %8s  share of the worth answered in time, second by second\n", "", "whole")
 	for _, r := range all {
-		fmt.Fprintf(w, "%-6s %8.3f ", r.Variant, r.OnTime/math.Max(1, r.Asked))
-		for _, s := range r.Seconds {
+		fmt.Fprintf(w, "%-6s %8.3f ", r.Variant, r.OnTimeWorth/math.Max(1, r.TotalWorth))
+		for _, s := range r.OnTimeShares {
 			fmt.Fprintf(w, " %.2f", s)
 		}
 		fmt.Fprintln(w)
--- a/internal/lab/stall.go
+++ b/internal/lab/stall.go
@@ -20,7 +20,7 @@
 
 // StallRun is what became of a class's requests before, during and after a stall of the disk.
 type StallRun struct {
-	When, Class             string
+	Phase, Class            string
 	Served, Refused, Failed int
 	P50, P99, Max           float64 // milliseconds
 }
@@ -50,8 +50,8 @@
 	return f.File.Sync()
 }
 
-// Stall plays reads and bookings against a node in this process whose disk stalls for a while in the middle of it.
-func Stall(ctx context.Context, dir string, seconds float64) ([]StallRun, error) {
+// MeasureStall plays reads and bookings against a node in this process whose disk stalls for a while in the middle of it.
+func MeasureStall(ctx context.Context, dir string, seconds float64) ([]StallRun, error) {
 	pool, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 	var out []StallRun
 	for i, when := range []string{"well", "stalled", "well again"} {
 		for _, class := range []string{"status-lookup", "payout-book"} {
-			r := StallRun{When: when, Class: class}
+			r := StallRun{Phase: when, Class: class}
 			var took []float64
 			for _, c := range calls[class] {
 				if int(c.at/seconds) != i {
--- a/internal/lab/warmup.go
+++ b/internal/lab/warmup.go
@@ -28,8 +28,8 @@
 	successors = 10    // that start at once, as after a rolling deploy, each with traffic of its own
 )
 
-// Load is the range of the share of a warm machine's cores that callers ask for.
-type Load struct{ Low, High float64 }
+// LoadRange is the range of the share of a warm machine's cores that callers ask for.
+type LoadRange struct{ Low, High float64 }
 
 // warmDay is what one seed gives to all variants.
 type warmDay struct {
@@ -43,7 +43,7 @@
 
 // newWarmDay draws a day and plays the twins: nodes on the same machine that have served the same traffic for a while
 // when the successors start. They are the steady state, arrival by arrival.
-func newWarmDay(seed uint64, load Load) (*warmDay, error) {
+func newWarmDay(seed uint64, load LoadRange) (*warmDay, error) {
 	d := &warmDay{seed: seed}
 	rng := stream(seed, "machine")
 	d.machine = machine(rng, rng.Float64() < 0.5)
