--- a/client/call.go
+++ b/client/call.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"whinrudder/internal/client/attempt"
+	"whinrudder/internal/client/connpool"
 	"whinrudder/internal/client/members"
-	"whinrudder/internal/client/pools"
 	"whinrudder/internal/client/route"
 	"whinrudder/internal/client/wire"
 )
@@ -46,13 +46,13 @@
 			k.m.Cancel()
 		}
 		do := k.m.Next(now, rand.Float64())
-		switch do.What {
+		switch do.Kind {
 		case attempt.Done:
 			if do.Reason == attempt.None {
 				return k.result, nil
 			}
 			err := &Error{Reason: do.Reason, Class: k.request.Class, Tries: append([]Try(nil), k.tries...), Cause: k.cause,
-				Wait: time.Duration(k.m.Advice() * float64(time.Millisecond))}
+				Wait: time.Duration(k.m.RetryAfter() * float64(time.Millisecond))}
 			if cause := k.ctx.Err(); cause != nil {
 				err.Cause = cause
 			} else if c.closed {
@@ -63,22 +63,22 @@
 			k.sleep(math.Min(do.At, k.due))
 			continue
 		}
-		use := c.members.Use(now)
-		m, until := c.router.Pick(now, use, route.Want{Key: k.key, Keyed: k.keyed && len(k.tried) == 0, Exclude: k.tried, Last: !do.Hedge,
+		use := c.members.InUse(now)
+		m, until := c.router.Pick(now, use, route.Query{Key: k.key, Keyed: k.keyed && len(k.tried) == 0, Exclude: k.tried, AllowExcluded: !do.Hedge,
 			Draws: [3]float64{rand.Float64(), rand.Float64(), rand.Float64()}})
 		if m == nil {
-			k.m.NoneFree(now, until)
+			k.m.NoNodeFree(now, until)
 			continue
 		}
-		k.m.Sent(now)
-		c.router.Sent(now, m.ID)
+		k.m.TrySent(now)
+		c.router.TrySent(now, m.ID)
 		k.tried = append(k.tried, m.Name)
 		r := k.request
-		r.ID, r.Retry = fmt.Sprintf("%016x", rand.Uint64()), do.Again
+		r.ID, r.Retry = fmt.Sprintf("%016x", rand.Uint64()), do.Retry
 		k.tries = append(k.tries, Try{Node: m.Name, ID: r.ID, Outcome: "open"})
 		i, due := len(k.tries)-1, do.Due
 		if h := c.options.Hooks.Try; h != nil {
-			h(r.Class, m.Name, do.Again, do.Hedge)
+			h(r.Class, m.Name, do.Retry, do.Hedge)
 		}
 		c.work.Add(1)
 		go func() {
@@ -104,8 +104,8 @@
 
 // outcome is what came of a try.
 type outcome struct {
-	end    attempt.End
-	answer *wire.Answer // nil: none
+	end    attempt.Outcome
+	answer *wire.Response // nil: none
 	err    error
 }
 
@@ -119,28 +119,28 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	took := now - sent
-	a := route.Answer{Took: took, Credit: -1}
+	a := route.Result{Took: took, Credit: -1}
 	stay := false
 	if o.answer != nil {
-		a.Credit, a.Wait, stay = o.answer.Load, o.answer.Wait, o.answer.Last
-		if o.answer.Close && o.answer.Load == 0 {
-			c.members.Leaves(now, m.Name) // it wants no more, and closes: it drains
+		a.Credit, a.RetryAfter, stay = o.answer.Credit, o.answer.RetryAfter, o.answer.NoRetry
+		if o.answer.Close && o.answer.Credit == 0 {
+			c.members.MarkDraining(now, m.Name) // it wants no more, and closes: it drains
 		} else {
-			c.members.Stays(now, m.Name)
+			c.members.MarkServing(now, m.Name)
 		}
 	}
 	switch o.end {
 	case attempt.Refused:
 		a.Refused = true
 	case attempt.Unsent, attempt.Broken:
-		a.Failed, a.NoAnswer = true, true
+		a.Failed, a.NoResponse = true, true
 	case attempt.Failed, attempt.Late:
 		a.Failed = true
 	case attempt.Withdrawn:
-		a.Unheard = true
+		a.Cancelled = true
 	}
-	c.router.Ended(now, m.ID, a, len(c.members.Use(now)))
-	k.m.Ended(now, o.end, took, a.Wait, stay)
+	c.router.TryEnded(now, m.ID, a, len(c.members.InUse(now)))
+	k.m.TryEnded(now, o.end, took, a.RetryAfter, stay)
 	t := &k.tries[i]
 	t.Outcome, t.Took = outcomes[o.end], time.Duration(took*float64(time.Millisecond))
 	if o.answer != nil {
@@ -162,7 +162,7 @@
 }
 
 // outcomes are the words for the ends of tries.
-var outcomes = map[attempt.End]string{attempt.Served: "served", attempt.Refused: "refused", attempt.Unsent: "unsent", attempt.Failed: "failed",
+var outcomes = map[attempt.Outcome]string{attempt.Served: "served", attempt.Refused: "refused", attempt.Unsent: "unsent", attempt.Failed: "failed",
 	attempt.Broken: "broken", attempt.Late: "late", attempt.Withdrawn: "withdrawn"}
 
 // exchange has a connection and sends a request over it.
@@ -194,7 +194,7 @@
 }
 
 // connection returns a connection to a node with room for a request, a new one if need be.
-func (c *Client) connection(ctx context.Context, m *members.Member) (*pools.Conn, conn, error) {
+func (c *Client) connection(ctx context.Context, m *members.Member) (*connpool.Conn, conn, error) {
 	for {
 		c.mu.Lock()
 		if c.closed {
@@ -202,24 +202,24 @@
 			return nil, nil, errClosed
 		}
 		now := c.now()
-		do := c.pools.Want(now, m.ID)
+		do := c.pools.Acquire(now, m.ID)
 		free := c.free
 		var w conn
-		if do.What == pools.Use {
+		if do.Kind == connpool.Use {
 			w = c.conns[do.Conn.ID]
 		}
 		c.mu.Unlock()
-		switch do.What {
-		case pools.Use:
+		switch do.Kind {
+		case connpool.Use:
 			if w.dead() {
 				c.mu.Lock()
-				c.pools.Free(c.now(), do.Conn)
+				c.pools.Release(c.now(), do.Conn)
 				c.drop(do.Conn)
 				c.mu.Unlock()
 				continue
 			}
 			return do.Conn, w, nil
-		case pools.Connect:
+		case connpool.Connect:
 			w, err := dial(ctx, c.options.Protocol, m.Addr)
 			c.mu.Lock()
 			if err == nil && c.closed {
@@ -227,12 +227,12 @@
 				err = errClosed
 			}
 			if err != nil {
-				c.pools.Gone(do.Conn)
+				c.pools.Remove(do.Conn)
 				c.wakeFree()
 				c.mu.Unlock()
 				return nil, nil, err
 			}
-			c.pools.Up(c.now(), do.Conn, w.streams())
+			c.pools.MarkConnected(c.now(), do.Conn, w.streams())
 			c.conns[do.Conn.ID] = w
 			if w.streams() > 1 {
 				c.wakeFree()
@@ -256,17 +256,17 @@
 }
 
 // release gives a connection back, or closes it if it carries nothing more.
-func (c *Client) release(p *pools.Conn, w conn) {
+func (c *Client) release(p *connpool.Conn, w conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pools.Free(c.now(), p)
+	c.pools.Release(c.now(), p)
 	if w.dead() {
 		c.pools.Drain(p)
 	}
 	if c.conns[p.ID] == nil {
 		return // the client was closed
 	}
-	if c.pools.Done(c.now(), p) {
+	if c.pools.ShouldClose(c.now(), p) {
 		c.drop(p)
 		return
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -16,8 +16,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"whinrudder/internal/client/attempt"
+	"whinrudder/internal/client/connpool"
 	"whinrudder/internal/client/members"
-	"whinrudder/internal/client/pools"
 	"whinrudder/internal/client/route"
 	"whinrudder/internal/client/wire"
 )
@@ -80,7 +80,7 @@
 	// Affinity keeps the requests of one subject to one node, while that has room.
 	Affinity bool
 	Hooks    Hooks
-	Limits   *pools.Limits // nil: the usual ones; for tests of this module
+	Limits   *connpool.Limits // nil: the usual ones; for tests of this module
 }
 
 // Hooks are told what goes on. They are called on the goroutines of calls and must be fast; nil ones are left out.
@@ -177,8 +177,8 @@
 	mu      sync.Mutex // of all below
 	members *members.Members
 	router  *route.Router
-	shared  *attempt.Shared
-	pools   *pools.Pools
+	shared  *attempt.ClientState
+	pools   *connpool.Pool
 	conns   map[int]conn  // by number of the connection
 	free    chan struct{} // closed and made anew when a connection may be had
 	listed  chan struct{} // closed with the first list
@@ -207,16 +207,16 @@
 	if len(o.Classes) == 0 {
 		return nil, errors.New("client: no classes")
 	}
-	limits := pools.Usual(streams)
+	limits := connpool.DefaultLimits(streams)
 	if o.Protocol == UWSGI {
-		limits = pools.UsualOnce()
+		limits = connpool.DefaultLimitsNoReuse()
 	}
 	if o.Limits != nil {
 		limits = *o.Limits
 	}
 	c := &Client{options: o, classes: map[string]int{}, start: time.Now(), members: members.New(rand.Uint64(), o.Subset), router: route.New(),
-		shared: &attempt.Shared{Budget: attempt.NewBudget(), Waits: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Usual: attempt.NewUsual(len(o.Classes))},
-		pools:  pools.New(limits), conns: map[int]conn{}, free: make(chan struct{}), listed: make(chan struct{})}
+		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(o.Classes))},
+		pools:  connpool.New(limits), conns: map[int]conn{}, free: make(chan struct{}), listed: make(chan struct{})}
 	for i, k := range o.Classes {
 		if _, twice := c.classes[k.Name]; twice || k.Name == "" {
 			return nil, fmt.Errorf("client: class %q is there twice, or has no name", k.Name)
@@ -248,7 +248,7 @@
 		}
 		all = append(all, members.Node{Name: n.Name, Addr: n.Addr, Draining: n.Draining})
 	}
-	c.members.List(c.now(), float64(made.Sub(c.start))/float64(time.Millisecond), all)
+	c.members.SetList(c.now(), float64(made.Sub(c.start))/float64(time.Millisecond), all)
 	if !c.heard && len(all) > 0 {
 		c.heard = true
 		close(c.listed)
@@ -266,22 +266,22 @@
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		old, _ := c.pools.Old(c.now())
+		old, _ := c.pools.IdleExpired(c.now())
 		for _, p := range old {
 			c.drop(p)
 		}
-		c.router.Forget(c.members.Use(c.now()))
+		c.router.Forget(c.members.InUse(c.now()))
 		c.mu.Unlock()
 	}
 }
 
 // drop closes a connection, under the lock.
-func (c *Client) drop(p *pools.Conn) {
+func (c *Client) drop(p *connpool.Conn) {
 	if w := c.conns[p.ID]; w != nil {
 		w.close()
 		delete(c.conns, p.ID)
 	}
-	c.pools.Gone(p)
+	c.pools.Remove(p)
 	c.wakeFree()
 }
 
@@ -311,7 +311,7 @@
 	if !ok {
 		return nil, fmt.Errorf("client: no class %q", r.Class)
 	}
-	w := wire.Request{Class: r.Class, From: c.options.Number, KB: r.KB, Rank: r.Rank, Key: r.Key, Token: r.Token, Body: r.Body, ID: "0000000000000000"}
+	w := wire.Request{Class: r.Class, Caller: c.options.Number, KB: r.KB, Rank: r.Rank, Key: r.Key, Token: r.Token, Body: r.Body, ID: "0000000000000000"}
 	if w.KB == 0 {
 		w.KB = 32
 	}
@@ -353,5 +353,5 @@
 func (c *Client) Nodes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.members.Use(c.now()))
+	return len(c.members.InUse(c.now()))
 }
--- a/internal/emu/callermodel/caller.go
+++ b/internal/emu/callermodel/caller.go
@@ -144,7 +144,7 @@
 	if c.MaxTries > 0 && nth >= c.MaxTries*max(1, c.ParallelTries) {
 		return false
 	}
-	if c.throttle != nil && c.throttle.Holds(now, coin) {
+	if c.throttle != nil && c.throttle.ShouldReject(now, coin) {
 		return false
 	}
 	if c.RetryBudget == 0 {
@@ -264,7 +264,7 @@
 		v.away, how = max(v.away, now+wait), attempt.Refused
 	}
 	if c.throttle != nil {
-		c.throttle.Ended(now, how)
+		c.throttle.RecordTry(now, how)
 	}
 }
 
@@ -272,7 +272,7 @@
 func (c *Caller) RecordConnectionFailure(now float64, node int) {
 	c.seen[node].away = max(c.seen[node].away, now+c.heardFor)
 	if c.throttle != nil {
-		c.throttle.Ended(now, attempt.Broken)
+		c.throttle.RecordTry(now, attempt.Broken)
 	}
 }
 
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -17,13 +17,13 @@
 	draws   int
 	members *members.Members
 	router  *route.Router
-	shared  *attempt.Shared
+	shared  *attempt.ClientState
 	classes []attempt.Class
 }
 
 func newLibrary(p *play, h Behavior, seed vtime.Seed) *library {
 	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.SubsetSize), router: route.New(),
-		shared: &attempt.Shared{Budget: attempt.NewBudget(), Waits: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Usual: attempt.NewUsual(len(p.day.Classes))}}
+		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(p.day.Classes))}}
 	for _, c := range p.day.Classes {
 		l.classes = append(l.classes, attempt.Class{Write: c.Write, Hedge: false})
 	}
@@ -40,7 +40,7 @@
 		}
 	}
 	now := l.p.k.Now()
-	l.members.List(now, max(0, now-l.p.day.ListLag), nodes)
+	l.members.SetList(now, max(0, now-l.p.day.ListLag), nodes)
 }
 
 // draw is a number from 0 to 1 for a request. It goes by the request, so that no other is shifted.
@@ -60,7 +60,7 @@
 	now := l.p.k.Now()
 	for !q.over {
 		do := q.call.Next(now, l.draw(q))
-		switch do.What {
+		switch do.Kind {
 		case attempt.Done:
 			if q.tries == 0 {
 				l.p.res.Unsent++
@@ -71,19 +71,19 @@
 			l.p.k.Set(&q.wake, min(do.At, q.call.Due()))
 			return
 		}
-		use := l.members.Use(now)
-		w := route.Want{Draws: [3]float64{l.draw(q), l.draw(q), q.Draw}, Last: !do.Hedge}
+		use := l.members.InUse(now)
+		w := route.Query{Draws: [3]float64{l.draw(q), l.draw(q), q.Draw}, AllowExcluded: !do.Hedge}
 		for _, n := range q.tried {
 			w.Exclude = append(w.Exclude, strconv.Itoa(n))
 		}
 		m, until := l.router.Pick(now, use, w)
 		if m == nil {
-			q.call.NoneFree(now, until)
+			q.call.NoNodeFree(now, until)
 			continue
 		}
 		n, _ := strconv.Atoi(m.Name)
-		q.call.Sent(now)
-		l.router.Sent(now, m.ID)
+		q.call.TrySent(now)
+		l.router.TrySent(now, m.ID)
 		l.p.launch(q, n, do.Due)
 		q.open[len(q.open)-1].member = m
 	}
@@ -92,8 +92,8 @@
 // withdraw takes a try back.
 func (l *library) withdraw(t *try) {
 	now := l.p.k.Now()
-	l.router.Ended(now, t.member.ID, route.Answer{Took: now - t.sent, Credit: -1, Unheard: true}, len(l.members.Use(now)))
-	t.q.call.Ended(now, attempt.Withdrawn, now-t.sent, 0, false)
+	l.router.TryEnded(now, t.member.ID, route.Result{Took: now - t.sent, Credit: -1, Cancelled: true}, len(l.members.InUse(now)))
+	t.q.call.TryEnded(now, attempt.Withdrawn, now-t.sent, 0, false)
 }
 
 // heard takes what came of a try.
@@ -112,9 +112,9 @@
 	l.ended(t, end, r)
 }
 
-func (l *library) ended(t *try, end attempt.End, r reply) {
+func (l *library) ended(t *try, end attempt.Outcome, r reply) {
 	now, q := l.p.k.Now(), t.q
-	a := route.Answer{Took: now - t.sent, Credit: -1}
+	a := route.Result{Took: now - t.sent, Credit: -1}
 	switch end {
 	case attempt.Served:
 	case attempt.Refused:
@@ -122,22 +122,22 @@
 		l.p.res.Refused++
 		l.p.score.bin(now).Refused++
 	case attempt.Unsent, attempt.Broken:
-		a.Failed, a.NoAnswer = true, true
+		a.Failed, a.NoResponse = true, true
 		l.p.res.Disconnected++
 	default:
 		a.Failed = true
 		l.p.res.Failed++
 	}
-	if !a.NoAnswer && end != attempt.Late {
-		a.Credit, a.Wait = r.load, r.wait
+	if !a.NoResponse && end != attempt.Late {
+		a.Credit, a.RetryAfter = r.load, r.wait
 		if r.leaves {
-			l.members.Leaves(now, t.member.Name)
+			l.members.MarkDraining(now, t.member.Name)
 		} else {
-			l.members.Stays(now, t.member.Name)
+			l.members.MarkServing(now, t.member.Name)
 		}
 	}
-	l.router.Ended(now, t.member.ID, a, len(l.members.Use(now)))
-	q.call.Ended(now, end, now-t.sent, r.wait, r.stay)
+	l.router.TryEnded(now, t.member.ID, a, len(l.members.InUse(now)))
+	q.call.TryEnded(now, end, now-t.sent, r.wait, r.stay)
 	if end == attempt.Served {
 		l.p.serve(q)
 		return
