--- a/internal/client/members/members.go
+++ b/internal/client/members/members.go
@@ -1,6 +1,7 @@
-// Package members knows which nodes a client may use: from lists that hear late, and from what nodes said themselves, which
-// goes before a list that is older. It holds the client's even share of a large fleet. It is state without I/O and without a
-// clock. Times are milliseconds.
+// Package members tracks which nodes a client may use. Its inputs are node lists, which may be out of date, and what
+// nodes report about themselves in their answers; a node's own report takes precedence over an older list. In a large
+// fleet it selects an evenly distributed subset of the nodes for each client. The package does no I/O and reads no
+// clock: the caller passes the time. Times are milliseconds.
 package members
 
 import (
@@ -11,214 +12,221 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is a node as a list has it.
+// Node is an entry of a node list.
 type Node struct {
-	Name     string // what tells it from others, over its lives
+	Name     string // identifies the node across restarts
 	Addr     string
 	Draining bool
 }
 
-// Limits of what is known.
+// Limits on stored nodes and on how long each input is trusted.
 const (
 	MaxNodes = 4096
-	// wordFor is how long a node's own word goes before a list that is older than it.
-	wordFor = 5000.0
-	// leavesFor is how long a node's word that it leaves is believed: as long as a credit is heeded. A node that drains still runs
-	// what comes in its first seconds, and may have a successor in its place that no list names yet: who left it alone for
-	// longer would miss both. Asked more often, it turns away what others would have taken.
-	leavesFor = 1000.0
-	// emptyFor is how long an empty list is not believed: an ensemble that lost its data is likelier than a fleet that left.
-	emptyFor = 60e3
-	// shrunk is the share of the fleet that one list may take away at once; with more the others are kept as a last resort
-	// for lostFor.
-	shrunk  = 0.5
-	lostFor = 30e3
+	// ownReportMs is how long a node's own report takes precedence over a list that is older than the report.
+	ownReportMs = 5000.0
+	// drainingReportMs is how long a node's report that it drains is trusted; a credit is valid for the same time. A
+	// draining node still runs requests during its first seconds, and a successor that no list names yet may already
+	// answer at its address: a longer time would miss both. With a shorter time the client sends it more requests
+	// that it refuses and that other nodes would have run.
+	drainingReportMs = 1000.0
+	// emptyListIgnoredMs is how long an empty list is ignored: it is more likely that the ensemble lost its data than
+	// that the whole fleet left.
+	emptyListIgnoredMs = 60e3
+	// massLossRatio is the share of the listed nodes that one list may remove. If a list removes more, the removed
+	// nodes stay usable as a last resort for lastResortMs.
+	massLossRatio = 0.5
+	lastResortMs  = 30e3
 )
 
-// State is how far a node may be used.
+// State says whether a node may be used.
 type State uint8
 
-// The states, the better first.
+// The states, best first.
 const (
-	Up         State = iota // listed, or its own word says so
-	LastResort              // a list that lost too much at once has lost it: the last resort
-	Draining                // it said that it leaves, or its mark does: nothing new goes there
-	Removed
+	Up         State = iota // listed, or it answered since it was delisted
+	LastResort              // removed by a list that removed too many nodes at once; used only when no node is up
+	Draining                // it reported that it drains, or its list entry is marked so; it gets no new requests
+	Removed                 // delisted or unknown
 )
 
-// Member is a node and what is known of it.
+// Member is a node together with what is known about it.
 type Member struct {
 	Node
-	ID int // it keeps it while it is known
+	ID int // unchanged for as long as the node is known
 
-	listed  bool
-	since   float64 // its listing or delisting was heard of then
-	word    float64 // it last answered as one that stays
-	leaving float64 // it last said that it leaves; minus infinity: never
-	suspect bool    // delisted by a list that lost too much
+	listed     bool
+	changedAt  float64 // time of the latest change of its listing or of its draining mark
+	servingAt  float64 // time of its latest answer that did not report draining; minus infinity: none
+	drainingAt float64 // time of its latest report that it drains; minus infinity: none
+	suspect    bool    // delisted by a list that removed more than massLossRatio
 }
 
-// Members are the nodes of a client.
+// Members is the set of nodes that a client knows.
 type Members struct {
-	self   uint64
-	subset int
-	byName map[string]*Member
-	next   int
-	listAt float64 // when the latest list was made
-	heard  bool    // there was a list
-	empty  float64 // the list is empty since; infinity: it is not
-
-	use   []*Member // as of useAt
-	useAt float64
+	self       uint64 // hash that distinguishes this client from others
+	subset     int    // nodes to use; 0: all
+	byName     map[string]*Member
+	nextID     int
+	listMade   float64 // when the latest accepted list was made
+	hasList    bool    // at least one list was accepted
+	emptySince float64 // when lists began to be empty; infinity: the latest list was not empty
+
+	cached   []*Member // result of InUse as of cachedAt
+	cachedAt float64
 }
 
-// useFor is how long what is in use is taken for the same, if nothing was heard that changes it.
-const useFor = 50.0
+// inUseCacheMs is how long InUse returns its previous result when no list and no draining report came in.
+const inUseCacheMs = 50.0
 
-// New returns the members of a client. Self tells clients apart, so that they use different subsets; subset 0 is all nodes.
+// New returns the members of a client without any nodes. The value of self differs between clients, so that they use
+// different subsets. The client uses at most subset nodes; 0 means all.
 func New(self uint64, subset int) *Members {
-	return &Members{self: self, subset: subset, byName: map[string]*Member{}, empty: math.Inf(1), useAt: math.Inf(-1)}
+	return &Members{self: self, subset: subset, byName: map[string]*Member{}, emptySince: math.Inf(1), cachedAt: math.Inf(-1)}
 }
 
-// SetList takes a list that was made at a time, which may be before now; one of the future was made now. One that is older than
-// the latest is passed over, and ok is false; of one that is too long the first MaxNodes count.
+// SetList applies a node list that was made at the given time, which may be before now; a time in the future counts
+// as now. A list older than the latest one is ignored, and ok is false. Entries after the first MaxNodes are ignored.
 func (m *Members) SetList(now, made float64, nodes []Node) (ok bool) {
-	if made = min(made, now); made < m.listAt && m.heard {
+	if made = min(made, now); made < m.listMade && m.hasList {
 		return false
 	}
-	m.listAt, m.heard, m.useAt = made, true, math.Inf(-1)
+	m.listMade, m.hasList, m.cachedAt = made, true, math.Inf(-1)
 	if len(nodes) == 0 {
-		m.empty = min(m.empty, now)
-		if now-m.empty < emptyFor {
+		m.emptySince = min(m.emptySince, now)
+		if now-m.emptySince < emptyListIgnoredMs {
 			return true
 		}
 	} else {
-		m.empty = math.Inf(1)
+		m.emptySince = math.Inf(1)
 	}
 	seen := map[string]bool{}
 	for _, n := range nodes[:min(len(nodes), MaxNodes)] {
 		seen[n.Name] = true
-		e := m.byName[n.Name]
-		if e == nil {
-			e = &Member{ID: m.next, word: math.Inf(-1), leaving: math.Inf(-1)}
-			m.next++
-			m.byName[n.Name] = e
+		member := m.byName[n.Name]
+		if member == nil {
+			member = &Member{ID: m.nextID, servingAt: math.Inf(-1), drainingAt: math.Inf(-1)}
+			m.nextID++
+			m.byName[n.Name] = member
 		}
-		if !e.listed {
-			e.since = made
+		if !member.listed {
+			member.changedAt = made
 		}
-		if n.Draining && !e.Draining || !n.Draining && e.Draining {
-			e.since = made
+		if n.Draining && !member.Draining || !n.Draining && member.Draining {
+			member.changedAt = made
 		}
-		e.Node, e.listed, e.suspect = n, true, false
-	}
-	lost, before := 0, 0
-	for _, e := range m.byName {
-		if e.listed {
-			before++
-			if !seen[e.Name] {
-				lost++
+		member.Node, member.listed, member.suspect = n, true, false
+	}
+	delisted, wasListed := 0, 0
+	for _, member := range m.byName {
+		if member.listed {
+			wasListed++
+			if !seen[member.Name] {
+				delisted++
 			}
 		}
 	}
-	for _, e := range m.byName {
-		if e.listed && !seen[e.Name] {
-			e.listed, e.since, e.suspect = false, now, float64(lost) > shrunk*float64(before)
+	for _, member := range m.byName {
+		if member.listed && !seen[member.Name] {
+			member.listed, member.changedAt, member.suspect = false, now, float64(delisted) > massLossRatio*float64(wasListed)
 		}
 	}
 	m.forget(now)
 	return true
 }
 
-// forget lets go of nodes that are gone for long.
+// forget deletes nodes that were delisted long ago and have not answered since.
 func (m *Members) forget(now float64) {
-	for name, e := range m.byName {
-		if !e.listed && now-e.since > max(lostFor, wordFor) && now-e.word > wordFor {
+	for name, member := range m.byName {
+		if !member.listed && now-member.changedAt > max(lastResortMs, ownReportMs) && now-member.servingAt > ownReportMs {
 			delete(m.byName, name)
 		}
 	}
-	for name, e := range m.byName { // a list that is all new each time must not add up
+	for name, member := range m.byName { // bounds memory when every list names new nodes
 		if len(m.byName) <= 2*MaxNodes {
 			return
 		}
-		if !e.listed {
+		if !member.listed {
 			delete(m.byName, name)
 		}
 	}
 }
 
-// MarkServing takes an answer of a node that says nothing of leaving.
+// MarkServing records an answer of a node that did not report draining.
 func (m *Members) MarkServing(now float64, name string) {
-	if e := m.byName[name]; e != nil {
-		e.word = now
+	if member := m.byName[name]; member != nil {
+		member.servingAt = now
 	}
 }
 
-// MarkDraining takes a node's word that it leaves: a closing answer while it drains, a GOAWAY.
+// MarkDraining records a node's report that it drains: an answer that closes the connection while it drains, or a
+// GOAWAY.
 func (m *Members) MarkDraining(now float64, name string) {
-	if e := m.byName[name]; e != nil {
-		e.leaving = now
-		m.useAt = math.Inf(-1)
+	if member := m.byName[name]; member != nil {
+		member.drainingAt = now
+		m.cachedAt = math.Inf(-1)
 	}
 }
 
-// State returns how far a node may be used.
+// State reports whether a node may be used.
 func (m *Members) State(now float64, name string) State {
-	e := m.byName[name]
-	if e == nil {
+	member := m.byName[name]
+	if member == nil {
 		return Removed
 	}
-	return m.state(now, e)
+	return m.state(now, member)
 }
 
-func (m *Members) state(now float64, e *Member) State {
-	// The latest word counts: what it said itself before what an older list says.
-	if e.leaving > e.word && e.leaving > e.since && now-e.leaving < leavesFor {
+func (m *Members) state(now float64, member *Member) State {
+	// The latest information counts: the node's own report takes precedence over an older list.
+	if member.drainingAt > member.servingAt && member.drainingAt > member.changedAt && now-member.drainingAt < drainingReportMs {
 		return Draining
 	}
-	if e.listed && !e.Draining {
+	if member.listed && !member.Draining {
 		return Up
 	}
-	if e.word > e.since && now-e.word < wordFor {
-		return Up // it answered after the list took it away
+	if member.servingAt > member.changedAt && now-member.servingAt < ownReportMs {
+		return Up // it answered after it was delisted or marked as draining
 	}
 	switch {
-	case e.listed:
+	case member.listed:
 		return Draining
-	case e.suspect && now-e.since < lostFor:
+	case member.suspect && now-member.changedAt < lastResortMs:
 		return LastResort
 	}
 	return Removed
 }
 
-// InUse returns the nodes that the client uses, in an order that is its own: those that are up, of its subset; where there are
-// none, lost ones. They are valid until the next call that changes anything.
+// InUse returns the nodes that the client uses: its subset of the nodes that are up or, if none is up, of the nodes
+// in state LastResort. Their order is specific to the client. The result is valid until the next call that changes
+// the members.
 func (m *Members) InUse(now float64) (out []*Member) {
-	if now >= m.useAt && now < m.useAt+useFor {
-		return m.use
-	}
-	defer func() { m.use, m.useAt = out, now }()
-	for _, want := range []State{Up, LastResort} {
-		for _, e := range m.byName {
-			if m.state(now, e) == want {
-				out = append(out, e)
+	if now >= m.cachedAt && now < m.cachedAt+inUseCacheMs {
+		return m.cached
+	}
+	defer func() { m.cached, m.cachedAt = out, now }()
+	for _, state := range []State{Up, LastResort} {
+		for _, member := range m.byName {
+			if m.state(now, member) == state {
+				out = append(out, member)
 			}
 		}
 		if len(out) > 0 {
 			break
 		}
 	}
-	type ranked struct {
-		e *Member
-		h uint64
+	type scored struct {
+		member *Member
+		score  uint64
 	}
-	all := make([]ranked, len(out))
-	for i, e := range out {
-		all[i] = ranked{e, Score(m.self, e.Name)}
+	byScore := make([]scored, len(out))
+	for i, member := range out {
+		byScore[i] = scored{member, Score(m.self, member.Name)}
 	}
-	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.h, a.h), cmp.Compare(a.e.Name, b.e.Name)) })
-	for i := range all {
-		out[i] = all[i].e
+	slices.SortFunc(byScore, func(a, b scored) int {
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.member.Name, b.member.Name))
+	})
+	for i := range byScore {
+		out[i] = byScore[i].member
 	}
 	if m.subset > 0 && m.subset < len(out) {
 		out = out[:m.subset]
@@ -226,11 +234,11 @@
 	return out
 }
 
-// Len returns how many nodes are known.
+// Len returns the number of known nodes.
 func (m *Members) Len() int { return len(m.byName) }
 
-// Score is the weight of a node for a key by rendezvous hashing (Thaler and Ravishankar, 1998): the highest is used. When
-// a node comes or goes, only what falls to it moves.
+// Score returns the weight of a node for a key by rendezvous hashing (Thaler and Ravishankar, 1998): a key uses the
+// node with the highest score. When a node joins or leaves, only the keys of that node move.
 func Score(key uint64, name string) uint64 {
 	x := xxhash.Sum64String(name) ^ key*0x9e3779b97f4a7c15
 	x ^= x >> 32
--- a/internal/client/members/members_test.go
+++ b/internal/client/members/members_test.go
@@ -24,35 +24,35 @@
 	return out
 }
 
-// What is in use after lists and words of nodes, by their age.
-func TestListsAndWords(t *testing.T) {
+// Guards against the wrong precedence between lists and the nodes' own reports, which depends on their age.
+func TestListsAndReports(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(m *Members)
 		at   float64
 		want []string
 	}{
-		{"a list", func(m *Members) {}, 100, []string{"a", "b", "c", "d"}},
-		{"one leaves by its own word", func(m *Members) { m.MarkDraining(200, "b") }, 300, []string{"a", "c", "d"}},
-		{"and is asked again soon: its successor has its place", func(m *Members) { m.MarkDraining(200, "b") }, 1201, []string{"a", "b", "c", "d"}},
-		{"the word is old by the next list", func(m *Members) { m.MarkDraining(200, "b"); m.SetList(6000, 5500, nodes("a", "b", "c", "d")) }, 6000,
+		{"one list", func(m *Members) {}, 100, []string{"a", "b", "c", "d"}},
+		{"a node reports draining", func(m *Members) { m.MarkDraining(200, "b") }, 300, []string{"a", "c", "d"}},
+		{"a draining report expires, since a successor may answer at the address", func(m *Members) { m.MarkDraining(200, "b") }, 1201, []string{"a", "b", "c", "d"}},
+		{"a newer list overrides a draining report", func(m *Members) { m.MarkDraining(200, "b"); m.SetList(6000, 5500, nodes("a", "b", "c", "d")) }, 6000,
 			[]string{"a", "b", "c", "d"}},
-		{"it is back in another life", func(m *Members) { m.MarkDraining(200, "b"); m.MarkServing(900, "b") }, 1000, []string{"a", "b", "c", "d"}},
-		{"the list loses one", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")) }, 1001, []string{"a", "b", "c"}},
-		{"it answered after it was lost", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")); m.MarkServing(1500, "d") }, 2000,
+		{"a restarted node serves again", func(m *Members) { m.MarkDraining(200, "b"); m.MarkServing(900, "b") }, 1000, []string{"a", "b", "c", "d"}},
+		{"a list removes a node", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")) }, 1001, []string{"a", "b", "c"}},
+		{"a node answers after it was delisted", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")); m.MarkServing(1500, "d") }, 2000,
 			[]string{"a", "b", "c", "d"}},
-		{"not for ever", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")); m.MarkServing(1500, "d") }, 7000, []string{"a", "b", "c"}},
-		{"an older list that comes later", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")); m.SetList(1100, 500, nodes("d")) }, 1200,
+		{"an answer of a delisted node expires", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")); m.MarkServing(1500, "d") }, 7000, []string{"a", "b", "c"}},
+		{"an older list that arrives later is ignored", func(m *Members) { m.SetList(1000, 900, nodes("a", "b", "c")); m.SetList(1100, 500, nodes("d")) }, 1200,
 			[]string{"a", "b", "c"}},
-		{"an empty list is not believed", func(m *Members) { m.SetList(1000, 1000, nil) }, 1100, []string{"a", "b", "c", "d"}},
-		{"for a minute", func(m *Members) { m.SetList(1000, 1000, nil); m.SetList(62000, 62000, nil) }, 200000, nil},
-		{"a list that loses most leaves them as a last resort", func(m *Members) { m.SetList(1000, 1000, nodes("a")); m.MarkDraining(1100, "a") }, 1200,
+		{"an empty list is ignored at first", func(m *Members) { m.SetList(1000, 1000, nil) }, 1100, []string{"a", "b", "c", "d"}},
+		{"an empty list is accepted after a minute", func(m *Members) { m.SetList(1000, 1000, nil); m.SetList(62000, 62000, nil) }, 200000, nil},
+		{"nodes removed by a list that removes most are a last resort", func(m *Members) { m.SetList(1000, 1000, nodes("a")); m.MarkDraining(1100, "a") }, 1200,
 			[]string{"b", "c", "d"}},
-		{"while one is up they are not used", func(m *Members) { m.SetList(1000, 1000, nodes("a")) }, 1200, []string{"a"}},
-		{"a list of the future is one of now", func(m *Members) { m.SetList(100, 1e9, nodes("a", "b", "c", "d", "e")); m.MarkDraining(200, "e") }, 300,
+		{"last-resort nodes are not used while a node is up", func(m *Members) { m.SetList(1000, 1000, nodes("a")) }, 1200, []string{"a"}},
+		{"a list from the future counts as made now", func(m *Members) { m.SetList(100, 1e9, nodes("a", "b", "c", "d", "e")); m.MarkDraining(200, "e") }, 300,
 			[]string{"a", "b", "c", "d"}},
-		{"a draining mark", func(m *Members) { m.SetList(1000, 900, []Node{{Name: "a", Draining: true}, {Name: "b"}}) }, 1100, []string{"b"}},
-		{"a node nobody knows says things", func(m *Members) { m.MarkDraining(100, "x"); m.MarkServing(100, "x") }, 200, []string{"a", "b", "c", "d"}},
+		{"a list entry is marked as draining", func(m *Members) { m.SetList(1000, 900, []Node{{Name: "a", Draining: true}, {Name: "b"}}) }, 1100, []string{"b"}},
+		{"reports of an unknown node are ignored", func(m *Members) { m.MarkDraining(100, "x"); m.MarkServing(100, "x") }, 200, []string{"a", "b", "c", "d"}},
 	} {
 		m := New(1, 0)
 		m.SetList(0, 0, nodes("a", "b", "c", "d"))
@@ -64,8 +64,9 @@
 	}
 }
 
-// Of a subset little moves when one node goes or comes, and clients' subsets are about even.
-func TestSubsetsMoveLittle(t *testing.T) {
+// Removing a node replaces only that node in each client's subset, and the subsets spread the clients evenly over the
+// nodes.
+func TestSubsetsAreStableAndEven(t *testing.T) {
 	const n, k, clients = 100, 20, 300
 	var all []string
 	for i := range n {
@@ -89,22 +90,22 @@
 			}
 		}
 		if lost > 1 || lost == 1 != slices.Contains(before, all[0]) || len(after) != k {
-			t.Fatalf("client %d: %d moved", c, lost)
+			t.Fatalf("client %d: %d nodes of its subset were replaced and its size is %d, want %d", c, lost, len(after), k)
 		}
 		moved += lost
 	}
 	if want := clients * k / n; moved < want/2 || moved > 2*want {
-		t.Errorf("%d connections move, want about %d", moved, want)
+		t.Errorf("%d subset entries were replaced, want about %d", moved, want)
 	}
 	for x, l := range load {
 		if mean := clients * k / n; l < mean/2 || l > 2*mean {
-			t.Errorf("%s has %d clients, %d in the mean", x, l, mean)
+			t.Errorf("node %s has %d clients, want about the mean of %d", x, l, mean)
 		}
 	}
 }
 
-// Lists that name other nodes each time leave no more behind than the bound.
-func TestWhatIsKnownIsBounded(t *testing.T) {
+// Guards against unbounded memory when every list names new nodes.
+func TestKnownNodesAreBounded(t *testing.T) {
 	m := New(1, 0)
 	for i := range 8 {
 		var l []Node
@@ -113,17 +114,17 @@
 		}
 		m.SetList(float64(i), float64(i), l)
 		if m.Len() > 2*MaxNodes {
-			t.Fatalf("%d nodes are known after %d lists", m.Len(), i+1)
+			t.Fatalf("%d nodes are known after %d lists, want at most %d", m.Len(), i+1, 2*MaxNodes)
 		}
 	}
 	if got := len(m.InUse(8)); got != MaxNodes {
-		t.Errorf("%d are in use", got)
+		t.Errorf("got %d nodes in use, want %d", got, MaxNodes)
 	}
 }
 
-// However lists flap and whatever nodes say, something is in use while any node was ever listed within the last while, and what is
-// known is bounded.
-func TestSomethingIsInUse(t *testing.T) {
+// For any sequence of lists and answers, at least one node is in use until empty lists are accepted, and the number
+// of known nodes stays bounded.
+func TestSomeNodeIsInUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(rapid.Uint64().Draw(t, "self"), rapid.IntRange(0, 4).Draw(t, "subset"))
 		m.SetList(0, 0, nodes("n0", "n1", "n2"))
@@ -143,11 +144,11 @@
 			case 1:
 				m.MarkServing(now, name)
 			}
-			if len(m.InUse(now)) == 0 && m.empty > now {
-				t.Fatal("nothing is in use")
+			if len(m.InUse(now)) == 0 && m.emptySince > now {
+				t.Fatal("no node is in use although no empty list was accepted")
 			}
 			if m.Len() > 10 {
-				t.Fatal(m.Len())
+				t.Fatalf("%d nodes are known, want at most 10", m.Len())
 			}
 		}
 	})
