--- a/internal/client/attempt/attempt.go
+++ b/internal/client/attempt/attempt.go
@@ -1,31 +1,32 @@
-// Package attempt decides how one call is made: when it is tried, again or by a hedge, how long a try may take, and what its
-// caller is told at the end. A Call is a state machine without I/O, without a clock and without chance. Times are
-// milliseconds.
+// Package attempt decides how a call is made: when it is tried, retried or hedged, how long each try may take, and
+// with which reason the call ends. The retry budget and the throttling of a client are shared by its calls. A Call is
+// a state machine that does no I/O, reads no clock and draws no random numbers: the caller passes times and draws.
+// Times are milliseconds.
 package attempt
 
 import (
 	"math"
 )
 
-// Class says what may be done with the requests of a class.
+// Class says how the requests of a class may be tried.
 type Class struct {
-	Write bool // it must not run twice
-	Tries int  // at most, hedges included; 0: usualTries
-	Hedge bool // reads alone
+	Write bool // the request must not run twice
+	Tries int  // maximum number of tries, hedges included; 0: defaultTries
+	Hedge bool // a slow try may be hedged; ignored for writes
 }
 
 // Outcome is how a try ended.
 type Outcome uint8
 
-// The ends of tries.
+// The outcomes of tries.
 const (
-	Served    Outcome = iota
-	Refused           // turned away with the promise that it did not run
-	Unsent            // it provably did not reach a node that would run it: no connection, REFUSED_STREAM, above a GOAWAY
-	Failed            // an answer without a promise
-	Broken            // the connection broke with the request in hand
-	Late              // no answer within the time of the try
-	Withdrawn         // the client took it back
+	Served    Outcome = iota // the node answered with a result
+	Refused                  // the node refused it and guarantees that it did not run
+	Unsent                   // it certainly did not run: no connection, REFUSED_STREAM, or above the GOAWAY's last stream
+	Failed                   // the node answered with an error that does not say whether it ran
+	Broken                   // the connection broke while the request was in flight
+	Late                     // no answer before the deadline of the try
+	Withdrawn                // the client cancelled the try
 )
 
 // Reason is why a call ended without a result.
@@ -33,85 +34,86 @@
 
 // The reasons.
 const (
-	None      Reason = iota
-	Rejected         // nodes turned it away; it did not run
-	NoNode           // no node could be asked in time; it did not run
-	Throttled        // held back by the client, since nodes turn most away; it did not run
-	NoTime           // not enough time was left to ask; it did not run
-	Failure          // reads: no try brought a result
-	Unknown          // a write may have run or not
-	Cancelled        // its caller took it back
+	None      Reason = iota // the call has a result
+	Rejected                // nodes refused it; it did not run
+	NoNode                  // no node was available in time; it did not run
+	Throttled               // the client rejected it because nodes refuse most requests; it did not run
+	NoTime                  // too little time was left for a try; it did not run
+	Failure                 // a read for which no try returned a result
+	Unknown                 // a write that may have run
+	Cancelled               // the caller cancelled the call
 )
 
 func (r Reason) String() string {
 	return [...]string{"none", "rejected", "no-node", "throttled", "no-time", "failure", "unknown", "cancelled"}[r]
 }
 
-// Figures of calls.
+// Parameters of calls.
 const (
-	usualTries  = 3
-	tryShare    = 0.6   // of the time that is left, for a try of a read after which another may be worth it
-	leastTry    = 20.0  // a try with less time is not made
-	jitterLow   = 5.0   // decorrelated jitter (Brooker, 2015): between this and three times the last pause
-	jitterHigh  = 500.0 // and at most this
-	expectShare = 0.5   // of the usual latency that must be left for a try
-	waitMost    = 1000.0
+	defaultTries    = 3      // tries of a call whose class sets none
+	tryTimeRatio    = 0.6    // share of the remaining time that a try of a read gets if another may follow
+	minTryMs        = 20.0   // no try is made with less time
+	minPauseMs      = 5.0    // decorrelated jitter (Brooker, 2015): a pause is between this and three times the last pause
+	maxPauseMs      = 500.0  // upper limit of a pause
+	minLatencyRatio = 0.5    // a try needs this share of the low latency percentile
+	maxNodeWaitMs   = 1000.0 // longest wait for a node before the call asks again
 )
 
-// ActionKind says what is to be done for a call.
+// ActionKind says what the caller of Next must do for a call.
 type ActionKind uint8
 
-// What is to be done.
+// The kinds of actions.
 const (
 	Try   ActionKind = iota // pick a node, then call TrySent or NoNodeFree
-	Sleep                   // until Action.At, or until a try ends
-	Done                    // the call is over: Reason says how
+	Sleep                   // until Action.At or the end of a try
+	Done                    // the call has ended with Action.Reason
 )
 
-// Action is what is to be done.
+// Action is the next step of a call.
 type Action struct {
 	Kind   ActionKind
-	At     float64 // of a sleep; infinity: until a try ends
-	Due    float64 // of a try
-	Retry  bool    // the try is a retry or a hedge, and is marked as one
-	Hedge  bool
-	Reason Reason
+	At     float64 // end of a sleep
+	Due    float64 // deadline of a try
+	Retry  bool    // the try is a retry or a hedge, and its request is marked as a retry
+	Hedge  bool    // the try is a hedge
+	Reason Reason  // why the call ended, for Done
 }
 
-// ClientState is what the calls of a client have in common.
+// ClientState is the state that all calls of a client share.
 type ClientState struct {
-	RetryBudget *Budget // of tries that are not first ones
-	WaitBudget  *Budget // of calls that wait for a node to be free: what waits takes the room of what comes
+	RetryBudget *Budget // for retries and hedges
+	WaitBudget  *Budget // for calls that wait for a free node: a waiting call takes capacity from later calls
 	Throttle    *Throttle
 	Latencies   *Latencies
 }
 
-// Call is one call.
+// Call is the state of one call.
 type Call struct {
-	class    Class
-	due      float64
-	shared   *ClientState
-	of       int // number of the class
-	began    float64
-	sent     int
-	open     int
-	paused   float64 // the last pause
-	notTill  float64
-	none     float64 // no node is free until
-	waits    bool    // it has waited for one
-	last     Outcome
-	advice   float64 // the latest advice of a refusal
-	stay     bool    // a node asked not to be passed over
-	hedgeAt  float64
-	over     bool
-	reason   Reason
-	unheld   float64 // draw for the next pause
-	refusals int
+	class         Class
+	due           float64 // deadline
+	shared        *ClientState
+	classIndex    int     // index of the class in ClientState.Latencies
+	began         float64 // when the call was made
+	tries         int     // tries made
+	openTries     int     // tries that have not ended
+	lastPause     float64 // length of the last pause before a retry
+	pausedUntil   float64 // no retry before
+	noNodeUntil   float64 // no node is free before; 0: not known
+	waitedForNode bool    // the call has waited for a free node and paid for it from the WaitBudget
+	lastOutcome   Outcome
+	retryAfter    float64 // milliseconds; the advice of the latest refusal
+	noRetry       bool    // the latest refusal asked not to retry on another node
+	hedgeAt       float64 // when a hedge is due; infinity: never
+	done          bool
+	reason        Reason  // set once done
+	pauseDraw     float64 // draw for the next pause
+	refusals      int     // refused tries
 }
 
-// New returns a call. Draw, evenly from 0 to 1, is for the client's own throttling.
-func New(now, due float64, class Class, of int, s *ClientState, draw float64) *Call {
-	c := &Call{class: class, of: of, due: due, shared: s, began: now, hedgeAt: math.Inf(1)}
+// New returns a call that must end by due. The draw, uniform in [0, 1), decides whether the client's throttle rejects
+// it.
+func New(now, due float64, class Class, classIndex int, s *ClientState, draw float64) *Call {
+	c := &Call{class: class, classIndex: classIndex, due: due, shared: s, began: now, hedgeAt: math.Inf(1)}
 	s.RetryBudget.Deposit(now)
 	s.WaitBudget.Deposit(now)
 	if s.Throttle.ShouldReject(now, draw) {
@@ -120,107 +122,107 @@
 	return c
 }
 
-// OpenTries returns how many tries are not over.
-func (c *Call) OpenTries() int { return c.open }
+// OpenTries returns the number of tries that have not ended.
+func (c *Call) OpenTries() int { return c.openTries }
 
-// Tries returns how many tries were made.
-func (c *Call) Tries() int { return c.sent }
+// Tries returns the number of tries made.
+func (c *Call) Tries() int { return c.tries }
 
-// Due returns until when the call may take.
+// Due returns the deadline of the call.
 func (c *Call) Due() float64 { return c.due }
 
-// RetryAfter returns how long nodes asked the call to stay away, at last.
-func (c *Call) RetryAfter() float64 { return c.advice }
+// RetryAfter returns the retry-after advice of the latest refusal in milliseconds; 0: none.
+func (c *Call) RetryAfter() float64 { return c.retryAfter }
 
 func (c *Call) end(r Reason) {
-	if !c.over && c.sent == 0 && r == NoNode {
+	if !c.done && c.tries == 0 && r == NoNode {
 		c.shared.Throttle.RecordNoNode()
 	}
-	if !c.over {
-		c.over, c.reason = true, r
+	if !c.done {
+		c.done, c.reason = true, r
 	}
 }
 
-func (c *Call) tries() int {
+func (c *Call) maxTries() int {
 	if c.class.Tries > 0 {
 		return c.class.Tries
 	}
-	return usualTries
+	return defaultTries
 }
 
-// Next returns what is to be done now. Draw, evenly from 0 to 1, is for a pause.
+// Next returns the next step of the call. The draw, uniform in [0, 1), sets the length of the next pause.
 func (c *Call) Next(now, draw float64) Action {
-	c.unheld = draw
-	if c.over {
+	c.pauseDraw = draw
+	if c.done {
 		return Action{Kind: Done, Reason: c.reason}
 	}
 	if now >= c.due {
-		c.fail(now)
+		c.endWithoutResult(now)
 		return Action{Kind: Done, Reason: c.reason}
 	}
-	if c.open > 0 {
+	if c.openTries > 0 {
 		return c.hedge(now)
 	}
-	if c.sent > 0 || c.none > 0 { // something came before
-		if r, stop := c.stops(now); stop {
+	if c.tries > 0 || c.noNodeUntil > 0 { // a try or a search for a node came before
+		if r, final := c.isFinal(now); final {
 			c.end(r)
 			return Action{Kind: Done, Reason: c.reason}
 		}
 	}
-	if at := math.Max(c.notTill, c.none); at > now {
-		if at+c.needs() > c.due {
-			c.fail(now)
+	if at := math.Max(c.pausedUntil, c.noNodeUntil); at > now {
+		if at+c.minTime() > c.due {
+			c.endWithoutResult(now)
 			return Action{Kind: Done, Reason: c.reason}
 		}
 		return Action{Kind: Sleep, At: at}
 	}
-	if c.due-now < c.needs() {
-		if c.sent == 0 {
+	if c.due-now < c.minTime() {
+		if c.tries == 0 {
 			c.end(NoTime)
 		} else {
-			c.fail(now)
+			c.endWithoutResult(now)
 		}
 		return Action{Kind: Done, Reason: c.reason}
 	}
-	return Action{Kind: Try, Due: c.tryDue(now), Retry: c.sent > 0}
+	return Action{Kind: Try, Due: c.tryDeadline(now), Retry: c.tries > 0}
 }
 
-// needs is the least time with which a try is worth it.
-func (c *Call) needs() float64 {
-	return math.Max(leastTry, expectShare*c.shared.Latencies.P5(c.of))
+// minTime returns the least remaining time with which a try is worthwhile.
+func (c *Call) minTime() float64 {
+	return math.Max(minTryMs, minLatencyRatio*c.shared.Latencies.P5(c.classIndex))
 }
 
-// tryDue is until when a try may take: a read leaves time for another, a write has all there is, since nothing may follow a
-// try that was late.
-func (c *Call) tryDue(now float64) float64 {
-	if c.class.Write || c.sent+1 >= c.tries() {
+// tryDeadline returns the deadline of the next try. A read leaves time for another try. A write gets all remaining
+// time, since it must not be retried after a timeout.
+func (c *Call) tryDeadline(now float64) float64 {
+	if c.class.Write || c.tries+1 >= c.maxTries() {
 		return c.due
 	}
 	left := c.due - now
-	if share := tryShare * left; share >= c.shared.Latencies.P95(c.of) && left-share >= c.needs() {
-		return now + share
+	if allotted := tryTimeRatio * left; allotted >= c.shared.Latencies.P95(c.classIndex) && left-allotted >= c.minTime() {
+		return now + allotted
 	}
 	return c.due
 }
 
-// stops tells whether no further try follows the last one.
-func (c *Call) stops(now float64) (r Reason, stop bool) {
-	if c.sent == 0 {
+// isFinal reports whether no try may follow the last one, and the reason with which the call then ends.
+func (c *Call) isFinal(now float64) (r Reason, final bool) {
+	if c.tries == 0 {
 		return None, false
 	}
-	r = c.why()
+	r = c.reasonOfLast()
 	if c.class.Write && r == Unknown {
 		return r, true
 	}
-	if c.stay || c.sent >= c.tries() {
+	if c.noRetry || c.tries >= c.maxTries() {
 		return r, true
 	}
 	return r, false
 }
 
-// why is the reason by the last try.
-func (c *Call) why() Reason {
-	switch c.last {
+// reasonOfLast returns the reason that follows from the outcome of the last try.
+func (c *Call) reasonOfLast() Reason {
+	switch c.lastOutcome {
 	case Refused:
 		return Rejected
 	case Unsent:
@@ -232,29 +234,29 @@
 	return Failure
 }
 
-// fail ends the call for want of time.
-func (c *Call) fail(float64) {
+// endWithoutResult ends the call when too little time is left or when it may not wait for a free node.
+func (c *Call) endWithoutResult(float64) {
 	switch {
-	case c.open > 0 && c.class.Write:
+	case c.openTries > 0 && c.class.Write:
 		c.end(Unknown)
-	case c.open > 0:
+	case c.openTries > 0:
 		c.end(Failure)
-	case c.sent == 0:
+	case c.tries == 0:
 		c.end(NoNode)
 	default:
-		c.end(c.why())
+		c.end(c.reasonOfLast())
 	}
 }
 
-// hedge says what to do while a try is open: one more, once it takes longer than nearly all do.
+// hedge returns the next step while a try is open: a second try once the first takes longer than the 95th percentile.
 func (c *Call) hedge(now float64) Action {
-	if c.class.Write || !c.class.Hedge || c.open > 1 || c.sent >= c.tries() || now < c.none {
+	if c.class.Write || !c.class.Hedge || c.openTries > 1 || c.tries >= c.maxTries() || now < c.noNodeUntil {
 		return Action{Kind: Sleep, At: c.due}
 	}
 	switch {
 	case now < c.hedgeAt:
 		return Action{Kind: Sleep, At: math.Min(c.due, c.hedgeAt)}
-	case c.due-now < c.needs() || !c.shared.RetryBudget.Spend(now):
+	case c.due-now < c.minTime() || !c.shared.RetryBudget.Spend(now):
 		c.hedgeAt = math.Inf(1)
 		return Action{Kind: Sleep, At: c.due}
 	}
@@ -262,69 +264,71 @@
 	return Action{Kind: Try, Due: c.due, Retry: true, Hedge: true}
 }
 
-// TrySent takes it that the try that was wanted went out.
+// TrySent records that the try requested by Next was sent.
 func (c *Call) TrySent(now float64) {
-	c.sent++
-	c.open++
-	c.none = 0
-	if h := c.shared.Latencies.P95(c.of); h > 0 && c.sent == 1 {
-		c.hedgeAt = now + h
+	c.tries++
+	c.openTries++
+	c.noNodeUntil = 0
+	if p95 := c.shared.Latencies.P95(c.classIndex); p95 > 0 && c.tries == 1 {
+		c.hedgeAt = now + p95
 	}
 }
 
-// NoNodeFree takes it that no node can be asked before a time. Few calls may wait for one: the others end at once.
+// NoNodeFree records that no node is free before the given time. The WaitBudget limits the calls that may wait; the
+// others end at once.
 func (c *Call) NoNodeFree(now, until float64) {
-	if c.open > 0 {
-		c.none = math.Max(until, now+1)
-		return // a hedge that finds nobody
+	if c.openTries > 0 {
+		c.noNodeUntil = math.Max(until, now+1)
+		return // a hedge found no free node
 	}
-	if !c.waits && !c.shared.WaitBudget.Spend(now) {
-		c.fail(now)
+	if !c.waitedForNode && !c.shared.WaitBudget.Spend(now) {
+		c.endWithoutResult(now)
 		return
 	}
-	c.waits = true
-	if math.IsInf(until, 1) || until-now > waitMost {
-		until = now + waitMost
+	c.waitedForNode = true
+	if math.IsInf(until, 1) || until-now > maxNodeWaitMs {
+		until = now + maxNodeWaitMs
 	}
-	c.none = math.Max(until, now+1)
+	c.noNodeUntil = math.Max(until, now+1)
 }
 
-// TryEnded takes the end of a try: how, how long it took, and what a refusal said: when to come back, and not to ask elsewhere.
-func (c *Call) TryEnded(now float64, e Outcome, took, wait float64, stay bool) {
-	c.open--
-	if e == Withdrawn {
+// TryEnded records the end of a try: its outcome, the time it took and, for a refusal, the retry-after advice and
+// whether the node asked not to retry elsewhere.
+func (c *Call) TryEnded(now float64, outcome Outcome, took, retryAfter float64, noRetry bool) {
+	c.openTries--
+	if outcome == Withdrawn {
 		return
 	}
-	c.shared.Throttle.RecordTry(now, e)
-	if e == Served {
-		c.shared.Latencies.Add(c.of, took)
-		c.over, c.reason = true, None
+	c.shared.Throttle.RecordTry(now, outcome)
+	if outcome == Served {
+		c.shared.Latencies.Add(c.classIndex, took)
+		c.done, c.reason = true, None
 		return
 	}
-	if c.over || c.open > 0 {
+	if c.done || c.openTries > 0 {
 		return
 	}
-	c.last, c.stay = e, stay && e == Refused
-	if e == Refused {
-		c.advice = wait
+	c.lastOutcome, c.noRetry = outcome, noRetry && outcome == Refused
+	if outcome == Refused {
+		c.retryAfter = retryAfter
 		c.refusals++
 	}
-	if r, stop := c.stops(now); stop {
+	if r, final := c.isFinal(now); final {
 		c.end(r)
 		return
 	}
 	if !c.shared.RetryBudget.Spend(now) {
-		c.end(c.why())
+		c.end(c.reasonOfLast())
 		return
 	}
-	if e == Unsent {
-		return // nothing was asked of anybody: the next node is asked at once
+	if outcome == Unsent {
+		return // no node received the request: retry on the next node without a pause
 	}
-	// Decorrelated jitter: many that were turned away at once don't come back at once.
-	high := math.Min(jitterHigh, math.Max(jitterLow, 3*c.paused))
-	c.paused = jitterLow + (high-jitterLow)*c.unheld
-	c.notTill = now + c.paused
+	// Decorrelated jitter: calls that were refused at the same time do not retry at the same time.
+	maxPause := math.Min(maxPauseMs, math.Max(minPauseMs, 3*c.lastPause))
+	c.lastPause = minPauseMs + (maxPause-minPauseMs)*c.pauseDraw
+	c.pausedUntil = now + c.lastPause
 }
 
-// Cancel ends a call that its caller took back.
+// Cancel ends a call that its caller cancelled.
 func (c *Call) Cancel() { c.end(Cancelled) }
--- a/internal/client/attempt/attempt_test.go
+++ b/internal/client/attempt/attempt_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-func shared() *ClientState {
+func newState() *ClientState {
 	return &ClientState{RetryBudget: &Budget{Ratio: 0.1, tokens: 10}, WaitBudget: &Budget{Ratio: 0.1, tokens: 10}, Throttle: NewThrottle(), Latencies: NewLatencies(1)}
 }
 
-// A call by hand: the end of each try, and what the call comes to.
-func TestCalls(t *testing.T) {
+// Checks the reason and the number of tries of a call for given outcomes of its tries.
+func TestCallOutcomes(t *testing.T) {
 	type try struct {
-		end  Outcome
-		stay bool
+		outcome Outcome
+		noRetry bool
 	}
 	for _, c := range []struct {
 		name   string
@@ -24,21 +24,21 @@
 		reason Reason
 		sent   int
 	}{
-		{"served", Class{}, []try{{end: Served}}, None, 1},
-		{"a read is tried again", Class{}, []try{{end: Failed}, {end: Broken}, {end: Served}}, None, 3},
-		{"three times at most", Class{}, []try{{end: Failed}, {end: Failed}, {end: Failed}}, Failure, 3},
-		{"as often as the class says", Class{Tries: 1}, []try{{end: Failed}}, Failure, 1},
-		{"a write that was refused did not run", Class{Write: true}, []try{{end: Refused}, {end: Served}}, None, 2},
-		{"a write that was not sent", Class{Write: true}, []try{{end: Unsent}, {end: Unsent}, {end: Served}}, None, 3},
-		{"a write whose connection broke", Class{Write: true}, []try{{end: Broken}}, Unknown, 1},
-		{"a write that failed", Class{Write: true}, []try{{end: Refused}, {end: Failed}}, Unknown, 2},
-		{"a write that was late", Class{Write: true}, []try{{end: Late}}, Unknown, 1},
-		{"all refuse", Class{Write: true}, []try{{end: Refused}, {end: Refused}, {end: Refused}}, Rejected, 3},
-		{"not to be passed over", Class{}, []try{{end: Refused, stay: true}}, Rejected, 1},
-		{"no connection", Class{Write: true}, []try{{end: Unsent}, {end: Unsent}, {end: Unsent}}, NoNode, 3},
+		{"served", Class{}, []try{{outcome: Served}}, None, 1},
+		{"a read is retried", Class{}, []try{{outcome: Failed}, {outcome: Broken}, {outcome: Served}}, None, 3},
+		{"at most three tries by default", Class{}, []try{{outcome: Failed}, {outcome: Failed}, {outcome: Failed}}, Failure, 3},
+		{"the class limits the tries", Class{Tries: 1}, []try{{outcome: Failed}}, Failure, 1},
+		{"a refused write is retried", Class{Write: true}, []try{{outcome: Refused}, {outcome: Served}}, None, 2},
+		{"an unsent write is retried", Class{Write: true}, []try{{outcome: Unsent}, {outcome: Unsent}, {outcome: Served}}, None, 3},
+		{"a write is not retried after a broken connection", Class{Write: true}, []try{{outcome: Broken}}, Unknown, 1},
+		{"a write is not retried after a failure", Class{Write: true}, []try{{outcome: Refused}, {outcome: Failed}}, Unknown, 2},
+		{"a write is not retried after a timeout", Class{Write: true}, []try{{outcome: Late}}, Unknown, 1},
+		{"all nodes refuse", Class{Write: true}, []try{{outcome: Refused}, {outcome: Refused}, {outcome: Refused}}, Rejected, 3},
+		{"a node asks not to retry elsewhere", Class{}, []try{{outcome: Refused, noRetry: true}}, Rejected, 1},
+		{"no connection", Class{Write: true}, []try{{outcome: Unsent}, {outcome: Unsent}, {outcome: Unsent}}, NoNode, 3},
 	} {
 		now := 0.0
-		call := New(now, 10000, c.class, 0, shared(), 0.5)
+		call := New(now, 10000, c.class, 0, newState(), 0.5)
 		for i, x := range c.tries {
 			do := call.Next(now, 0.5)
 			if do.Kind == Sleep {
@@ -46,93 +46,94 @@
 				do = call.Next(now, 0.5)
 			}
 			if do.Kind != Try || do.Retry != (i > 0) || do.Due <= now || do.Due > 10000 || c.class.Write && do.Due != 10000 {
-				t.Fatalf("%s: try %d: %+v", c.name, i, do)
+				t.Fatalf("%s: try %d: unexpected action %+v", c.name, i, do)
 			}
 			call.TrySent(now)
 			now += 100
-			call.TryEnded(now, x.end, 100, 250, x.stay)
+			call.TryEnded(now, x.outcome, 100, 250, x.noRetry)
 		}
 		if do := call.Next(now, 0.5); do.Kind != Done || do.Reason != c.reason || call.Tries() != c.sent {
-			t.Errorf("%s: %+v after %d tries", c.name, do, call.Tries())
+			t.Errorf("%s: got %+v after %d tries, want reason %v after %d", c.name, do, call.Tries(), c.reason, c.sent)
 		}
 	}
 }
 
-// What can't be answered in time is not sent, a wait that can't be afforded is not made, and a call that is over stays so.
-func TestTime(t *testing.T) {
-	s := shared()
-	for range usualEvery {
+// Guards against tries and waits that cannot end before the call's deadline, and against a call that goes on after it.
+func TestDeadlines(t *testing.T) {
+	s := newState()
+	for range quantileEveryResponses {
 		s.Latencies.Add(0, 400)
 	}
 	if do := New(0, 150, Class{}, 0, s, 0.5).Next(0, 0); do.Kind != Done || do.Reason != NoTime {
-		t.Errorf("150 ms are left of the usual 400: %+v", do)
+		t.Errorf("150 ms left with a latency of 400 ms: got %+v, want Done with NoTime", do)
 	}
 	c := New(0, 1000, Class{}, 0, s, 0.5)
 	c.NoNodeFree(0, 900)
 	if do := c.Next(0, 0); do.Kind != Done || do.Reason != NoNode {
-		t.Errorf("no node is free until just before the end: %+v", do)
+		t.Errorf("no node is free until shortly before the deadline: got %+v, want Done with NoNode", do)
 	}
 	c = New(0, 10000, Class{}, 0, s, 0.5)
 	c.NoNodeFree(0, 200)
 	if do := c.Next(0, 0); do.Kind != Sleep || do.At != 200 {
-		t.Errorf("no node is free for a while: %+v", do)
+		t.Errorf("no node is free for 200 ms: got %+v, want a sleep until 200", do)
 	}
 	c = New(0, 2000, Class{}, 0, s, 0.5)
 	if do := c.Next(0, 0); do.Due != 1200 {
-		t.Errorf("a read leaves time for another try: %+v", do)
+		t.Errorf("try of a read with 2,000 ms left: got %+v, want a deadline of 1,200", do)
 	}
 	c.TrySent(0)
 	if do := c.Next(2000, 0); do.Kind != Done || do.Reason != Failure {
-		t.Errorf("the end of its time: %+v", do)
+		t.Errorf("read at its deadline: got %+v, want Done with Failure", do)
 	}
 	c.TryEnded(2500, Served, 2500, 0, false)
 	c = New(0, 2000, Class{Write: true}, 0, s, 0.5)
 	c.TrySent(0)
 	c.Cancel()
 	if do := c.Next(10, 0); do.Reason != Cancelled {
-		t.Errorf("cancelled: %+v", do)
+		t.Errorf("cancelled call: got %+v, want reason Cancelled", do)
 	}
 }
 
-// A read is hedged once it takes longer than nearly all do, a write never; the one that is late does not end the call.
+// A read is hedged once it takes longer than the 95th percentile, a write never; a failed hedge does not end the call
+// while the first try is open.
 func TestHedge(t *testing.T) {
-	s := shared()
-	for range usualEvery {
+	s := newState()
+	for range quantileEveryResponses {
 		s.Latencies.Add(0, 100)
 	}
 	c := New(0, 10000, Class{Hedge: true}, 0, s, 0.5)
 	c.Next(0, 0)
 	c.TrySent(0)
-	high := s.Latencies.P95(0)
-	if do := c.Next(0, 0); do.Kind != Sleep || do.At != high {
-		t.Errorf("%+v, want a sleep until %v", do, high)
+	p95 := s.Latencies.P95(0)
+	if do := c.Next(0, 0); do.Kind != Sleep || do.At != p95 {
+		t.Errorf("got %+v, want a sleep until %v", do, p95)
 	}
-	do := c.Next(high, 0)
+	do := c.Next(p95, 0)
 	if do.Kind != Try || !do.Hedge || !do.Retry {
-		t.Errorf("%+v, want a hedge", do)
+		t.Errorf("got %+v, want a hedge", do)
 	}
-	c.TrySent(high)
-	c.TryEnded(high+50, Failed, 50, 0, false)
-	if do := c.Next(high+50, 0); do.Kind != Sleep {
-		t.Errorf("the first try is still out: %+v", do)
+	c.TrySent(p95)
+	c.TryEnded(p95+50, Failed, 50, 0, false)
+	if do := c.Next(p95+50, 0); do.Kind != Sleep {
+		t.Errorf("first try still open: got %+v, want a sleep", do)
 	}
-	c.TryEnded(high+60, Served, high+60, 0, false)
-	if do := c.Next(high+60, 0); do.Kind != Done || do.Reason != None {
-		t.Errorf("%+v", do)
+	c.TryEnded(p95+60, Served, p95+60, 0, false)
+	if do := c.Next(p95+60, 0); do.Kind != Done || do.Reason != None {
+		t.Errorf("after the first try was served: got %+v, want Done with None", do)
 	}
 	w := New(0, 10000, Class{Write: true, Hedge: true}, 0, s, 0.5)
 	w.TrySent(0)
 	if do := w.Next(5000, 0); do.Kind != Sleep {
-		t.Errorf("a write is hedged: %+v", do)
+		t.Errorf("open write: got %+v, want a sleep without a hedge", do)
 	}
 }
 
-// Whatever nodes do, tries that are not first ones stay within the budget, a write runs on after no end that proves nothing, a
-// call ends by its due time, and once it is over it wants nothing more.
-func TestCallsKeepTheirWord(t *testing.T) {
+// For any behavior of the nodes, retries and hedges stay within the budget, a write is not retried once it may have
+// run, a call ends by its deadline, and an ended call stays ended with the same reason.
+func TestCallInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &ClientState{RetryBudget: NewBudget(), WaitBudget: NewBudget(), Throttle: NewThrottle(), Latencies: NewLatencies(1)}
-		now, first, again := 0.0, 0, 0
+		now, first, retries := 0.0, 0, 0
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
 			write := rapid.Bool().Draw(t, "write")
 			due := now + rapid.Float64Range(1, 5000).Draw(t, "time")
@@ -140,12 +141,12 @@
 			unknown := false
 			for step := 0; ; step++ {
 				if step > 200 {
-					t.Fatal("it does not end")
+					t.Fatal("the call does not end within 200 steps")
 				}
 				do := c.Next(now, rapid.Float64Range(0, 1).Draw(t, "pause"))
 				if do.Kind == Done {
 					if again := c.Next(now+1, 0); again.Kind != Done || again.Reason != do.Reason {
-						t.Fatalf("%+v, and then %+v", do, again)
+						t.Fatalf("an ended call returned %+v, then %+v", do, again)
 					}
 					if write && unknown && do.Reason != Unknown && do.Reason != None {
 						t.Fatalf("a write that may have run ends as %v", do.Reason)
@@ -154,14 +155,14 @@
 				}
 				if do.Kind == Try {
 					if now >= due || do.Due > due || unknown && write {
-						t.Fatalf("%+v at %v of %v, unknown %v", do, now, due, unknown)
+						t.Fatalf("action %+v at time %v with deadline %v, may have run: %v", do, now, due, unknown)
 					}
 					if rapid.IntRange(0, 4).Draw(t, "none") == 0 {
 						c.NoNodeFree(now, now+rapid.Float64Range(0, 2000).Draw(t, "until"))
 						continue
 					}
 					if do.Retry {
-						again++
+						retries++
 					} else {
 						first++
 					}
@@ -182,54 +183,56 @@
 				}
 			}
 		}
-		if most := budgetFirst + 0.1*float64(first+60) + 1 + now/1000; float64(again) > most {
-			t.Fatalf("%d tries beside %d first ones in %.0f ms, %v at most", again, first, now, most)
+		if limit := initialBudgetTokens + 0.1*float64(first+60) + 1 + now/1000; float64(retries) > limit {
+			t.Fatalf("%d retries and hedges with %d first tries in %.0f ms, want at most %v", retries, first, now, limit)
 		}
 	})
 }
 
-// A budget is a share and a trickle; throttling lets most through while nodes take half, and few once they take none.
+// A budget allows a share of the calls plus a minimum rate. A throttle lets all calls through while nodes accept
+// them, and few when they refuse all.
 func TestBudgetAndThrottle(t *testing.T) {
 	b := NewBudget()
-	taken := 0
+	spent := 0
 	for i := range 5000 {
 		b.Deposit(float64(i) * 10)
 		for b.Spend(float64(i) * 10) {
-			taken++
+			spent++
 		}
 	}
-	if taken < 350 || taken > 520 {
-		t.Errorf("%d of 5,000 are tried again, want about 400 and the trickle", taken)
+	if spent < 350 || spent > 520 {
+		t.Errorf("%d retries for 5,000 calls, want about 400 plus the minimum rate", spent)
 	}
 	for _, c := range []struct {
-		end       Outcome
+		outcome   Outcome
 		low, high int
 	}{{Served, 1000, 1000}, {Refused, 20, 250}, {Failed, 1000, 1000}} {
 		th, sent := NewThrottle(), 0
 		for i := range 1000 {
 			if !th.ShouldReject(float64(i)*10, float64(i*617%1000)/1000) {
 				sent++
-				th.RecordTry(float64(i)*10, c.end)
+				th.RecordTry(float64(i)*10, c.outcome)
 			}
 		}
 		if sent < c.low || sent > c.high {
-			t.Errorf("%v: %d of 1,000 go out", c.end, sent)
+			t.Errorf("outcome %v: %d of 1,000 calls are sent, want %d to %d", c.outcome, sent, c.low, c.high)
 		}
 	}
-	// Calls under way were not turned away: a client that begins with many holds none back. Those for which no node was free were.
-	th, held := NewThrottle(), 0
+	// Calls in flight do not count as refused: a client that starts with many calls rejects none. Calls without a
+	// free node do count.
+	th, rejected := NewThrottle(), 0
 	for range 500 {
 		if th.ShouldReject(0, 0) {
-			held++
+			rejected++
 		}
 	}
-	if held > 0 {
-		t.Errorf("%d calls are held back before anything was heard", held)
+	if rejected > 0 {
+		t.Errorf("%d calls are rejected before any try ended, want 0", rejected)
 	}
 	for range 100 {
 		th.RecordNoNode()
 	}
 	if !th.ShouldReject(0, 0.5) {
-		t.Error("none is held back though no node is ever free")
+		t.Error("no call is rejected although no node is ever free")
 	}
 }
--- a/internal/client/attempt/limits.go
+++ b/internal/client/attempt/limits.go
@@ -6,127 +6,130 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Budget bounds the tries of a client that are not first ones: a share of the first ones of the last while, and a trickle for
-// clients that ask for little.
+// Budget limits the retries and hedges of a client to a share of its recent calls plus a minimum rate for clients
+// with few calls.
 type Budget struct {
-	Ratio        float64 // of first tries
-	MinPerSecond float64 // a second
+	Ratio        float64 // tokens added per call
+	MinPerSecond float64 // tokens added per second
 
-	tokens, at float64
+	tokens, at float64 // tokens as of the time at
 }
 
-// Figures of budgets.
+// Parameters of budgets.
 const (
-	budgetMost   = 100.0
-	budgetFirst  = 10.0 // of a new client, which has done nothing for it yet
-	budgetWindow = 10e3 // tokens that are not used fade over so long
+	maxBudgetTokens     = 100.0
+	initialBudgetTokens = 10.0 // of a new client, which has made no deposits yet
+	budgetDecayMs       = 10e3 // time constant with which unused tokens decay
 )
 
-// NewBudget returns the usual budget: a tenth, and one in five seconds.
-func NewBudget() *Budget { return &Budget{Ratio: 0.08, MinPerSecond: 0.2, tokens: budgetFirst} }
+// NewBudget returns the default budget: 0.08 tokens per call and one token per 5 s.
+func NewBudget() *Budget { return &Budget{Ratio: 0.08, MinPerSecond: 0.2, tokens: initialBudgetTokens} }
 
-func (b *Budget) age(now float64) {
-	dt := math.Max(0, now-b.at)
-	b.tokens = math.Min(budgetMost, b.tokens*math.Exp(-dt/budgetWindow)+b.MinPerSecond*dt/1000)
+func (b *Budget) decay(now float64) {
+	elapsedMs := math.Max(0, now-b.at)
+	b.tokens = math.Min(maxBudgetTokens, b.tokens*math.Exp(-elapsedMs/budgetDecayMs)+b.MinPerSecond*elapsedMs/1000)
 	b.at = math.Max(b.at, now)
 }
 
-// Deposit takes a first try.
+// Deposit adds the tokens of one call.
 func (b *Budget) Deposit(now float64) {
-	b.age(now)
-	b.tokens = math.Min(budgetMost, b.tokens+b.Ratio)
+	b.decay(now)
+	b.tokens = math.Min(maxBudgetTokens, b.tokens+b.Ratio)
 }
 
-// Spend takes a token for another try, if there is one.
+// Spend takes one token and reports whether there was one.
 func (b *Budget) Spend(now float64) bool {
-	if b.age(now); b.tokens < 1 {
+	if b.decay(now); b.tokens < 1 {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// Throttle is the adaptive throttling of a client (Beyer and others, Site Reliability Engineering, 2016, chapter 21): once
-// nodes turn most away it holds calls back by chance, and a few go on to see.
+// Throttle is adaptive client-side throttling (Beyer and others, Site Reliability Engineering, 2016, chapter 21):
+// once nodes refuse most requests, it rejects calls at random and lets a few through to detect recovery.
 type Throttle struct {
-	K, Window float64
-	Slack     float64 // requests that may be turned away before it begins
+	K      float64 // rejects only when there are more than K times as many requests as accepts
+	Window float64 // time constant of the counts' decay, in milliseconds
+	Slack  float64 // requests beyond K times the accepts before it rejects any
 
-	asked, accepted, at float64
+	requests, accepts, at float64 // decayed counts as of the time at
 }
 
-// RecordNoNode takes a call for which no node was free: nodes turned it away beforehand, by their credit.
-func (t *Throttle) RecordNoNode() { t.asked++ }
+// RecordNoNode records a call for which no node was free: by their credit, the nodes refused it beforehand.
+func (t *Throttle) RecordNoNode() { t.requests++ }
 
-// NewThrottle returns the usual one: at half turned away it begins, over half a minute.
+// NewThrottle returns the default throttle, which begins when half of the requests of about the last 30 s were refused.
 func NewThrottle() *Throttle { return &Throttle{K: 2, Window: 30e3, Slack: 10} }
 
-func (t *Throttle) age(now float64) {
-	f := math.Exp(-math.Max(0, now-t.at) / t.Window)
-	t.asked, t.accepted, t.at = t.asked*f, t.accepted*f, math.Max(t.at, now)
+func (t *Throttle) decay(now float64) {
+	factor := math.Exp(-math.Max(0, now-t.at) / t.Window)
+	t.requests, t.accepts, t.at = t.requests*factor, t.accepts*factor, math.Max(t.at, now)
 }
 
-// ShouldReject tells whether a call is held back; the draw is evenly from 0 to 1. One that is counts as asked, so that clients that are
-// held back go on to be. One that is not counts with the end of its tries: what is under way has not been turned away.
+// ShouldReject reports whether a call is rejected; the draw is uniform in [0, 1). A rejected call counts as a
+// request, so that a throttled client stays throttled. Any other call counts when its tries end, since a call in
+// flight has not been refused.
 func (t *Throttle) ShouldReject(now, draw float64) bool {
-	t.age(now)
-	if p := math.Max(0, (t.asked-t.K*t.accepted-t.Slack)/(t.asked+1)); draw >= p {
+	t.decay(now)
+	if p := math.Max(0, (t.requests-t.K*t.accepts-t.Slack)/(t.requests+1)); draw >= p {
 		return false
 	}
-	t.asked++
+	t.requests++
 	return true
 }
 
-// RecordTry takes the end of a try; all but refusals and lost connections show that nodes work.
-func (t *Throttle) RecordTry(now float64, e Outcome) {
-	t.age(now)
-	t.asked++
-	if e == Served || e == Failed || e == Late {
-		t.accepted++
+// RecordTry records the end of a try. Outcomes other than refusals and connection failures count as accepted.
+func (t *Throttle) RecordTry(now float64, outcome Outcome) {
+	t.decay(now)
+	t.requests++
+	if outcome == Served || outcome == Failed || outcome == Late {
+		t.accepts++
 	}
 }
 
-// Latencies knows how long answers usually take, by class.
+// Latencies estimates percentiles of the answer times by class.
 type Latencies struct {
-	classes []*hdrhistogram.Histogram
-	low     []float64
-	high    []float64
-	n       []int
+	histograms []*hdrhistogram.Histogram
+	p5         []float64
+	p95        []float64
+	counts     []int
 }
 
-// Figures of latencies: quantiles are taken anew with every usualEvery answers and old ones halved by starting over.
+// Parameters of latencies: the percentiles are updated after every quantileEveryResponses answers, and a histogram is
+// reset once it holds resetAfterResponses.
 const (
-	usualEvery = 64
-	usualMost  = 4096
-	lowAt      = 5.0
-	highAt     = 95.0
-	longest    = 3600e3
+	quantileEveryResponses = 64
+	resetAfterResponses    = 4096
+	lowPercentile          = 5.0
+	highPercentile         = 95.0
+	maxLatencyMs           = 3600e3
 )
 
-// NewLatencies returns one for so many classes.
+// NewLatencies returns empty estimates for the given number of classes.
 func NewLatencies(classes int) *Latencies {
-	u := &Latencies{low: make([]float64, classes), high: make([]float64, classes), n: make([]int, classes)}
+	l := &Latencies{p5: make([]float64, classes), p95: make([]float64, classes), counts: make([]int, classes)}
 	for range classes {
-		u.classes = append(u.classes, hdrhistogram.New(1, longest, 2))
+		l.histograms = append(l.histograms, hdrhistogram.New(1, maxLatencyMs, 2))
 	}
-	return u
+	return l
 }
 
-// Add takes how long an answer took.
-func (u *Latencies) Add(class int, took float64) {
-	h := u.classes[class]
-	h.RecordValue(int64(math.Min(longest, math.Max(1, took))))
-	if u.n[class]++; u.n[class]%usualEvery != 0 {
+// Add records the time that an answer took.
+func (l *Latencies) Add(class int, took float64) {
+	h := l.histograms[class]
+	h.RecordValue(int64(math.Min(maxLatencyMs, math.Max(1, took))))
+	if l.counts[class]++; l.counts[class]%quantileEveryResponses != 0 {
 		return
 	}
-	u.low[class], u.high[class] = float64(h.ValueAtQuantile(lowAt)), float64(h.ValueAtQuantile(highAt))
-	if h.TotalCount() >= usualMost {
+	l.p5[class], l.p95[class] = float64(h.ValueAtQuantile(lowPercentile)), float64(h.ValueAtQuantile(highPercentile))
+	if h.TotalCount() >= resetAfterResponses {
 		h.Reset()
 	}
 }
 
-// P5 returns the latency that a twentieth of the answers had at most; 0: it is not known.
-func (u *Latencies) P5(class int) float64 { return u.low[class] }
+// P5 returns the 5th percentile of the latency; 0: not known yet.
+func (l *Latencies) P5(class int) float64 { return l.p5[class] }
 
-// P95 returns the latency that all but a twentieth had at most; 0: it is not known.
-func (u *Latencies) P95(class int) float64 { return u.high[class] }
+// P95 returns the 95th percentile of the latency; 0: not known yet.
+func (l *Latencies) P95(class int) float64 { return l.p95[class] }
