--- a/internal/client/attempt/attempt.go
+++ b/internal/client/attempt/attempt.go
@@ -322,7 +322,7 @@
 		return
 	}
 	if outcome == Unsent {
-		return // no node received the request: retry on the next node without a pause
+		return // no node accepted the request: retry on the next node without a pause
 	}
 	// Decorrelated jitter: calls that were refused at the same time do not retry at the same time.
 	maxPause := math.Min(maxPauseMs, math.Max(minPauseMs, 3*c.lastPause))
--- a/internal/client/connpool/connpool.go
+++ b/internal/client/connpool/connpool.go
@@ -1,106 +1,108 @@
-// Package connpool decides about the connections of a client: which one a request takes, when a new one is made, and when one is
-// closed. Connects are budgeted over all nodes, so that the death of some makes no stampede on the rest. It is state
-// without I/O and without a clock. Times are milliseconds.
+// Package connpool manages the connections of a client: it decides which connection a request uses, when a new one is
+// made and when one is closed. A token bucket limits new connections over all nodes, so that the failure of some
+// nodes does not cause a burst of connects to the others. The package does no I/O and reads no clock: the caller
+// passes the time. Times are milliseconds.
 package connpool
 
 import (
 	"math"
 )
 
-// Limits of connections.
+// Limits are the limits of a connection pool.
 type Limits struct {
-	PerNode           int     // connections to one node
-	Total             int     // to all
-	StreamsPerConn    int     // requests on one at a time: 1 but for HTTP/2
-	IdleMs            float64 // one that was idle for so long is closed
-	MaxAgeMs          float64 // one that is so old carries no new request
-	ConnectsPerSecond float64 // new ones a second in the long run, over all nodes
-	ConnectBurst      float64 // at once
+	PerNode           int     // maximum connections to one node
+	Total             int     // maximum connections to all nodes
+	StreamsPerConn    int     // maximum concurrent requests on a connection: 1 unless HTTP/2
+	IdleMs            float64 // idle time after which a connection is closed
+	MaxAgeMs          float64 // age from which a connection takes no new requests
+	ConnectsPerSecond float64 // sustained rate of new connections over all nodes
+	ConnectBurst      float64 // maximum new connections at once
 }
 
-// DefaultLimitsNoReuse are the usual limits where each request has a connection of its own.
+// DefaultLimitsNoReuse returns the default limits for protocols that use a new connection for each request.
 func DefaultLimitsNoReuse() Limits {
 	l := DefaultLimits(1)
 	l.ConnectsPerSecond, l.ConnectBurst = 2000, 512
 	return l
 }
 
-// DefaultLimits are the usual limits.
+// DefaultLimits returns the default limits for the given number of concurrent requests per connection.
 func DefaultLimits(streams int) Limits {
 	return Limits{PerNode: 64, Total: 512, StreamsPerConn: streams, IdleMs: 20e3, MaxAgeMs: 600e3, ConnectsPerSecond: 50, ConnectBurst: 40}
 }
 
-// Conn is a connection as the pools know it.
+// Conn is the state of a connection in the pool.
 type Conn struct {
-	ID   int
-	Node int
-
-	opened, idle float64
-	up           bool // it is connected
-	busy         int  // requests on it
-	streams      int  // at most
-	drains       bool // no new request
+	ID   int // unique within the pool
+	Node int // ID of the node that it leads to
+
+	openedAt, idleSince float64
+	connected           bool // the connect has completed
+	inFlight            int  // requests on it, or waiting for its connect
+	maxStreams          int  // maximum concurrent requests
+	draining            bool // it takes no new requests
 }
 
-// InFlight returns how many requests are on it.
-func (c *Conn) InFlight() int { return c.busy }
+// InFlight returns the number of requests on the connection.
+func (c *Conn) InFlight() int { return c.inFlight }
 
-// Pool are the connections of a client.
+// Pool is the set of connections of a client.
 type Pool struct {
-	limits Limits
-	byNode map[int][]*Conn
-	count  int
-	nextID int
-	tokens float64
-	at     float64
+	limits     Limits
+	byNode     map[int][]*Conn
+	count      int // connections to all nodes
+	nextID     int
+	tokens     float64 // of the token bucket for connects, as of refilledAt
+	refilledAt float64
 }
 
-// New returns pools without connections.
+// New returns a pool without connections.
 func New(l Limits) *Pool { return &Pool{limits: l, byNode: map[int][]*Conn{}, tokens: l.ConnectBurst} }
 
-// ActionKind says what a request is to do.
+// ActionKind says how a request gets its connection.
 type ActionKind uint8
 
-// What a request is to do.
+// The kinds of actions.
 const (
-	Use     ActionKind = iota // take the connection
-	Connect                   // make the connection, then call MarkConnected or Remove
-	Wait                      // until a connection is free, or Action.At
+	Use     ActionKind = iota // use Action.Conn
+	Connect                   // connect Action.Conn, then call MarkConnected or Remove
+	Wait                      // wait until a connection is free or until Action.At
 )
 
-// Action is what a request is to do.
+// Action is the answer to a request for a connection.
 type Action struct {
 	Kind ActionKind
 	Conn *Conn
-	At   float64
+	At   float64 // of Wait; infinity: until a connection is free
 }
 
-// Len returns how many connections there are, those under way included.
+// Len returns the number of connections, including those being connected.
 func (p *Pool) Len() int { return p.count }
 
-// NodeLen returns how many there are to a node.
+// NodeLen returns the number of connections to a node.
 func (p *Pool) NodeLen(node int) int { return len(p.byNode[node]) }
 
 func (p *Pool) refill(now float64) {
-	p.tokens = math.Min(p.limits.ConnectBurst, p.tokens+math.Max(0, now-p.at)*p.limits.ConnectsPerSecond/1000)
-	p.at = math.Max(p.at, now)
+	p.tokens = math.Min(p.limits.ConnectBurst, p.tokens+math.Max(0, now-p.refilledAt)*p.limits.ConnectsPerSecond/1000)
+	p.refilledAt = math.Max(p.refilledAt, now)
 }
 
-// Acquire returns what a request for a node is to do. The freshest free connection is taken, so that the others can grow old.
+// Acquire returns how a request to a node gets a connection. It takes the most recently used free connection, so that
+// the others can reach their idle limit.
 func (p *Pool) Acquire(now float64, node int) Action {
 	p.refill(now)
 	var best *Conn
-	under := 0
+	connectingStreams := 0
 	for _, c := range p.byNode[node] {
-		if !c.up && !c.drains {
-			under += c.streams
+		if !c.connected && !c.draining {
+			connectingStreams += c.maxStreams
 		}
-		if c.up && !c.drains && c.busy < c.streams && now-c.opened < p.limits.MaxAgeMs && (best == nil || c.idle > best.idle) {
+		if c.connected && !c.draining && c.inFlight < c.maxStreams && now-c.openedAt < p.limits.MaxAgeMs && (best == nil || c.idleSince > best.idleSince) {
 			best = c
 		}
 	}
 	if best != nil {
-		best.busy++
+		best.inFlight++
 		return Action{Kind: Use, Conn: best}
 	}
 	switch {
@@ -110,49 +112,51 @@
 		return Action{Kind: Wait, At: now + (1-p.tokens)/p.limits.ConnectsPerSecond*1000}
 	}
 	p.tokens--
-	c := &Conn{ID: p.nextID, Node: node, opened: now, idle: now, busy: 1, streams: max(1, p.limits.StreamsPerConn)}
+	c := &Conn{ID: p.nextID, Node: node, openedAt: now, idleSince: now, inFlight: 1, maxStreams: max(1, p.limits.StreamsPerConn)}
 	p.nextID++
 	p.count++
 	p.byNode[node] = append(p.byNode[node], c)
 	return Action{Kind: Connect, Conn: c}
 }
 
-// MarkConnected takes it that a connection was made; streams is how many requests the node takes on it, 0: as many as the limits say.
+// MarkConnected records that a connection is connected. Streams is the number of concurrent requests that the node
+// allows on it; 0: as many as the limits allow.
 func (p *Pool) MarkConnected(now float64, c *Conn, streams int) {
-	c.up, c.idle = true, now
+	c.connected, c.idleSince = true, now
 	if streams > 0 {
-		c.streams = min(c.streams, streams)
+		c.maxStreams = min(c.maxStreams, streams)
 	}
 }
 
-// Release takes it that a request on a connection is over.
+// Release records the end of a request on a connection.
 func (p *Pool) Release(now float64, c *Conn) {
-	c.busy--
-	c.idle = now
+	c.inFlight--
+	c.idleSince = now
 }
 
-// Drain keeps new requests off a connection; what is on it goes on. It tells whether it can be closed at once.
-func (p *Pool) Drain(c *Conn) (closes bool) {
-	c.drains = true
-	return c.busy == 0
+// Drain stops new requests on a connection; requests in flight continue. It reports whether the connection can be
+// closed at once.
+func (p *Pool) Drain(c *Conn) (canClose bool) {
+	c.draining = true
+	return c.inFlight == 0
 }
 
-// DrainNode keeps new requests off all connections of a node and returns those that can be closed at once.
-func (p *Pool) DrainNode(node int) (closes []*Conn) {
+// DrainNode stops new requests on all connections of a node and returns the connections that can be closed at once.
+func (p *Pool) DrainNode(node int) (closable []*Conn) {
 	for _, c := range p.byNode[node] {
 		if p.Drain(c) {
-			closes = append(closes, c)
+			closable = append(closable, c)
 		}
 	}
-	return closes
+	return closable
 }
 
-// ShouldClose tells whether a connection is to be closed now that nothing is on it.
+// ShouldClose reports whether a connection must be closed: it has no requests and is draining or too old.
 func (p *Pool) ShouldClose(now float64, c *Conn) bool {
-	return c.busy == 0 && (c.drains || now-c.opened >= p.limits.MaxAgeMs)
+	return c.inFlight == 0 && (c.draining || now-c.openedAt >= p.limits.MaxAgeMs)
 }
 
-// Remove takes it that a connection is closed, or was not had.
+// Remove records that a connection was closed or that its connect failed.
 func (p *Pool) Remove(c *Conn) {
 	all := p.byNode[c.Node]
 	for i, o := range all {
@@ -167,20 +171,21 @@
 	}
 }
 
-// IdleExpired returns connections that were idle for too long, to be closed; and when to ask again.
-func (p *Pool) IdleExpired(now float64) (out []*Conn, at float64) {
-	at = math.Inf(1)
+// IdleExpired returns the connections whose idle time has expired, which the caller must close, and the time of the
+// next expiry.
+func (p *Pool) IdleExpired(now float64) (expired []*Conn, next float64) {
+	next = math.Inf(1)
 	for _, all := range p.byNode {
 		for _, c := range all {
-			if !c.up || c.busy > 0 {
+			if !c.connected || c.inFlight > 0 {
 				continue
 			}
-			if end := c.idle + p.limits.IdleMs; end <= now {
-				out = append(out, c)
+			if end := c.idleSince + p.limits.IdleMs; end <= now {
+				expired = append(expired, c)
 			} else {
-				at = math.Min(at, end)
+				next = math.Min(next, end)
 			}
 		}
 	}
-	return out, at
+	return expired, next
 }
--- a/internal/client/connpool/connpool_test.go
+++ b/internal/client/connpool/connpool_test.go
@@ -7,48 +7,48 @@
 	"pgregory.net/rapid"
 )
 
-// By hand: a connection is made, shared as far as it may be, drained, and closed when nothing is on it.
-func TestLifeOfAConnection(t *testing.T) {
+// A connection is made, shared up to its stream limit, drained, and closed when its last request ends.
+func TestConnectionLifecycle(t *testing.T) {
 	p := New(Limits{PerNode: 2, Total: 3, StreamsPerConn: 2, IdleMs: 100, MaxAgeMs: 1000, ConnectsPerSecond: 1, ConnectBurst: 3})
 	a := p.Acquire(0, 7)
 	if a.Kind != Connect {
-		t.Fatalf("%+v", a)
+		t.Fatalf("first request: got %+v, want Connect", a)
 	}
 	p.MarkConnected(1, a.Conn, 0)
 	if b := p.Acquire(2, 7); b.Kind != Use || b.Conn != a.Conn {
-		t.Errorf("the second stream: %+v", b)
+		t.Errorf("second request: got %+v, want the first connection", b)
 	}
 	c := p.Acquire(3, 7)
 	if c.Kind != Connect || p.NodeLen(7) != 2 {
-		t.Errorf("the third request: %+v", c)
+		t.Errorf("third request: got %+v with %d connections to the node, want Connect and 2", c, p.NodeLen(7))
 	}
-	p.MarkConnected(4, c.Conn, 1) // the node takes one at a time there
+	p.MarkConnected(4, c.Conn, 1) // the node allows one request at a time on it
 	if d := p.Acquire(5, 7); d.Kind != Wait || !math.IsInf(d.At, 1) {
-		t.Errorf("all connections of the node are full: %+v", d)
+		t.Errorf("all connections of the node in use: got %+v, want Wait without an end", d)
 	}
 	if p.Drain(a.Conn) || p.ShouldClose(6, a.Conn) {
-		t.Error("a connection with requests on it is closed")
+		t.Error("a draining connection with requests in flight can be closed")
 	}
 	p.Release(7, a.Conn)
 	p.Release(8, a.Conn)
 	if !p.ShouldClose(9, a.Conn) {
-		t.Error("a drained connection stays")
+		t.Error("a drained connection without requests should not be closed")
 	}
 	p.Remove(a.Conn)
 	p.Release(10, c.Conn)
 	if old, at := p.IdleExpired(50); len(old) != 0 || at != 110 {
-		t.Errorf("%v are old, the next at %v", old, at)
+		t.Errorf("IdleExpired(50) = %v, %v, want none and 110", old, at)
 	}
 	if old, _ := p.IdleExpired(110); len(old) != 1 {
-		t.Errorf("%v are old", old)
+		t.Errorf("IdleExpired(110) = %v, want one connection", old)
 	}
 	if e := p.Acquire(1004, 7); e.Kind != Connect || !p.ShouldClose(1004, c.Conn) {
-		t.Errorf("a connection past its age is used: %+v", e)
+		t.Errorf("connection past its maximum age: got %+v, want Connect and the old connection closed", e)
 	}
 }
 
-// The death of nodes makes no stampede: connects are within the budget, whoever asks.
-func TestConnectsAreBudgeted(t *testing.T) {
+// Guards against a burst of connects when nodes fail: new connections stay within the token bucket.
+func TestConnectRateIsLimited(t *testing.T) {
 	p := New(DefaultLimits(1))
 	made, next := 0, 0.0
 	for now := 0.0; now < 10e3; now++ {
@@ -59,18 +59,18 @@
 			switch do := p.Acquire(now, int(now)%5); do.Kind {
 			case Connect:
 				made++
-				p.Remove(do.Conn) // it dies at once
+				p.Remove(do.Conn) // the connect fails at once
 			case Wait:
 				next = do.At
 			}
 		}
 	}
 	if want := 40 + 500; made > want || made < want-20 {
-		t.Errorf("%d connects in 10 s, want about %d", made, want)
+		t.Errorf("%d connects in 10 s, want %d or up to 20 less", made, want)
 	}
 }
 
-// Whatever happens, no limit is passed, no connection carries more than it may, and what is known is what there is.
+// For any sequence of events, no limit is exceeded and the pool counts the existing connections.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{PerNode: rapid.IntRange(1, 4).Draw(t, "node"), Total: rapid.IntRange(1, 8).Draw(t, "all"), StreamsPerConn: rapid.IntRange(1, 3).Draw(t, "streams"),
@@ -88,7 +88,7 @@
 					under[do.Conn] = true
 				case Use:
 					if up[do.Conn]++; up[do.Conn] > l.StreamsPerConn || do.Conn.Node != node || under[do.Conn] {
-						t.Fatalf("%+v has %d", do.Conn, up[do.Conn])
+						t.Fatalf("connection %+v for node %d is used with %d requests in flight, limit %d", do.Conn, node, up[do.Conn], l.StreamsPerConn)
 					}
 					on = append(on, do.Conn)
 				}
@@ -123,7 +123,7 @@
 				}
 			}
 			if p.Len() != len(up)+len(under) || p.Len() > l.Total || p.NodeLen(node) > l.PerNode {
-				t.Fatalf("%d connections, want %d and %d under way", p.Len(), len(up), len(under))
+				t.Fatalf("%d connections, want %d connected and %d being connected", p.Len(), len(up), len(under))
 			}
 		}
 	})
