--- a/internal/client/wire/wire.go
+++ b/internal/client/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire is the client's side of HTTP/1.1 and uwsgi towards a node: requests as bytes, and a parser of answers that is fed
-// bytes and knows no socket. An answer of uwsgi has the form of HTTP (uwsgi protocol; RFC 9112).
+// Package wire implements the client side of HTTP/1.1 and uwsgi: it encodes requests to bytes and parses the answers
+// of nodes from bytes that the caller has read. It does no I/O. An answer over uwsgi has the format of HTTP/1.1
+// (uwsgi protocol; RFC 9112).
 package wire
 
 import (
@@ -11,64 +12,65 @@
 	"strings"
 )
 
-// Request is a try, as it goes out.
+// Request is one try as it is sent to a node.
 type Request struct {
 	Class   string
-	ID      string // 16 hexadecimal digits
-	Caller  int    // number of the client
-	Sent    float64
-	Wait    float64 // milliseconds that the client waits from Sent on
-	KB      float64 // of memory that it takes
+	ID      string  // 16 hexadecimal digits
+	Caller  int     // number of the client
+	Sent    float64 // time of sending, in milliseconds since the Unix epoch
+	Wait    float64 // milliseconds that the client waits for the answer, counted from Sent
+	KB      float64 // memory that the request needs, in KB
 	Rank    float64 // 0 to 1
-	Key     string  // of what it repeats, or empty
-	Token   string  // of the operation, or empty
-	Retry   bool    // a try that is not the first
+	Key     string  // value of Req-Key; empty: not sent
+	Token   string  // idempotency token of the operation; empty: not sent
+	Retry   bool    // the try is a retry or a hedge
 	Body    []byte
-	Subject string // for logs at the node's side
+	Subject string // not sent
 }
 
-// fields gives the fields of a request in order.
-func (r *Request) fields(each func(name, value string)) {
-	each("Req-Id", r.ID)
-	each("Req-Time", strconv.FormatFloat(r.Sent, 'f', 3, 64))
-	each("Req-From", strconv.Itoa(r.Caller))
-	each("Req-Wait-Ms", strconv.FormatFloat(r.Wait, 'f', 3, 64))
-	each("Req-Kb", strconv.FormatFloat(r.KB, 'f', 1, 64))
-	each("Req-Rank", strconv.FormatFloat(r.Rank, 'f', 4, 64))
+// fields calls add for each header field of the request in order.
+func (r *Request) fields(add func(name, value string)) {
+	add("Req-Id", r.ID)
+	add("Req-Time", strconv.FormatFloat(r.Sent, 'f', 3, 64))
+	add("Req-From", strconv.Itoa(r.Caller))
+	add("Req-Wait-Ms", strconv.FormatFloat(r.Wait, 'f', 3, 64))
+	add("Req-Kb", strconv.FormatFloat(r.KB, 'f', 1, 64))
+	add("Req-Rank", strconv.FormatFloat(r.Rank, 'f', 4, 64))
 	if r.Key != "" {
-		each("Req-Key", r.Key)
+		add("Req-Key", r.Key)
 	}
 	if r.Token != "" {
-		each("Req-Token", r.Token)
+		add("Req-Token", r.Token)
 	}
 	if r.Retry {
-		each("Req-Retry", "1")
+		add("Req-Retry", "1")
 	}
 }
 
-// Fields gives the fields of a request by their names on the platform's protocol.
+// Fields returns the header fields of the request as pairs of name and value.
 func (r *Request) Fields() (out [][2]string) {
 	r.fields(func(name, value string) { out = append(out, [2]string{name, value}) })
 	return out
 }
 
-// Check tells whether a request can be written: nothing in it may end a field.
+// Check reports why a request cannot be encoded: a value could end its field, the class is not a path segment, or the
+// body is too long.
 func (r *Request) Check() error {
 	for _, v := range []string{r.Class, r.ID, r.Key, r.Token} {
 		if strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c == 127 }) {
-			return errors.New("wire: a field holds a space or a control character")
+			return errors.New("wire: a field contains a space or a control character")
 		}
 	}
 	if r.Class == "" || strings.ContainsAny(r.Class, "/?#%") {
-		return errors.New("wire: the class is no single part of a path")
+		return errors.New("wire: class " + strconv.Quote(r.Class) + " is not a single path segment")
 	}
 	if len(r.Body) > MaxBody {
-		return errors.New("wire: the body is too long")
+		return errors.New("wire: body of " + strconv.Itoa(len(r.Body)) + " bytes exceeds the limit of " + strconv.Itoa(MaxBody) + " bytes")
 	}
 	return nil
 }
 
-// AppendHTTP appends a request as HTTP/1.1.
+// AppendHTTP appends a request encoded as HTTP/1.1 to b.
 func AppendHTTP(b []byte, r *Request, host string) []byte {
 	b = append(append(append(b, "POST /rpc/"...), r.Class...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\n"...)
@@ -79,7 +81,7 @@
 	return append(b, r.Body...)
 }
 
-// AppendUWSGI appends a request as a packet of uwsgi (modifiers 0) and its body.
+// AppendUWSGI appends a request encoded as a uwsgi packet (modifiers 0) followed by the body to b.
 func AppendUWSGI(b []byte, r *Request) ([]byte, error) {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0)
@@ -95,86 +97,87 @@
 	})
 	n := len(b) - start - 4
 	if n > math.MaxUint16 {
-		return nil, errors.New("wire: the fields are too long for uwsgi")
+		return nil, errors.New("wire: fields of " + strconv.Itoa(n) + " bytes exceed the uwsgi limit of " + strconv.Itoa(math.MaxUint16) + " bytes")
 	}
 	binary.LittleEndian.PutUint16(b[start+1:], uint16(n))
 	return append(b, r.Body...), nil
 }
 
-// Limits of an answer.
+// Limits of an answer, in bytes. MaxBody also limits the body of a request.
 const (
 	MaxHead = 16 << 10
 	MaxBody = 1 << 20
 )
 
-// Response is what a node answered.
+// Response is the answer of a node.
 type Response struct {
 	Status     int
-	Credit     float64 // the credit; below 0: it told none
-	RetryAfter float64 // milliseconds of advice; 0: none
-	NoRetry    bool    // it asks not to be passed over
-	Close      bool    // the connection carries nothing more
-	Kept       string  // of a result that was kept
+	Credit     float64 // credit; below 0: none
+	RetryAfter float64 // retry-after advice in milliseconds; 0: none
+	NoRetry    bool    // the node asks not to retry on another node
+	Close      bool    // the connection takes no further request
+	Kept       string  // value of Srv-Kept; empty: none
 	Body       []byte
 }
 
-// ParseError is why bytes are no answer; its text is a reason code.
+// ParseError is a reason code that says why bytes are not a valid answer.
 type ParseError string
 
-func (f ParseError) Error() string { return "wire: " + string(f) }
+func (e ParseError) Error() string { return "wire: " + string(e) }
 
-// The faults.
+// The parse errors.
 const (
 	ErrBadStatus   ParseError = "bad-status"
 	ErrBadField    ParseError = "bad-field"
 	ErrBadLength   ParseError = "bad-length"
 	ErrHeadTooLong ParseError = "long-head"
 	ErrBodyTooLong ParseError = "long-body"
-	ErrTruncated   ParseError = "cut" // the connection ended within an answer
-	ErrUnsolicited ParseError = "unasked"
-	noProgress                = -1
+	ErrTruncated   ParseError = "cut"     // the connection ended before the end of an answer
+	ErrUnsolicited ParseError = "unasked" // bytes arrived without a request
+	untilClose                = -1
 )
 
-// Parser takes the bytes of one connection's answers.
+// Parser parses the answers of one connection. The zero value is ready to use.
 type Parser struct {
-	buf  []byte
-	head bool // the head was read
-	a    Response
-	need int // bytes of the body; noProgress: until the end of the connection
-	bad  error
+	buf       []byte // bytes that were not consumed yet
+	headRead  bool   // the head of the current answer was parsed
+	response  Response
+	bodyBytes int // length of the body; untilClose: it ends with the connection
+	err       error
 }
 
-// Feed takes bytes and returns the answer that they complete, or nil. What follows an answer is kept for the next.
+// Feed appends bytes and returns the answer that they complete, or nil. Bytes after an answer are kept for the next
+// call. After an error, every call returns the same error.
 func (p *Parser) Feed(b []byte) (*Response, error) {
-	if p.bad != nil {
-		return nil, p.bad
+	if p.err != nil {
+		return nil, p.err
 	}
 	p.buf = append(p.buf, b...)
-	a, err := p.next()
-	p.bad = err
-	return a, err
+	response, err := p.next()
+	p.err = err
+	return response, err
 }
 
-// Idle tells whether nothing of an answer has come.
-func (p *Parser) Idle() bool { return !p.head && len(p.buf) == 0 }
+// Idle reports whether no byte of an answer is pending.
+func (p *Parser) Idle() bool { return !p.headRead && len(p.buf) == 0 }
 
-// End takes the end of the connection, which may complete an answer.
+// End handles the end of the connection. It returns the answer that the end completes, or an error.
 func (p *Parser) End() (*Response, error) {
 	switch {
-	case p.bad != nil:
-		return nil, p.bad
-	case p.head && p.need == noProgress:
-		a := p.a
-		a.Body, a.Close = p.buf, true
+	case p.err != nil:
+		return nil, p.err
+	case p.headRead && p.bodyBytes == untilClose:
+		response := p.response
+		response.Body, response.Close = p.buf, true
 		*p = Parser{}
-		return &a, nil
+		return &response, nil
 	}
-	p.bad = ErrTruncated
-	return nil, p.bad
+	p.err = ErrTruncated
+	return nil, p.err
 }
 
 func (p *Parser) next() (*Response, error) {
-	for !p.head {
+	for !p.headRead {
 		end := bytes.Index(p.buf, []byte("\r\n\r\n"))
 		if end < 0 && len(p.buf) > MaxHead || end > MaxHead {
 			return nil, ErrHeadTooLong
@@ -186,24 +189,24 @@
 			return nil, err
 		}
 		p.buf = p.buf[end+4:]
-		p.head = p.a.Status >= 200 // an interim answer is passed over (RFC 9110, section 15.2)
+		p.headRead = p.response.Status >= 200 // an interim answer is skipped (RFC 9110, section 15.2)
 	}
-	if p.need == noProgress {
+	if p.bodyBytes == untilClose {
 		if len(p.buf) > MaxBody {
 			return nil, ErrBodyTooLong
 		}
 		return nil, nil
 	}
-	if len(p.buf) < p.need {
+	if len(p.buf) < p.bodyBytes {
 		return nil, nil
 	}
-	a := p.a
-	a.Body = append([]byte(nil), p.buf[:p.need]...)
-	*p = Parser{buf: append([]byte(nil), p.buf[p.need:]...)}
-	return &a, nil
+	response := p.response
+	response.Body = append([]byte(nil), p.buf[:p.bodyBytes]...)
+	*p = Parser{buf: append([]byte(nil), p.buf[p.bodyBytes:]...)}
+	return &response, nil
 }
 
-// parseHead reads the status line and the fields.
+// parseHead parses the status line and the header fields.
 func (p *Parser) parseHead(head string) error {
 	line, rest, _ := strings.Cut(head, "\r\n")
 	if len(line) < 12 || !strings.HasPrefix(line, "HTTP/1.") || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
@@ -213,10 +216,10 @@
 	if err != nil || status < 100 || status > 599 {
 		return ErrBadStatus
 	}
-	p.a = Response{Status: status, Credit: -1, Close: line[7] == '0'}
-	p.need = noProgress
+	p.response = Response{Status: status, Credit: -1, Close: line[7] == '0'}
+	p.bodyBytes = untilClose
 	if status == 204 || status == 304 {
-		p.need = 0
+		p.bodyBytes = 0
 	}
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
@@ -224,55 +227,55 @@
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
 			return ErrBadField
 		}
-		if err := p.field(name, strings.Trim(value, " \t")); err != nil {
+		if err := p.parseField(name, strings.Trim(value, " \t")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Parser) field(name, value string) error {
-	number := func(to *float64) {
-		// What can't be read, or is absurd, is as if it were not said: an answer is not lost for it.
+func (p *Parser) parseField(name, value string) error {
+	parseNumber := func(target *float64) {
+		// An invalid or absurd value is ignored, since it is no reason to lose the answer.
 		if f, err := strconv.ParseFloat(value, 64); err == nil && f >= 0 && !math.IsInf(f, 0) {
-			*to = f
+			*target = f
 		}
 	}
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
 		n, err := strconv.ParseUint(value, 10, 31)
-		if err != nil || p.need >= 0 && uint64(p.need) != n && p.a.Status != 204 && p.a.Status != 304 {
-			return ErrBadLength // two that differ, or no number (RFC 9112, section 6.3)
+		if err != nil || p.bodyBytes >= 0 && uint64(p.bodyBytes) != n && p.response.Status != 204 && p.response.Status != 304 {
+			return ErrBadLength // not a number, or two different lengths (RFC 9112, section 6.3)
 		}
 		if n > MaxBody {
 			return ErrBodyTooLong
 		}
-		if p.a.Status != 204 && p.a.Status != 304 {
-			p.need = int(n)
+		if p.response.Status != 204 && p.response.Status != 304 {
+			p.bodyBytes = int(n)
 		}
 	case strings.EqualFold(name, "Transfer-Encoding"):
-		return ErrBadLength // nodes send none
+		return ErrBadLength // nodes do not send it
 	case strings.EqualFold(name, "Connection"):
-		p.a.Close = p.a.Close || strings.EqualFold(value, "close")
+		p.response.Close = p.response.Close || strings.EqualFold(value, "close")
 	case strings.EqualFold(name, "Srv-Load"):
-		number(&p.a.Credit)
+		parseNumber(&p.response.Credit)
 	case strings.EqualFold(name, "Srv-Wait-Ms"):
-		number(&p.a.RetryAfter)
+		parseNumber(&p.response.RetryAfter)
 	case strings.EqualFold(name, "Srv-Last"):
-		p.a.NoRetry = value == "1"
+		p.response.NoRetry = value == "1"
 	case strings.EqualFold(name, "Srv-Kept"):
-		p.a.Kept = value
+		p.response.Kept = value
 	}
 	return nil
 }
 
-// NewResponse returns the answer of a protocol whose fields were read elsewhere.
+// NewResponse returns an answer of a protocol whose header fields are parsed elsewhere, such as HTTP/2.
 func NewResponse(status int, field func(name string) string, closes bool, body []byte) *Response {
-	p := Parser{a: Response{Status: status, Credit: -1, Close: closes, Body: body}}
+	p := Parser{response: Response{Status: status, Credit: -1, Close: closes, Body: body}}
 	for _, name := range []string{"Srv-Load", "Srv-Wait-Ms", "Srv-Last", "Srv-Kept"} {
 		if v := field(name); v != "" {
-			p.field(name, v)
+			p.parseField(name, v)
 		}
 	}
-	return &p.a
+	return &p.response
 }
--- a/internal/client/wire/wire_test.go
+++ b/internal/client/wire/wire_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// Each exchange of testdata/answers.txt: bytes of a node, as Go quotes them, a line for each that are fed at once, and after < what
-// they are.
+// Replays testdata/answers.txt. Each line is a piece of a node's answer in Go's string escapes and is fed at once;
+// lines that begin with < are the expected results. The line "end" ends the connection, "more" feeds no bytes.
 func TestAnswers(t *testing.T) {
 	f, err := os.Open("testdata/answers.txt")
 	if err != nil {
@@ -24,7 +24,7 @@
 	defer f.Close()
 	var name, want, got string
 	p := &Parser{}
-	tell := func(a *Response, err error) {
+	record := func(a *Response, err error) {
 		switch {
 		case err != nil:
 			got += err.Error() + "\n"
@@ -45,21 +45,22 @@
 		case strings.HasPrefix(line, "< "):
 			want += line[2:] + "\n"
 		case line == "end":
-			tell(p.End())
+			record(p.End())
 		case line == "more":
-			tell(p.Feed(nil))
+			record(p.Feed(nil))
 		case line != "":
 			text, err := strconv.Unquote(`"` + line + `"`)
 			if err != nil {
 				t.Fatal(line, err)
 			}
-			tell(p.Feed([]byte(text)))
+			record(p.Feed([]byte(text)))
 		}
 	}
 	check()
 }
 
-// A request that goes out is read by Go's own server as it was, and by the fields of uwsgi; what could end a field is refused.
+// An encoded request is read back by Go's HTTP server code, its uwsgi packet has the right length and fields, and
+// values that could end a field are rejected.
 func TestRequests(t *testing.T) {
 	r := Request{Class: "payout-book", ID: "00000000000000a1", Caller: 3, Sent: 1000.5, Wait: 250, KB: 12, Rank: 0.25, Key: "k", Token: "t", Retry: true, Body: []byte("hello")}
 	if err := r.Check(); err != nil {
@@ -75,25 +76,25 @@
 		}
 	}
 	if q.URL.Path != "/rpc/payout-book" || q.Host != "n:80" || q.ContentLength != 5 || len(r.Fields()) != 9 {
-		t.Errorf("%+v", q)
+		t.Errorf("unexpected request: %+v with %d fields, want 9", q, len(r.Fields()))
 	}
 	b, err := AppendUWSGI(nil, &r)
 	if err != nil || int(b[1])|int(b[2])<<8 != len(b)-4-5 || !bytes.Contains(b, []byte("\x0b\x00HTTP_REQ_ID\x10\x0000000000000000a1")) {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("unexpected uwsgi packet: %q, error %v", b, err)
 	}
 	r.Key = strings.Repeat("x", 70000)
 	if _, err := AppendUWSGI(nil, &r); err == nil {
-		t.Error("fields over 64 KB are written")
+		t.Error("fields over 64 KB are encoded for uwsgi")
 	}
 	for _, bad := range []Request{{}, {Class: "a b"}, {Class: "a/b"}, {Class: "a", Key: "x\r\ny: z"}, {Class: "a", Token: "\x00"}, {Class: "a", Body: make([]byte, MaxBody+1)}} {
 		if bad.Check() == nil {
-			t.Errorf("%.40v is taken", bad)
+			t.Errorf("Check accepts %.40v", bad)
 		}
 	}
 }
 
-// In whatever pieces bytes come, the answers are the same.
-func TestPieces(t *testing.T) {
+// The answers do not depend on the pieces in which their bytes arrive.
+func TestSplitAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := ""
 		n := rapid.IntRange(1, 4).Draw(t, "answers")
@@ -109,7 +110,7 @@
 			text = text[k:]
 			for ; a != nil; a, err = p.Feed(nil) {
 				if a.Status != 200+got || a.Credit != float64(got) {
-					t.Fatalf("%+v", a)
+					t.Fatalf("answer %d: unexpected %+v", got, a)
 				}
 				got++
 			}
@@ -118,12 +119,13 @@
 			}
 		}
 		if got != n || !p.Idle() {
-			t.Fatalf("%d of %d", got, n)
+			t.Fatalf("got %d of %d answers, idle %v", got, n, p.Idle())
 		}
 	})
 }
 
-// FuzzParser feeds bytes of a hostile node: no crash, nothing kept beyond the limits.
+// FuzzParser feeds the bytes of a hostile node: the parser must not crash, return an invalid answer or continue after
+// an error.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nSrv-Load: 1e999\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.0 503 X\r\n\r\n"))
@@ -132,11 +134,11 @@
 		for i, c := range b {
 			a, err := p.Feed([]byte{c})
 			if a != nil && (len(a.Body) > MaxBody || a.Status < 200 || a.Credit != a.Credit) {
-				t.Fatalf("%+v", a)
+				t.Fatalf("invalid answer %+v", a)
 			}
 			if err != nil {
 				if again, same := p.Feed(b[i:]); again != nil || same != err {
-					t.Fatal("it goes on after a fault")
+					t.Fatal("the parser continues after an error")
 				}
 				return
 			}
