--- a/internal/client/proxy/proxy.go
+++ b/internal/client/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy is a small client proxy on the client library: HTTP/1.1 in, any protocol of the nodes out. It is what the kit
-// uses as a caller that behaves.
+// Package proxy is a small client proxy built on the client library: it accepts requests over HTTP/1.1 and sends them
+// to nodes over any of their protocols. The kit uses it as a well-behaved caller.
 package proxy
 
 import (
@@ -13,14 +13,15 @@
 	"whinrudder/client"
 )
 
-// maxWait bounds how long a request may be waited for, and maxSkew how far a caller's clock may be ahead.
+// maxWait is the longest time that a caller may wait for an answer. A Req-Time that is maxSkew or more ahead of the
+// proxy's clock is ignored.
 const (
 	maxWait = time.Hour
 	maxSkew = 5 * time.Second
 )
 
-// Handler answers POST /rpc/CLASS by calls of a client. Req-Time and Req-Wait-Ms say until when the caller waits. GET /health is 200
-// while the client has a node.
+// Handler returns a handler that answers POST /rpc/CLASS by calls of the client. Req-Time and Req-Wait-Ms give the
+// deadline of the caller. GET /health answers 200 while the client has a node, otherwise 503.
 func Handler(c *client.Client) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
@@ -32,29 +33,30 @@
 	return mux
 }
 
-// DrainHandler is a handler that can leave: its answers then end their connections, so that callers go elsewhere with nothing in
-// hand, and health is bad.
+// DrainHandler wraps a handler for graceful shutdown. During the drain each answer closes its connection, so that
+// callers move to another proxy between requests, and the health check fails.
 type DrainHandler struct {
-	Handler http.Handler
-	leaving atomic.Bool
+	Handler  http.Handler
+	draining atomic.Bool
 }
 
-// Drain begins the drain. Whatever comes is answered as always.
-func (f *DrainHandler) Drain() { f.leaving.Store(true) }
+// Drain starts the drain. Requests are still answered.
+func (h *DrainHandler) Drain() { h.draining.Store(true) }
 
 // ServeHTTP implements http.Handler.
-func (f *DrainHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.leaving.Load() {
+func (h *DrainHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if h.draining.Load() {
 		w.Header().Set("Connection", "close")
 		if r.URL.Path == "/health" {
 			http.Error(w, "leaving", http.StatusServiceUnavailable)
 			return
 		}
 	}
-	f.Handler.ServeHTTP(w, r)
+	h.Handler.ServeHTTP(w, r)
 }
 
-// deadline returns until when a caller waits; ok is false if it does not say, or says nonsense.
+// deadline returns the time until which the caller waits. If the request does not give one, ok is false; if it gives
+// an invalid one, ok is false and bad is true.
 func deadline(r *http.Request, now time.Time) (at time.Time, ok bool, bad bool) {
 	text := r.Header.Get("Req-Wait-Ms")
 	if text == "" {
@@ -75,18 +77,18 @@
 		}
 	}
 	if from.After(now) {
-		from = now // its clock is ahead of ours
+		from = now // the caller's clock is ahead of the proxy's
 	}
 	return from.Add(time.Duration(wait * float64(time.Millisecond))), true, false
 }
 
-// requestOf reads a request, whose body must come within sayFor.
-func requestOf(w http.ResponseWriter, r *http.Request) (client.Request, error) {
-	by := http.NewResponseController(w)
-	by.SetReadDeadline(time.Now().Add(sayFor))
+// readRequest reads a request, whose body must arrive within readTimeout.
+func readRequest(w http.ResponseWriter, r *http.Request) (client.Request, error) {
+	control := http.NewResponseController(w)
+	control.SetReadDeadline(time.Now().Add(readTimeout))
 	q, err := client.RequestOf(r)
 	if err == nil {
-		by.SetReadDeadline(time.Time{})
+		control.SetReadDeadline(time.Time{})
 	}
 	return q, err
 }
@@ -96,7 +98,7 @@
 		w.Header().Set("Srv-Reason", reason)
 		w.WriteHeader(status)
 	}
-	q, err := requestOf(w, r)
+	q, err := readRequest(w, r)
 	if err != nil {
 		fail(http.StatusBadRequest, "bad-request")
 		return
@@ -113,7 +115,7 @@
 		defer cancel()
 	}
 	resp, err := c.Do(ctx, q)
-	var fault *client.Error
+	var callErr *client.Error
 	switch {
 	case err == nil:
 		if resp.Kept != "" {
@@ -122,15 +124,16 @@
 		w.Header().Set("Srv-Node", resp.Node)
 		w.Header().Set("Content-Length", strconv.Itoa(len(resp.Body)))
 		w.Write(resp.Body)
-	case !errors.As(err, &fault):
+	case !errors.As(err, &callErr):
 		fail(http.StatusNotFound, "bad-class")
-	case fault.MayHaveRun():
-		// 502 is all that is left to say: what ran may be asked of the books, not of another node.
-		fail(http.StatusBadGateway, fault.Reason.String())
+	case callErr.MayHaveRun():
+		// 502 tells the caller that the operation may have run: it must look up the outcome and not retry on another
+		// node.
+		fail(http.StatusBadGateway, callErr.Reason.String())
 	default:
-		if fault.Wait > 0 {
-			w.Header().Set("Srv-Wait-Ms", strconv.FormatInt(int64(fault.Wait/time.Millisecond), 10))
+		if callErr.Wait > 0 {
+			w.Header().Set("Srv-Wait-Ms", strconv.FormatInt(int64(callErr.Wait/time.Millisecond), 10))
 		}
-		fail(http.StatusServiceUnavailable, fault.Reason.String())
+		fail(http.StatusServiceUnavailable, callErr.Reason.String())
 	}
 }
--- a/internal/client/proxy/proxy_test.go
+++ b/internal/client/proxy/proxy_test.go
@@ -17,9 +17,9 @@
 	"whinrudder/client/metrics"
 )
 
-// What comes back through the proxy for what a node does: results, refusals with their advice, and what may have run told apart
-// from what did not. The collectors count it.
-func TestAnswers(t *testing.T) {
+// The proxy returns results, refusals with their retry-after advice, and different status codes for requests that may
+// have run and for those that did not. The client's metrics have three families.
+func TestProxyAnswers(t *testing.T) {
 	var waits atomic.Value
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		waits.Store(r.Header.Get("Req-Wait-Ms"))
@@ -46,13 +46,13 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	front := httptest.NewServer(Handler(c))
-	defer front.Close()
+	proxy := httptest.NewServer(Handler(c))
+	defer proxy.Close()
 	for deadline := time.Now().Add(10 * time.Second); c.Nodes() == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
 	ask := func(class, body string, fields ...string) *http.Response {
 		t.Helper()
-		req, err := http.NewRequestWithContext(t.Context(), "POST", front.URL+"/rpc/"+class, strings.NewReader(body))
+		req, err := http.NewRequestWithContext(t.Context(), "POST", proxy.URL+"/rpc/"+class, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,27 +85,29 @@
 		{"rate-quote", "", []string{"Req-Key", "two words"}, 400, "bad-request", ""},
 		{"rate-quote", strings.Repeat("x", 1<<20+1), nil, 400, "bad-request", ""},
 	} {
-		time.Sleep(40 * time.Millisecond) // the advice of the one before is over
+		time.Sleep(40 * time.Millisecond) // lets the retry-after advice of the previous case expire
 		resp := ask(x.class, x.body, x.fields...)
 		if resp.StatusCode != x.status || resp.Header.Get("Srv-Reason") != x.reason || resp.Header.Get("Srv-Wait-Ms") != x.wait {
-			t.Errorf("%s %s: %d %s %s", x.class, x.body, resp.StatusCode, resp.Header.Get("Srv-Reason"), resp.Header.Get("Srv-Wait-Ms"))
+			t.Errorf("%s %.20q: got %d %q %q, want %d %q %q", x.class, x.body, resp.StatusCode, resp.Header.Get("Srv-Reason"),
+				resp.Header.Get("Srv-Wait-Ms"), x.status, x.reason, x.wait)
 		}
 		if body, _ := io.ReadAll(resp.Body); x.status == 200 && (string(body) != "did "+x.body || resp.Header.Get("Srv-Kept") != "new") {
-			t.Errorf("%s: %q", x.body, body)
+			t.Errorf("%s: got body %q and Srv-Kept %q", x.body, body, resp.Header.Get("Srv-Kept"))
 		}
 	}
-	if resp, err := http.Get(front.URL + "/health"); err != nil || resp.StatusCode != 200 {
-		t.Errorf("health: %v %v", resp, err)
+	if resp, err := http.Get(proxy.URL + "/health"); err != nil || resp.StatusCode != 200 {
+		t.Errorf("health: got %v, error %v, want 200", resp, err)
 	}
 	r := prometheus.NewRegistry()
 	r.MustRegister(m)
 	all, err := r.Gather()
 	if err != nil || len(all) != 3 {
-		t.Errorf("%d families, %v", len(all), err)
+		t.Errorf("got %d metric families, error %v, want 3", len(all), err)
 	}
 }
 
-// The client as a RoundTripper: answers of nodes, 503 for what did not run, an error for what may have.
+// The client as an http.RoundTripper returns the answers of nodes, 503 for requests that did not run, and an error
+// for those that may have run.
 func TestRoundTripper(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch body, _ := io.ReadAll(r.Body); string(body) {
@@ -132,15 +134,15 @@
 		return h.Do(req)
 	}
 	if resp, err := post("/rpc/book", "x"); err != nil || resp.StatusCode != 200 || resp.Header.Get("Srv-Node") == "" {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("served request: got %v, error %v, want 200 with Srv-Node", resp, err)
 	}
 	if resp, err := post("/rpc/book", "refuse"); err != nil || resp.StatusCode != 503 || resp.Header.Get("Srv-Reason") != "rejected" {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("refused request: got %v, error %v, want 503 with reason rejected", resp, err)
 	}
 	if _, err := post("/rpc/book", "cut"); err == nil || !strings.Contains(err.Error(), "unknown") {
-		t.Errorf("a broken booking: %v", err)
+		t.Errorf("broken write: got error %v, want one with reason unknown", err)
 	}
 	if _, err := post("/other", ""); err == nil {
-		t.Error("another path is called")
+		t.Error("a path outside /rpc/ is accepted")
 	}
 }
--- a/internal/client/proxy/server.go
+++ b/internal/client/proxy/server.go
@@ -11,90 +11,95 @@
 	"whinrudder/internal/acceptdrain"
 )
 
-// A proxy that is told to end says so with each answer for leaveFor: connections that are used end so with nothing in hand. Then
-// it takes nothing new, and waits until drainFor after the notice for what it has in hand.
+// Timeouts of a server.
 const (
-	leaveFor = 2 * time.Second
-	drainFor = 15 * time.Second
-	// sayFor is how long a connection has from its accept to the end of its first request's fields, and a body to its end.
-	sayFor = 5 * time.Second
-	// restFor is how long a connection may be at rest.
-	restFor = time.Minute
+	// noticePeriod is how long a server that shuts down still accepts connections and closes each connection with its
+	// next answer, so that connections in use end between requests.
+	noticePeriod = 2 * time.Second
+	// drainTimeout is how long after the notice the server waits for requests in flight.
+	drainTimeout = 15 * time.Second
+	// readTimeout is the time from the accept of a connection to the end of the header of its first request, and the
+	// time for a body.
+	readTimeout = 5 * time.Second
+	// idleTimeout is how long a connection may be idle between requests.
+	idleTimeout = time.Minute
 )
 
-// Server serves a handler on one listener, and leaves without a loss. http.Server.Shutdown by itself drops what it reads
-// from then on, unanswered: of connections just accepted, and of those that had said half of a request.
+// Server serves a handler on one listener and shuts down without dropping requests. http.Server.Shutdown alone does
+// not answer requests that it reads after its start, on connections just accepted and on those that have sent part of
+// a request.
 type Server struct {
-	front *DrainHandler
-	l     *acceptdrain.Listener
-	http  *http.Server
-	conns conns
+	handler  *DrainHandler
+	listener *acceptdrain.Listener
+	http     *http.Server
+	conns    conns
 }
 
-// Listen returns a server for a handler on a TCP address.
+// Listen returns a server that serves a handler on a TCP address.
 func Listen(addr string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{front: &DrainHandler{Handler: h}, l: acceptdrain.New(l.(*net.TCPListener)), conns: conns{busy: map[net.Conn]bool{}, moved: make(chan struct{}, 1)}}
-	s.http = &http.Server{Handler: s.front, ReadHeaderTimeout: sayFor, IdleTimeout: restFor,
-		ConnState: func(c net.Conn, to http.ConnState) { s.conns.set(c, to) }}
+	s := &Server{handler: &DrainHandler{Handler: h}, listener: acceptdrain.New(l.(*net.TCPListener)),
+		conns: conns{busy: map[net.Conn]bool{}, changed: make(chan struct{}, 1)}}
+	s.http = &http.Server{Handler: s.handler, ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout,
+		ConnState: func(c net.Conn, state http.ConnState) { s.conns.set(c, state) }}
 	return s, nil
 }
 
 // Addr returns the address of the listener.
-func (s *Server) Addr() net.Addr { return s.l.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve serves until the end of the listener, which is no error if Shutdown brought it about.
+// Serve serves until the listener is closed. It returns nil if Shutdown closed it.
 func (s *Server) Serve() error {
-	err := s.http.Serve(s.l)
-	if s.front.leaving.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)) {
+	err := s.http.Serve(s.listener)
+	if s.handler.draining.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)) {
 		return nil
 	}
 	return err
 }
 
-// Shutdown answers what comes until leaveFor after the notice, each time with the word that the connection ends, then closes the
-// listener, and answers what was accepted by then. It returns when no connection is left, or drainFor after the notice with an
-// error.
+// Shutdown answers requests until noticePeriod after the notice and closes each connection with its answer. It then
+// closes the listener and answers the requests on connections accepted by then. It returns when no connection is left
+// or, with an error, drainTimeout after the notice.
 func (s *Server) Shutdown(notice time.Time) error {
-	by := notice.Add(drainFor)
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+	until := notice.Add(drainTimeout)
+	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	s.front.Drain()
-	time.Sleep(time.Until(notice.Add(leaveFor)))
-	err := s.l.Drain(by)
-	s.conns.rest(by)
+	s.handler.Drain()
+	time.Sleep(time.Until(notice.Add(noticePeriod)))
+	err := s.listener.Drain(until)
+	s.conns.waitIdle(until)
 	return errors.Join(err, s.http.Shutdown(ctx))
 }
 
-// conns counts connections that may have something in hand: a request that is being answered, or, on one just accepted, a first
-// request of which the server has seen any part. Each ends one of the two within a bounded time.
+// conns tracks busy connections: those with a request that is being answered, and new ones, whose first request may
+// have arrived in part. Both states end within a bounded time.
 type conns struct {
-	mu    sync.Mutex
-	busy  map[net.Conn]bool
-	moved chan struct{} // there is one less
+	mu      sync.Mutex
+	busy    map[net.Conn]bool
+	changed chan struct{} // signals that a connection is no longer busy
 }
 
-func (c *conns) set(k net.Conn, to http.ConnState) {
+func (c *conns) set(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if to == http.StateNew || to == http.StateActive {
-		c.busy[k] = true
+	if state == http.StateNew || state == http.StateActive {
+		c.busy[conn] = true
 		return
 	}
-	delete(c.busy, k)
+	delete(c.busy, conn)
 	select {
-	case c.moved <- struct{}{}:
+	case c.changed <- struct{}{}:
 	default:
 	}
 }
 
-// rest waits until nothing is in hand, or until an absolute time.
-func (c *conns) rest(by time.Time) {
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+// waitIdle waits until no connection is busy, at most until the given time.
+func (c *conns) waitIdle(until time.Time) {
+	timer := time.NewTimer(time.Until(until))
+	defer timer.Stop()
 	for {
 		c.mu.Lock()
 		n := len(c.busy)
@@ -103,8 +108,8 @@
 			return
 		}
 		select {
-		case <-c.moved:
-		case <-late.C:
+		case <-c.changed:
+		case <-timer.C:
 			return
 		}
 	}
--- a/internal/client/proxy/server_test.go
+++ b/internal/client/proxy/server_test.go
@@ -13,12 +13,12 @@
 	"go.uber.org/goleak"
 )
 
-// What was accepted when the listener closes is answered, also a request of which half was said by then and one that
-// begins only afterwards; who said nothing, or is at rest, ends with nothing in hand.
+// Guards against requests lost in a shutdown. Connections accepted before the listener closes are answered, also if
+// half of the request or all of it arrives only afterwards. Silent and idle connections end without data.
 func TestServerAnswersWhatItAccepted(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := requestOf(w, r); r.Method == "POST" && err != nil {
+		if _, err := readRequest(w, r); r.Method == "POST" && err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
@@ -45,12 +45,12 @@
 		b, _ := io.ReadAll(a.Body)
 		return string(b), a.Close
 	}
-	rests := dial("GET /rests HTTP/1.1\r\nHost: x\r\n\r\n")
-	if got, last := read(rests); got != "did /rests" || last {
+	idle := dial("GET /rests HTTP/1.1\r\nHost: x\r\n\r\n")
+	if got, last := read(idle); got != "did /rests" || last {
 		t.Fatal(got, last)
 	}
 	half := dial("GET /half HTTP/1.1\r\nHo")
-	silent, crawls := dial(""), dial("POST /rpc/book HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nx") // each ends by its own bound
+	silent, slowBody := dial(""), dial("POST /rpc/book HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nx") // each ends by its own timeout
 	late := dial("")
 	go func() { ended <- s.Shutdown(time.Now()) }()
 	for by := time.Now().Add(10 * time.Second); time.Now().Before(by); time.Sleep(time.Millisecond) {
@@ -64,15 +64,15 @@
 	fmt.Fprint(half, "st: x\r\n\r\n")
 	for want, c := range map[string]net.Conn{"did /half": half, "did /late": late} {
 		if got, last := read(c); got != want || !last {
-			t.Errorf("%s: %q, last %v", want, got, last)
+			t.Errorf("got %q, close %v, want %q, true", got, last, want)
 		}
 	}
-	if a, err := http.ReadResponse(bufio.NewReader(crawls), nil); err != nil || a.StatusCode != http.StatusBadRequest || !a.Close {
-		t.Errorf("a body that crawls: %+v %v", a, err)
+	if a, err := http.ReadResponse(bufio.NewReader(slowBody), nil); err != nil || a.StatusCode != http.StatusBadRequest || !a.Close {
+		t.Errorf("slow body: got %+v, error %v, want 400 with close", a, err)
 	}
-	for name, c := range map[string]net.Conn{"at rest": rests, "silent": silent} {
+	for name, c := range map[string]net.Conn{"idle": idle, "silent": silent} {
 		if b, err := io.ReadAll(c); len(b) > 0 || err != nil {
-			t.Errorf("%s reads %q, %v", name, b, err)
+			t.Errorf("%s connection: read %q, error %v, want nothing", name, b, err)
 		}
 	}
 	if err := <-ended; err != nil {
@@ -83,10 +83,10 @@
 	}
 }
 
-// A connection is busy from its accept to the end of its answer, and each time again; one that stays so holds the end up only
-// for its time.
+// A connection is busy from its accept or its next request to the end of the answer, and waitIdle ends at the
+// given time even if a connection stays busy.
 func TestConns(t *testing.T) {
-	c := conns{busy: map[net.Conn]bool{}, moved: make(chan struct{}, 1)}
+	c := conns{busy: map[net.Conn]bool{}, changed: make(chan struct{}, 1)}
 	a, b := &net.TCPConn{}, &net.TCPConn{}
 	var got []int
 	for _, step := range []struct {
@@ -100,7 +100,7 @@
 	if diff := cmp.Diff([]int{1, 2, 2, 1, 0, 1, 0, 1}, got); diff != "" {
 		t.Error(diff)
 	}
-	c.rest(time.Now().Add(10 * time.Millisecond))
+	c.waitIdle(time.Now().Add(10 * time.Millisecond))
 	go c.set(b, http.StateClosed)
-	c.rest(time.Now().Add(time.Hour))
+	c.waitIdle(time.Now().Add(time.Hour))
 }
