--- a/internal/client/attempt/attempt.go
+++ b/internal/client/attempt/attempt.go
@@ -22,7 +22,7 @@
 const (
 	Served    Outcome = iota // the node answered with a result
 	Refused                  // the node refused it and guarantees that it did not run
-	Unsent                   // it certainly did not run: no connection, REFUSED_STREAM, or above the GOAWAY's last stream
+	Unsent                   // it certainly did not run: no connection, REFUSED_STREAM, or above a GOAWAY
 	Failed                   // the node answered with an error that does not say whether it ran
 	Broken                   // the connection broke while the request was in flight
 	Late                     // no answer before the deadline of the try
@@ -53,7 +53,7 @@
 	defaultTries    = 3      // tries of a call whose class sets none
 	tryTimeRatio    = 0.6    // share of the remaining time that a try of a read gets if another may follow
 	minTryMs        = 20.0   // no try is made with less time
-	minPauseMs      = 5.0    // decorrelated jitter (Brooker, 2015): a pause is between this and three times the last pause
+	minPauseMs      = 5.0    // decorrelated jitter (Brooker, 2015): a pause is between this and 3 times the last one
 	maxPauseMs      = 500.0  // upper limit of a pause
 	minLatencyRatio = 0.5    // a try needs this share of the low latency percentile
 	maxNodeWaitMs   = 1000.0 // longest wait for a node before the call asks again
@@ -199,7 +199,8 @@
 		return c.due
 	}
 	left := c.due - now
-	if allotted := tryTimeRatio * left; allotted >= c.shared.Latencies.P95(c.classIndex) && left-allotted >= c.minTime() {
+	if allotted := tryTimeRatio * left; allotted >= c.shared.Latencies.P95(c.classIndex) &&
+		left-allotted >= c.minTime() {
 		return now + allotted
 	}
 	return c.due
--- a/internal/client/connpool/connpool.go
+++ b/internal/client/connpool/connpool.go
@@ -28,7 +28,8 @@
 
 // DefaultLimits returns the default limits for the given number of concurrent requests per connection.
 func DefaultLimits(streams int) Limits {
-	return Limits{PerNode: 64, Total: 512, StreamsPerConn: streams, IdleMs: 20e3, MaxAgeMs: 600e3, ConnectsPerSecond: 50, ConnectBurst: 40}
+	return Limits{PerNode: 64, Total: 512, StreamsPerConn: streams,
+		IdleMs: 20e3, MaxAgeMs: 600e3, ConnectsPerSecond: 50, ConnectBurst: 40}
 }
 
 // Conn is the state of a connection in the pool.
@@ -97,7 +98,8 @@
 		if !c.connected && !c.draining {
 			connectingStreams += c.maxStreams
 		}
-		if c.connected && !c.draining && c.inFlight < c.maxStreams && now-c.openedAt < p.limits.MaxAgeMs && (best == nil || c.idleSince > best.idleSince) {
+		if c.connected && !c.draining && c.inFlight < c.maxStreams && now-c.openedAt < p.limits.MaxAgeMs &&
+			(best == nil || c.idleSince > best.idleSince) {
 			best = c
 		}
 	}
@@ -112,7 +114,8 @@
 		return Action{Kind: Wait, At: now + (1-p.tokens)/p.limits.ConnectsPerSecond*1000}
 	}
 	p.tokens--
-	c := &Conn{ID: p.nextID, Node: node, openedAt: now, idleSince: now, inFlight: 1, maxStreams: max(1, p.limits.StreamsPerConn)}
+	c := &Conn{ID: p.nextID, Node: node, openedAt: now, idleSince: now, inFlight: 1,
+		maxStreams: max(1, p.limits.StreamsPerConn)}
 	p.nextID++
 	p.count++
 	p.byNode[node] = append(p.byNode[node], c)
--- a/internal/client/members/members.go
+++ b/internal/client/members/members.go
@@ -81,7 +81,8 @@
 // New returns the members of a client without any nodes. The value of self differs between clients, so that they use
 // different subsets. The client uses at most subset nodes; 0 means all.
 func New(self uint64, subset int) *Members {
-	return &Members{self: self, subset: subset, byName: map[string]*Member{}, emptySince: math.Inf(1), cachedAt: math.Inf(-1)}
+	return &Members{self: self, subset: subset, byName: map[string]*Member{},
+		emptySince: math.Inf(1), cachedAt: math.Inf(-1)}
 }
 
 // SetList applies a node list that was made at the given time, which may be before now; a time in the future counts
@@ -127,7 +128,8 @@
 	}
 	for _, member := range m.byName {
 		if member.listed && !seen[member.Name] {
-			member.listed, member.changedAt, member.suspect = false, now, float64(delisted) > massLossRatio*float64(wasListed)
+			member.listed, member.changedAt, member.suspect = false, now,
+				float64(delisted) > massLossRatio*float64(wasListed)
 		}
 	}
 	m.forget(now)
@@ -137,7 +139,8 @@
 // forget deletes nodes that were delisted long ago and have not answered since.
 func (m *Members) forget(now float64) {
 	for name, member := range m.byName {
-		if !member.listed && now-member.changedAt > max(lastResortMs, ownReportMs) && now-member.servingAt > ownReportMs {
+		if !member.listed && now-member.changedAt > max(lastResortMs, ownReportMs) &&
+			now-member.servingAt > ownReportMs {
 			delete(m.byName, name)
 		}
 	}
@@ -178,7 +181,8 @@
 
 func (m *Members) state(now float64, member *Member) State {
 	// The latest information counts: the node's own report takes precedence over an older list.
-	if member.drainingAt > member.servingAt && member.drainingAt > member.changedAt && now-member.drainingAt < drainingReportMs {
+	if member.drainingAt > member.servingAt && member.drainingAt > member.changedAt &&
+		now-member.drainingAt < drainingReportMs {
 		return Draining
 	}
 	if member.listed && !member.Draining {
--- a/internal/client/route/route.go
+++ b/internal/client/route/route.go
@@ -215,7 +215,8 @@
 		if s := r.stats[m.ID]; least == nil || s.InFlight < r.stats[least.ID].InFlight {
 			least = m
 		}
-		if score := members.Score(key, m.Name); r.stats[m.ID].InFlight < maxInFlight && (best == nil || score > bestScore) {
+		if score := members.Score(key, m.Name); r.stats[m.ID].InFlight < maxInFlight &&
+			(best == nil || score > bestScore) {
 			best, bestScore = m, score
 		}
 	}
--- a/internal/client/wire/wire.go
+++ b/internal/client/wire/wire.go
@@ -65,7 +65,8 @@
 		return errors.New("wire: class " + strconv.Quote(r.Class) + " is not a single path segment")
 	}
 	if len(r.Body) > MaxBody {
-		return errors.New("wire: body of " + strconv.Itoa(len(r.Body)) + " bytes exceeds the limit of " + strconv.Itoa(MaxBody) + " bytes")
+		return errors.New("wire: body of " + strconv.Itoa(len(r.Body)) + " bytes exceeds the limit of " +
+			strconv.Itoa(MaxBody) + " bytes")
 	}
 	return nil
 }
@@ -97,7 +98,8 @@
 	})
 	n := len(b) - start - 4
 	if n > math.MaxUint16 {
-		return nil, errors.New("wire: fields of " + strconv.Itoa(n) + " bytes exceed the uwsgi limit of " + strconv.Itoa(math.MaxUint16) + " bytes")
+		return nil, errors.New("wire: fields of " + strconv.Itoa(n) + " bytes exceed the uwsgi limit of " +
+			strconv.Itoa(math.MaxUint16) + " bytes")
 	}
 	binary.LittleEndian.PutUint16(b[start+1:], uint16(n))
 	return append(b, r.Body...), nil
@@ -244,7 +246,8 @@
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
 		n, err := strconv.ParseUint(value, 10, 31)
-		if err != nil || p.bodyBytes >= 0 && uint64(p.bodyBytes) != n && p.response.Status != 204 && p.response.Status != 304 {
+		if err != nil || p.bodyBytes >= 0 && uint64(p.bodyBytes) != n &&
+			p.response.Status != 204 && p.response.Status != 304 {
 			return ErrBadLength // not a number, or two different lengths (RFC 9112, section 6.3)
 		}
 		if n > MaxBody {
