--- a/internal/client/attempt/attempt_test.go
+++ b/internal/client/attempt/attempt_test.go
@@ -40,20 +40,20 @@
 		now := 0.0
 		call := New(now, 10000, c.class, 0, newState(), 0.5)
 		for i, x := range c.tries {
-			do := call.Next(now, 0.5)
-			if do.Kind == Sleep {
-				now = do.At
-				do = call.Next(now, 0.5)
+			action := call.Next(now, 0.5)
+			if action.Kind == Sleep {
+				now = action.At
+				action = call.Next(now, 0.5)
 			}
-			if do.Kind != Try || do.Retry != (i > 0) || do.Due <= now || do.Due > 10000 || c.class.Write && do.Due != 10000 {
-				t.Fatalf("%s: try %d: unexpected action %+v", c.name, i, do)
+			if action.Kind != Try || action.Retry != (i > 0) || action.Due <= now || action.Due > 10000 || c.class.Write && action.Due != 10000 {
+				t.Fatalf("%s: try %d: unexpected action %+v", c.name, i, action)
 			}
 			call.TrySent(now)
 			now += 100
 			call.TryEnded(now, x.outcome, 100, 250, x.noRetry)
 		}
-		if do := call.Next(now, 0.5); do.Kind != Done || do.Reason != c.reason || call.Tries() != c.sent {
-			t.Errorf("%s: got %+v after %d tries, want reason %v after %d", c.name, do, call.Tries(), c.reason, c.sent)
+		if action := call.Next(now, 0.5); action.Kind != Done || action.Reason != c.reason || call.Tries() != c.sent {
+			t.Errorf("%s: got %+v after %d tries, want reason %v after %d", c.name, action, call.Tries(), c.reason, c.sent)
 		}
 	}
 }
@@ -64,33 +64,33 @@
 	for range quantileEveryResponses {
 		s.Latencies.Add(0, 400)
 	}
-	if do := New(0, 150, Class{}, 0, s, 0.5).Next(0, 0); do.Kind != Done || do.Reason != NoTime {
-		t.Errorf("150 ms left with a latency of 400 ms: got %+v, want Done with NoTime", do)
+	if action := New(0, 150, Class{}, 0, s, 0.5).Next(0, 0); action.Kind != Done || action.Reason != NoTime {
+		t.Errorf("150 ms left with a latency of 400 ms: got %+v, want Done with NoTime", action)
 	}
 	c := New(0, 1000, Class{}, 0, s, 0.5)
 	c.NoNodeFree(0, 900)
-	if do := c.Next(0, 0); do.Kind != Done || do.Reason != NoNode {
-		t.Errorf("no node is free until shortly before the deadline: got %+v, want Done with NoNode", do)
+	if action := c.Next(0, 0); action.Kind != Done || action.Reason != NoNode {
+		t.Errorf("no node is free until shortly before the deadline: got %+v, want Done with NoNode", action)
 	}
 	c = New(0, 10000, Class{}, 0, s, 0.5)
 	c.NoNodeFree(0, 200)
-	if do := c.Next(0, 0); do.Kind != Sleep || do.At != 200 {
-		t.Errorf("no node is free for 200 ms: got %+v, want a sleep until 200", do)
+	if action := c.Next(0, 0); action.Kind != Sleep || action.At != 200 {
+		t.Errorf("no node is free for 200 ms: got %+v, want a sleep until 200", action)
 	}
 	c = New(0, 2000, Class{}, 0, s, 0.5)
-	if do := c.Next(0, 0); do.Due != 1200 {
-		t.Errorf("try of a read with 2,000 ms left: got %+v, want a deadline of 1,200", do)
+	if action := c.Next(0, 0); action.Due != 1200 {
+		t.Errorf("try of a read with 2,000 ms left: got %+v, want a deadline of 1,200", action)
 	}
 	c.TrySent(0)
-	if do := c.Next(2000, 0); do.Kind != Done || do.Reason != Failure {
-		t.Errorf("read at its deadline: got %+v, want Done with Failure", do)
+	if action := c.Next(2000, 0); action.Kind != Done || action.Reason != Failure {
+		t.Errorf("read at its deadline: got %+v, want Done with Failure", action)
 	}
 	c.TryEnded(2500, Served, 2500, 0, false)
 	c = New(0, 2000, Class{Write: true}, 0, s, 0.5)
 	c.TrySent(0)
 	c.Cancel()
-	if do := c.Next(10, 0); do.Reason != Cancelled {
-		t.Errorf("cancelled call: got %+v, want reason Cancelled", do)
+	if action := c.Next(10, 0); action.Reason != Cancelled {
+		t.Errorf("cancelled call: got %+v, want reason Cancelled", action)
 	}
 }
 
@@ -105,26 +105,26 @@
 	c.Next(0, 0)
 	c.TrySent(0)
 	p95 := s.Latencies.P95(0)
-	if do := c.Next(0, 0); do.Kind != Sleep || do.At != p95 {
-		t.Errorf("got %+v, want a sleep until %v", do, p95)
+	if action := c.Next(0, 0); action.Kind != Sleep || action.At != p95 {
+		t.Errorf("got %+v, want a sleep until %v", action, p95)
 	}
-	do := c.Next(p95, 0)
-	if do.Kind != Try || !do.Hedge || !do.Retry {
-		t.Errorf("got %+v, want a hedge", do)
+	action := c.Next(p95, 0)
+	if action.Kind != Try || !action.Hedge || !action.Retry {
+		t.Errorf("got %+v, want a hedge", action)
 	}
 	c.TrySent(p95)
 	c.TryEnded(p95+50, Failed, 50, 0, false)
-	if do := c.Next(p95+50, 0); do.Kind != Sleep {
-		t.Errorf("first try still open: got %+v, want a sleep", do)
+	if action := c.Next(p95+50, 0); action.Kind != Sleep {
+		t.Errorf("first try still open: got %+v, want a sleep", action)
 	}
 	c.TryEnded(p95+60, Served, p95+60, 0, false)
-	if do := c.Next(p95+60, 0); do.Kind != Done || do.Reason != None {
-		t.Errorf("after the first try was served: got %+v, want Done with None", do)
+	if action := c.Next(p95+60, 0); action.Kind != Done || action.Reason != None {
+		t.Errorf("after the first try was served: got %+v, want Done with None", action)
 	}
 	w := New(0, 10000, Class{Write: true, Hedge: true}, 0, s, 0.5)
 	w.TrySent(0)
-	if do := w.Next(5000, 0); do.Kind != Sleep {
-		t.Errorf("open write: got %+v, want a sleep without a hedge", do)
+	if action := w.Next(5000, 0); action.Kind != Sleep {
+		t.Errorf("open write: got %+v, want a sleep without a hedge", action)
 	}
 }
 
@@ -138,30 +138,30 @@
 			write := rapid.Bool().Draw(t, "write")
 			due := now + rapid.Float64Range(1, 5000).Draw(t, "time")
 			c := New(now, due, Class{Write: write, Hedge: rapid.Bool().Draw(t, "hedge")}, 0, s, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
-			unknown := false
+			mayHaveRun := false
 			for step := 0; ; step++ {
 				if step > 200 {
 					t.Fatal("the call does not end within 200 steps")
 				}
-				do := c.Next(now, rapid.Float64Range(0, 1).Draw(t, "pause"))
-				if do.Kind == Done {
-					if again := c.Next(now+1, 0); again.Kind != Done || again.Reason != do.Reason {
-						t.Fatalf("an ended call returned %+v, then %+v", do, again)
+				action := c.Next(now, rapid.Float64Range(0, 1).Draw(t, "pause"))
+				if action.Kind == Done {
+					if again := c.Next(now+1, 0); again.Kind != Done || again.Reason != action.Reason {
+						t.Fatalf("an ended call returned %+v, then %+v", action, again)
 					}
-					if write && unknown && do.Reason != Unknown && do.Reason != None {
-						t.Fatalf("a write that may have run ends as %v", do.Reason)
+					if write && mayHaveRun && action.Reason != Unknown && action.Reason != None {
+						t.Fatalf("a write that may have run ends as %v", action.Reason)
 					}
 					break
 				}
-				if do.Kind == Try {
-					if now >= due || do.Due > due || unknown && write {
-						t.Fatalf("action %+v at time %v with deadline %v, may have run: %v", do, now, due, unknown)
+				if action.Kind == Try {
+					if now >= due || action.Due > due || mayHaveRun && write {
+						t.Fatalf("action %+v at time %v with deadline %v, may have run: %v", action, now, due, mayHaveRun)
 					}
 					if rapid.IntRange(0, 4).Draw(t, "none") == 0 {
 						c.NoNodeFree(now, now+rapid.Float64Range(0, 2000).Draw(t, "until"))
 						continue
 					}
-					if do.Retry {
+					if action.Retry {
 						retries++
 					} else {
 						first++
@@ -169,17 +169,17 @@
 					c.TrySent(now)
 					continue
 				}
-				to := math.Min(do.At, due)
+				to := math.Min(action.At, due)
 				if c.OpenTries() > 0 && rapid.Bool().Draw(t, "ends") {
 					now += (to - now) * rapid.Float64Range(0, 1).Draw(t, "when")
 					e := Outcome(rapid.IntRange(int(Served), int(Late)).Draw(t, "end"))
-					unknown = unknown || e == Failed || e == Broken || e == Late
+					mayHaveRun = mayHaveRun || e == Failed || e == Broken || e == Late
 					c.TryEnded(now, e, 100, 100, rapid.Bool().Draw(t, "stay"))
 					continue
 				}
 				now = to
 				if c.OpenTries() > 0 && to >= due {
-					unknown = true
+					mayHaveRun = true
 				}
 			}
 		}
--- a/internal/client/connpool/connpool_test.go
+++ b/internal/client/connpool/connpool_test.go
@@ -56,12 +56,12 @@
 			if now < next {
 				continue
 			}
-			switch do := p.Acquire(now, int(now)%5); do.Kind {
+			switch action := p.Acquire(now, int(now)%5); action.Kind {
 			case Connect:
 				made++
-				p.Remove(do.Conn) // the connect fails at once
+				p.Remove(action.Conn) // the connect fails at once
 			case Wait:
-				next = do.At
+				next = action.At
 			}
 		}
 	}
@@ -76,54 +76,54 @@
 		l := Limits{PerNode: rapid.IntRange(1, 4).Draw(t, "node"), Total: rapid.IntRange(1, 8).Draw(t, "all"), StreamsPerConn: rapid.IntRange(1, 3).Draw(t, "streams"),
 			IdleMs: 500, MaxAgeMs: 3000, ConnectsPerSecond: 5, ConnectBurst: 4}
 		p := New(l)
-		up, under, on := map[*Conn]int{}, map[*Conn]bool{}, []*Conn{}
+		connected, connecting, open := map[*Conn]int{}, map[*Conn]bool{}, []*Conn{}
 		now := 0.0
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 300).Draw(t, "later")
 			node := rapid.IntRange(0, 2).Draw(t, "to")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				switch do := p.Acquire(now, node); do.Kind {
+				switch action := p.Acquire(now, node); action.Kind {
 				case Connect:
-					under[do.Conn] = true
+					connecting[action.Conn] = true
 				case Use:
-					if up[do.Conn]++; up[do.Conn] > l.StreamsPerConn || do.Conn.Node != node || under[do.Conn] {
-						t.Fatalf("connection %+v for node %d is used with %d requests in flight, limit %d", do.Conn, node, up[do.Conn], l.StreamsPerConn)
+					if connected[action.Conn]++; connected[action.Conn] > l.StreamsPerConn || action.Conn.Node != node || connecting[action.Conn] {
+						t.Fatalf("connection %+v for node %d is used with %d requests in flight, limit %d", action.Conn, node, connected[action.Conn], l.StreamsPerConn)
 					}
-					on = append(on, do.Conn)
+					open = append(open, action.Conn)
 				}
 			case 2:
-				for c := range under {
-					delete(under, c)
+				for c := range connecting {
+					delete(connecting, c)
 					if rapid.Bool().Draw(t, "had") {
 						p.MarkConnected(now, c, 0)
-						up[c] = 1
-						on = append(on, c)
+						connected[c] = 1
+						open = append(open, c)
 					} else {
 						p.Remove(c)
 					}
 					break
 				}
 			case 3:
-				if len(on) > 0 {
-					c := on[0]
-					on = on[1:]
-					up[c]--
+				if len(open) > 0 {
+					c := open[0]
+					open = open[1:]
+					connected[c]--
 					if p.Release(now, c); p.ShouldClose(now, c) {
 						p.Remove(c)
-						delete(up, c)
+						delete(connected, c)
 					}
 				}
 			default:
 				for _, c := range p.DrainNode(node) {
-					if _, is := up[c]; is && c.InFlight() == 0 {
+					if _, is := connected[c]; is && c.InFlight() == 0 {
 						p.Remove(c)
-						delete(up, c)
+						delete(connected, c)
 					}
 				}
 			}
-			if p.Len() != len(up)+len(under) || p.Len() > l.Total || p.NodeLen(node) > l.PerNode {
-				t.Fatalf("%d connections, want %d connected and %d being connected", p.Len(), len(up), len(under))
+			if p.Len() != len(connected)+len(connecting) || p.Len() > l.Total || p.NodeLen(node) > l.PerNode {
+				t.Fatalf("%d connections, want %d connected and %d being connected", p.Len(), len(connected), len(connecting))
 			}
 		}
 	})
--- a/internal/client/members/members.go
+++ b/internal/client/members/members.go
@@ -136,7 +136,7 @@
 	return true
 }
 
-// forget deletes nodes that were delisted long ago and have not answered since.
+// forget deletes nodes that were delisted long ago and have not answered lately.
 func (m *Members) forget(now float64) {
 	for name, member := range m.byName {
 		if !member.listed && now-member.changedAt > max(lastResortMs, ownReportMs) &&
--- a/internal/client/members/members_test.go
+++ b/internal/client/members/members_test.go
@@ -27,10 +27,10 @@
 // Guards against the wrong precedence between lists and the nodes' own reports, which depends on their age.
 func TestListsAndReports(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(m *Members)
-		at   float64
-		want []string
+		name  string
+		steps func(m *Members)
+		at    float64
+		want  []string
 	}{
 		{"one list", func(m *Members) {}, 100, []string{"a", "b", "c", "d"}},
 		{"a node reports draining", func(m *Members) { m.MarkDraining(200, "b") }, 300, []string{"a", "c", "d"}},
@@ -57,7 +57,7 @@
 		m := New(1, 0)
 		m.SetList(0, 0, nodes("a", "b", "c", "d"))
 		m.InUse(0)
-		c.do(m)
+		c.steps(m)
 		if diff := cmp.Diff(c.want, names(m.InUse(c.at))); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
 		}
--- a/internal/client/route/route_test.go
+++ b/internal/client/route/route_test.go
@@ -123,14 +123,14 @@
 			fail(20e3, id)
 		}
 	}
-	out := 0
+	ejected := 0
 	for id := range use {
 		if r.Ejected(20001, id) {
-			out++
+			ejected++
 		}
 	}
-	if out != 3 {
-		t.Errorf("%d of 10 nodes are ejected, want 3", out)
+	if ejected != 3 {
+		t.Errorf("%d of 10 nodes are ejected, want 3", ejected)
 	}
 }
 
@@ -192,13 +192,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(fullScanNodes-1, fullScanNodes+9)).Draw(t, "nodes")
 		use, r := fleet(n), New()
-		out := make([]int, n)
+		inFlight := make([]int, n)
 		now := 0.0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 2000).Draw(t, "later")
 			i := rapid.IntRange(0, n-1).Draw(t, "node")
-			if out[i] > 0 && rapid.Bool().Draw(t, "ends") {
-				out[i]--
+			if inFlight[i] > 0 && rapid.Bool().Draw(t, "ends") {
+				inFlight[i]--
 				r.TryEnded(now, i, Result{Took: rapid.Float64Range(0, 5000).Draw(t, "took"), Credit: rapid.Float64Range(-1, 5).Draw(t, "credit"),
 					RetryAfter: rapid.Float64Range(0, 500).Draw(t, "wait"), Failed: rapid.Bool().Draw(t, "failed"), Cancelled: rapid.Bool().Draw(t, "cancelled"),
 					Refused: rapid.Bool().Draw(t, "refused"), NoResponse: rapid.Bool().Draw(t, "no response")}, n)
@@ -211,11 +211,11 @@
 			}
 			if m != nil {
 				r.TrySent(now, m.ID)
-				out[m.ID]++
+				inFlight[m.ID]++
 			}
 			for j := range n {
-				if got := r.NodeStats(j, now).InFlight; got != out[j] {
-					t.Fatalf("node %d has %d requests in flight, want %d", j, got, out[j])
+				if got := r.NodeStats(j, now).InFlight; got != inFlight[j] {
+					t.Fatalf("node %d has %d requests in flight, want %d", j, got, inFlight[j])
 				}
 			}
 		}
