--- a/internal/client/connpool/connpool_test.go
+++ b/internal/client/connpool/connpool_test.go
@@ -32,7 +32,7 @@
 	p.Release(7, a.Conn)
 	p.Release(8, a.Conn)
 	if !p.ShouldClose(9, a.Conn) {
-		t.Error("a drained connection without requests should not be closed")
+		t.Error("a drained connection without requests is not closed")
 	}
 	p.Remove(a.Conn)
 	p.Release(10, c.Conn)
