--- a/internal/classindex/classindex.go
+++ b/internal/classindex/classindex.go
@@ -1,7 +1,7 @@
-// Package classindex gives the classes of requests their places while new settings add and drop classes under load. A
-// class keeps its place for as long as it is in the settings; one that is dropped keeps it for what is in hand, and
-// the place is given to another class only when nothing of the old one can be in hand any more. It does no I/O and has
-// no clock.
+// Package classindex assigns indices to the classes of requests while reloaded settings add and remove classes under
+// load. A class keeps its index while it is in the settings. The index of a removed class stays reserved for the
+// requests in progress, and is reused for another class only when no request of the old class can be in progress any
+// more. The package does no I/O and has no clock. Times are in milliseconds.
 package classindex
 
 import (
@@ -12,87 +12,88 @@
 	"whinrudder/internal/settings"
 )
 
-// MaxIndices bounds the places, those of dropped classes included.
+// MaxIndices bounds the number of indices, including those reserved for removed classes.
 const MaxIndices = 128
 
-// restFor is how long the place of a dropped class rests beyond the class's deadline, in milliseconds: requests that
-// were read before are in hand at most that long, and what is known of their runs goes with them.
-const restFor = 15e3
+// indexReuseDelayMs is how long the index of a removed class stays reserved beyond the class's deadline. Requests that
+// were read before the removal are in progress for at most that long, and so is what the node knows about their runs.
+const indexReuseDelayMs = 15e3
 
-// Allocator holds the places of classes.
+// Allocator assigns indices to classes. Its slices are indexed by them.
 type Allocator struct {
-	names   []string // by place; those of dropped classes included
-	classes []whinrudder.Class
-	free    []float64 // when the place may be given to another class; 0: the class is in the settings
+	names      []string // including those of removed classes
+	classes    []whinrudder.Class
+	reusableAt []float64 // when another class may get the index; 0: the class is in the settings
 }
 
-// New returns a catalog of the classes that settings begin with, each in its place there.
+// New returns an allocator in which each class of the settings has its position there as index.
 func New(s settings.Settings) *Allocator {
 	return &Allocator{slices.Clone(s.ClassNames), slices.Clone(s.Policy.Classes), make([]float64, len(s.ClassNames))}
 }
 
-// View is the catalog after a change. What reads it must not change it.
+// View is a copy of the assignment of indices at one time. Its readers must not modify it.
 type View struct {
-	Settings   whinrudder.Settings // with classes by place
-	Names      []string            // by place
-	Active     map[string]int      // places of the classes that are in the settings
-	NewIndices []int               // places that begin anew
+	Settings   whinrudder.Settings // their Classes are ordered by index and include the removed ones
+	Names      []string            // names of the classes by index
+	Active     map[string]int      // indices of the classes that are in the settings, by name
+	NewIndices []int               // indices that the last update assigned to a new class
 }
 
-// View returns the catalog as it is under settings.
-func (c *Allocator) View(s whinrudder.Settings) View {
-	v := View{Settings: s, Names: slices.Clone(c.names), Active: map[string]int{}}
-	v.Settings.Classes = slices.Clone(c.classes)
-	for i, n := range c.names {
-		if c.free[i] == 0 {
+// View returns the present assignment together with the given settings, whose classes it replaces.
+func (a *Allocator) View(s whinrudder.Settings) View {
+	v := View{Settings: s, Names: slices.Clone(a.names), Active: map[string]int{}}
+	v.Settings.Classes = slices.Clone(a.classes)
+	for i, n := range a.names {
+		if a.reusableAt[i] == 0 {
 			v.Active[n] = i
 		}
 	}
 	return v
 }
 
-// Update takes over the classes of new settings at a time. An error means that nothing was changed: there are no
-// places left.
-func (c *Allocator) Update(s settings.Settings, now float64) (View, error) {
-	next := Allocator{slices.Clone(c.names), slices.Clone(c.classes), slices.Clone(c.free)}
-	var fresh []int
-	// One that may run another number of times than before is another class: what is in hand of the old one stays that.
-	place := func(name string, k whinrudder.Class) int {
+// Update applies the classes of new settings at time now. It returns an error, and changes nothing, if the indices run
+// out.
+func (a *Allocator) Update(s settings.Settings, now float64) (View, error) {
+	next := Allocator{slices.Clone(a.names), slices.Clone(a.classes), slices.Clone(a.reusableAt)}
+	var added []int
+	// A class whose Repeat has changed counts as another class: the requests in progress keep the old value.
+	find := func(name string, class whinrudder.Class) int {
 		for i := range next.names {
-			if next.names[i] == name && next.classes[i].Repeat == k.Repeat {
+			if next.names[i] == name && next.classes[i].Repeat == class.Repeat {
 				return i
 			}
 		}
 		return -1
 	}
-	stays := map[int]bool{}
+	kept := map[int]bool{}
 	for i, n := range s.ClassNames {
-		stays[place(n, s.Policy.Classes[i])] = true
+		kept[find(n, s.Policy.Classes[i])] = true
 	}
 	for i := range next.names {
-		if next.free[i] == 0 && !stays[i] {
-			next.free[i] = now + next.classes[i].Deadline + restFor
+		if next.reusableAt[i] == 0 && !kept[i] {
+			next.reusableAt[i] = now + next.classes[i].Deadline + indexReuseDelayMs
 		}
 	}
 	for i, n := range s.ClassNames {
-		at := place(n, s.Policy.Classes[i])
-		if at < 0 {
-			at = slices.IndexFunc(next.free, func(t float64) bool { return t > 0 && t <= now })
-			if at < 0 {
-				at = len(next.names)
+		index := find(n, s.Policy.Classes[i])
+		if index < 0 {
+			index = slices.IndexFunc(next.reusableAt, func(t float64) bool { return t > 0 && t <= now })
+			if index < 0 {
+				index = len(next.names)
 				next.names, next.classes = append(next.names, ""), append(next.classes, whinrudder.Class{})
-				next.free = append(next.free, 0)
+				next.reusableAt = append(next.reusableAt, 0)
 			}
-			fresh = append(fresh, at)
+			added = append(added, index)
 		}
-		// A class that comes back is what it was, and what was learned of it holds.
-		next.names[at], next.classes[at], next.free[at] = n, s.Policy.Classes[i], 0
+		// A class that returns gets its old index, and what was learned about it remains valid.
+		next.names[index], next.classes[index], next.reusableAt[index] = n, s.Policy.Classes[i], 0
 	}
 	if len(next.names) > MaxIndices {
-		return View{}, fmt.Errorf("catalog: %d places for classes are wanted, those dropped lately included, %d at most", len(next.names), MaxIndices)
+		return View{}, fmt.Errorf("classindex: %d class indices needed, including those of recently removed classes, %d at most",
+			len(next.names), MaxIndices)
 	}
-	*c = next
-	v := c.View(s.Policy)
-	v.NewIndices = fresh
+	*a = next
+	v := a.View(s.Policy)
+	v.NewIndices = added
 	return v, nil
 }
