--- a/internal/classindex/classindex.go
+++ b/internal/classindex/classindex.go
@@ -39,7 +39,7 @@
 	NewIndices []int               // indices that the last update assigned to a new class
 }
 
-// View returns the present assignment together with the given settings, whose classes it replaces.
+// View returns the present assignment. Its Settings are s with the classes replaced by those of the allocator.
 func (a *Allocator) View(s whinrudder.Settings) View {
 	v := View{Settings: s, Names: slices.Clone(a.names), Active: map[string]int{}}
 	v.Settings.Classes = slices.Clone(a.classes)
--- a/internal/classindex/classindex_test.go
+++ b/internal/classindex/classindex_test.go
@@ -103,7 +103,8 @@
 			seen := map[int]bool{}
 			for i, n := range s.ClassNames {
 				index, ok := w.Active[n]
-				if !ok || seen[index] || w.Names[index] != n || w.Settings.Classes[index] != s.Policy.Classes[i] {
+				if !ok || seen[index] || w.Names[index] != n ||
+					w.Settings.Classes[index] != s.Policy.Classes[i] {
 					t.Fatalf("class %s has index %d, want an index of its own with its name and settings, in %+v", n, index, w)
 				}
 				seen[index] = true
--- a/internal/knowledge/merge.go
+++ b/internal/knowledge/merge.go
@@ -268,10 +268,11 @@
 		for _, o := range votes {
 			maxWeight = max(maxWeight, o.weight)
 		}
-		c := reports[v.donor].Classes[slices.IndexFunc(reports[v.donor].Classes, func(c Class) bool { return c.Name == n })]
+		c := reports[v.donor].Classes[slices.IndexFunc(reports[v.donor].Classes,
+			func(c Class) bool { return c.Name == n })]
 		time := v.value * scale.value
-		m.prior.Classes[at].Cost = whinrudder.CostModel{N: maxWeight * share, Age: c.Cost.Age, Work: c.Cost.Work, Time: time,
-			WorkWork: c.Cost.WorkWork, WorkTime: c.Cost.WorkTime * time / c.Cost.Time}
+		m.prior.Classes[at].Cost = whinrudder.CostModel{N: maxWeight * share, Age: c.Cost.Age, Work: c.Cost.Work,
+			Time: time, WorkWork: c.Cost.WorkWork, WorkTime: c.Cost.WorkTime * time / c.Cost.Time}
 	}
 }
 
--- a/internal/knowledge/write.go
+++ b/internal/knowledge/write.go
@@ -9,7 +9,8 @@
 
 // WriteReport writes a report as a table for people, with the age of each estimate.
 func WriteReport(w io.Writer, r Report) {
-	fmt.Fprintf(w, "node %s  life %.0f s  cores %d  warm %t  draining %t\n", r.Node, r.Uptime/1000, r.Cores, r.Warm, r.Draining)
+	fmt.Fprintf(w, "node %s  life %.0f s  cores %d  warm %t  draining %t\n",
+		r.Node, r.Uptime/1000, r.Cores, r.Warm, r.Draining)
 	fmt.Fprintf(w, "%-24s %6s %8s %10s %8s  %s\n", "class", "runs", "age s", "core ms", "share", "usual waits ms")
 	total := 0.0
 	for _, c := range r.Classes {
