--- a/internal/peer/exchange_test.go
+++ b/internal/peer/exchange_test.go
@@ -16,20 +16,22 @@
 	"whinrudder/internal/knowledge"
 )
 
-var record = flag.Bool("record", false, "write the transcripts of the exchanges anew")
+var record = flag.Bool("record", false, "rewrite the transcripts of the exchanges")
 
-func sample() knowledge.Report {
+// sampleReport returns the report that the exchanges contain.
+func sampleReport() knowledge.Report {
 	return knowledge.Report{Node: "n3", Uptime: 90000, Cores: 6, Warm: true, Classes: []knowledge.Class{
 		{Name: "status-lookup", ClassKnowledge: whinrudder.ClassKnowledge{Share: 40, Waits: []float64{5580, 5580},
 			Cost: whinrudder.CostModel{N: 120, Age: 250, Time: 512.5}}},
-		{Name: "payout-book", ClassKnowledge: whinrudder.ClassKnowledge{Share: 35.5, Cost: whinrudder.CostModel{N: 44, Age: 3000,
-			Time: 498}}}},
+		{Name: "payout-book", ClassKnowledge: whinrudder.ClassKnowledge{Share: 35.5,
+			Cost: whinrudder.CostModel{N: 44, Age: 3000, Time: 498}}}},
 		Limit: whinrudder.Estimate{Value: 2.5, N: 80, Age: 500}}
 }
 
-// An exchange is a file of lines: "in HEX" are bytes that come, fed as they stand, or the name of a frame in place of
-// HEX; "do" is what the driver does then; the rest is what the machine says and answers, byte by byte.
-func inBytes(t *testing.T, words []string) []byte {
+// inputBytes returns the bytes of an input line of an exchange. An exchange is a file of lines: "in HEX" is input, with
+// the bytes in hexadecimal or the name of a frame with its arguments; "do" is an action of the driver; the other lines
+// are the expected events and the exact bytes of the output.
+func inputBytes(t *testing.T, words []string) []byte {
 	t.Helper()
 	switch words[0] {
 	case "hello":
@@ -38,18 +40,18 @@
 			v, _ := strconv.ParseUint(w, 10, 8)
 			versions = append(versions, v)
 		}
-		return frame(nil, KindHello, hello{"n9", versions})
+		return appendMessage(nil, KindHello, helloPayload{"n9", versions})
 	case "take":
 		return AppendFrame(nil, Frame{KindTake, nil})
 	case "welcome":
-		return frame(nil, KindWelcome, SummaryOf(sample()))
+		return appendMessage(nil, KindWelcome, SummaryOf(sampleReport()))
 	case "sections":
-		return AppendSections(nil, sample())
+		return AppendSections(nil, sampleReport())
 	case "busy":
 		ms, _ := strconv.ParseFloat(words[1], 64)
-		return frame(nil, KindBusy, busy{ms, "busy"})
+		return appendMessage(nil, KindBusy, busyPayload{ms, "busy"})
 	case "refuse":
-		return frame(nil, KindRefuse, refuse{words[1]})
+		return appendMessage(nil, KindRefuse, refusePayload{words[1]})
 	}
 	b, err := hex.DecodeString(strings.Join(words, ""))
 	if err != nil {
@@ -58,13 +60,14 @@
 	return b
 }
 
+// The words for steps and events in the exchanges.
 var stepWords = []string{"read", "welcome", "give", "end"}
-var newsWords = []string{"none", "welcome", "busy", "whole", "refused", "sections"}
+var eventWords = []string{"none", "welcome", "busy", "whole", "refused", "sections"}
 
-// playGiver and playTaker play the lines that come and return the whole transcript.
-func playGiver(t *testing.T, lines []string) (out []string) {
-	g := NewSourceConn(1000)
-	tell := func(step Step, b []byte, bad *Fault) {
+// playSource runs the input and driver lines of an exchange through a SourceConn and returns the whole transcript.
+func playSource(t *testing.T, lines []string) (out []string) {
+	c := NewSourceConn(1000)
+	addStep := func(step Step, b []byte, bad *Fault) {
 		if len(b) > 0 {
 			out = append(out, "out "+hex.EncodeToString(b))
 		}
@@ -78,38 +81,40 @@
 		switch words[0] {
 		case "in":
 			out = append(out, l)
-			tell(g.Feed(inBytes(t, words[1:])))
+			addStep(c.Feed(inputBytes(t, words[1:])))
 		case "do":
 			out = append(out, l)
 			switch words[1] {
 			case "welcome":
-				tell(g.SendWelcome(SummaryOf(sample())))
+				addStep(c.SendWelcome(SummaryOf(sampleReport())))
 			case "give":
-				tell(g.SendReport(sample()))
+				addStep(c.SendReport(sampleReport()))
 			case "busy":
-				tell(g.SendBusy("busy", 1500))
+				addStep(c.SendBusy("busy", 1500))
 			}
 		}
 	}
 	return out
 }
 
-func playTaker(t *testing.T, lines []string) (out []string) {
-	k, b := NewReceiverConn("n9")
+// playReceiver does the same with a ReceiverConn.
+func playReceiver(t *testing.T, lines []string) (out []string) {
+	c, b := NewReceiverConn("n9")
 	out = append(out, "out "+hex.EncodeToString(b))
 	for _, l := range lines {
 		words := strings.Fields(l)
 		switch words[0] {
 		case "in":
 			out = append(out, l)
-			news, bad := k.Feed(inBytes(t, words[1:]))
-			r, whole := k.Report()
-			out = append(out, fmt.Sprintf("news %s classes=%d whole=%t code=%s", newsWords[news], len(r.Classes), whole, k.Code))
+			event, bad := c.Feed(inputBytes(t, words[1:]))
+			r, whole := c.Report()
+			out = append(out, fmt.Sprintf("news %s classes=%d whole=%t code=%s", eventWords[event], len(r.Classes),
+				whole, c.Code))
 			if bad != nil {
 				out = append(out, "fault "+bad.Code)
 			}
 		case "do":
-			out = append(out, l, "out "+hex.EncodeToString(k.RequestSections()))
+			out = append(out, l, "out "+hex.EncodeToString(c.RequestSections()))
 		}
 	}
 	return out
@@ -118,7 +123,7 @@
 func TestExchanges(t *testing.T) {
 	files, _ := filepath.Glob("testdata/exchanges/*.txt")
 	if len(files) < 10 {
-		t.Fatal("exchanges are missing: ", files)
+		t.Fatal("exchange files are missing, found only ", files)
 	}
 	for _, f := range files {
 		t.Run(filepath.Base(f), func(t *testing.T) {
@@ -126,21 +131,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var remarks, lines []string
+			var comments, lines []string
 			for l := range strings.Lines(string(text)) {
 				if l = strings.TrimSpace(l); strings.HasPrefix(l, "#") {
-					remarks = append(remarks, l)
+					comments = append(comments, l)
 				} else if l != "" {
 					lines = append(lines, l)
 				}
 			}
-			play := playGiver
+			play := playSource
 			if strings.HasPrefix(filepath.Base(f), "taker") {
-				play = playTaker
+				play = playReceiver
 			}
 			got := play(t, lines)
 			if *record {
-				all := strings.Join(append(remarks, got...), "\n") + "\n"
+				all := strings.Join(append(comments, got...), "\n") + "\n"
 				if err := os.WriteFile(f, []byte(all), 0o600); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/peer/receiver.go
+++ b/internal/peer/receiver.go
@@ -2,122 +2,126 @@
 
 import "whinrudder/internal/knowledge"
 
-// Event is what a taker has heard from its giver.
+// Event is what a receiver has learned from the frames of its source.
 type Event uint8
 
-// The news.
+// The events.
 const (
 	EventNone     Event = iota
-	EventWelcome        // the giver told its head
-	EventBusy           // it asks to come back later
-	EventComplete       // all sections are there
-	EventRefused        // it ended the connection with a code
-	EventSections       // some sections came
+	EventWelcome        // the source sent its Summary
+	EventBusy           // the source asks for a retry after RetryMs
+	EventComplete       // all sections have arrived
+	EventRefused        // the source refused, with a Code
+	EventSections       // at least one section has arrived
 )
 
-// ReceiverConn is the state machine of one connection at the node that takes.
+// ReceiverConn is the state machine of one connection at the receiving node.
 type ReceiverConn struct {
-	r       Reader
-	head    *Summary
-	asked   bool
-	g       *ReportAssembler
-	RetryMs float64 // after EventBusy: how long to stay away, in milliseconds
-	Code    string  // after EventBusy and EventRefused
+	reader    Reader
+	summary   *Summary
+	requested bool
+	assembler *ReportAssembler
+	RetryMs   float64 // after EventBusy: time to wait before a retry, in milliseconds
+	Code      string  // after EventBusy and EventRefused: the reason
 }
 
-// NewReceiverConn returns the taker of a new connection, and the bytes that open it.
+// NewReceiverConn returns the state machine of a new connection, and the bytes to send first.
 func NewReceiverConn(node string) (*ReceiverConn, []byte) {
-	return &ReceiverConn{}, frame(nil, KindHello, hello{node, []uint64{Version}})
+	return &ReceiverConn{}, appendMessage(nil, KindHello, helloPayload{node, []uint64{Version}})
 }
 
-// RequestSections returns the bytes that ask for the sections. It is called once, after EventWelcome.
-func (t *ReceiverConn) RequestSections() []byte {
-	t.asked = true
+// RequestSections returns the bytes that request the sections. It must be called only once, after EventWelcome.
+func (c *ReceiverConn) RequestSections() []byte {
+	c.requested = true
 	return AppendFrame(nil, Frame{KindTake, nil})
 }
 
-// Cancel returns the bytes by which a taker that needs no more takes its leave.
-func (t *ReceiverConn) Cancel() []byte { return frame(nil, KindRefuse, refuse{"enough"}) }
+// Cancel returns the bytes by which a receiver that needs no more data ends the connection.
+func (c *ReceiverConn) Cancel() []byte {
+	return appendMessage(nil, KindRefuse, refusePayload{"enough"})
+}
 
-// Summary returns the giver's summary after EventWelcome.
-func (t *ReceiverConn) Summary() Summary { return *t.head }
+// Summary returns the source's summary. It must be called only after EventWelcome.
+func (c *ReceiverConn) Summary() Summary { return *c.summary }
 
-// Report returns what has come whole so far, and whether that is all. Ages are those at the giver.
-func (t *ReceiverConn) Report() (r knowledge.Report, whole bool) {
-	if t.g == nil {
+// Report returns the report of the sections that have arrived so far, and whether it is complete. The ages are those
+// at the time when the source sent it.
+func (c *ReceiverConn) Report() (r knowledge.Report, complete bool) {
+	if c.assembler == nil {
 		return r, false
 	}
-	return t.g.Report()
+	return c.assembler.Report()
 }
 
-// Feed takes bytes and returns the last thing that was heard in them. A fault ends the connection; what came whole
-// before it counts.
-func (t *ReceiverConn) Feed(b []byte) (Event, *Fault) {
-	t.r.Feed(b)
-	news := EventNone
+// Feed processes bytes that were read and returns the last event in them. A fault ends the connection; sections that
+// arrived before it remain in the report, unless one of them has an invalid value.
+func (c *ReceiverConn) Feed(b []byte) (Event, *Fault) {
+	c.reader.Feed(b)
+	event := EventNone
 	for {
-		f, ok, bad := t.r.Next()
+		f, ok, bad := c.reader.Next()
 		if bad != nil {
-			return news, bad
+			return event, bad
 		}
 		if !ok {
-			return news, nil
+			return event, nil
 		}
-		n, bad := t.frame(f)
+		next, bad := c.handleFrame(f)
 		if bad != nil {
-			return news, bad
+			return event, bad
 		}
-		news = n
-		if n != EventSections && n != EventWelcome {
-			return n, nil // nothing more is to be heard
+		event = next
+		if next != EventSections && next != EventWelcome {
+			return next, nil // no further frame is expected
 		}
 	}
 }
 
-func (t *ReceiverConn) frame(f Frame) (Event, *Fault) {
+func (c *ReceiverConn) handleFrame(f Frame) (Event, *Fault) {
 	switch {
-	case f.Kind == KindBusy && (t.g == nil || t.g.sections == 0):
-		var b busy
-		if bad := read(f, &b); bad != nil {
+	case f.Kind == KindBusy && (c.assembler == nil || c.assembler.sections == 0):
+		var b busyPayload
+		if bad := decodePayload(f, &b); bad != nil {
 			return EventNone, bad
 		}
-		if !(b.Retry >= 0 && b.Retry <= MaxRetryMs) {
-			return EventNone, fault("bad-figure", "retry_ms is %v, which no giver may say", b.Retry)
+		if !(b.RetryMs >= 0 && b.RetryMs <= MaxRetryMs) {
+			return EventNone, newFault("bad-figure", "retry_ms is %v, which is out of range", b.RetryMs)
 		}
-		t.RetryMs, t.Code = b.Retry, word(b.Code)
+		c.RetryMs, c.Code = b.RetryMs, sanitizeCode(b.Code)
 		return EventBusy, nil
 	case f.Kind == KindRefuse:
-		var r refuse
-		if bad := read(f, &r); bad != nil {
+		var r refusePayload
+		if bad := decodePayload(f, &r); bad != nil {
 			return EventNone, bad
 		}
-		t.Code = word(r.Code)
+		c.Code = sanitizeCode(r.Code)
 		return EventRefused, nil
-	case f.Kind == KindWelcome && t.head == nil:
+	case f.Kind == KindWelcome && c.summary == nil:
 		var h Summary
-		if bad := read(f, &h); bad != nil {
+		if bad := decodePayload(f, &h); bad != nil {
 			return EventNone, bad
 		}
-		t.g = NewReportAssembler(h)
-		if err := t.g.report.Check(); err != nil {
-			return EventNone, fault("bad-figure", "%v", err)
+		c.assembler = NewReportAssembler(h)
+		if err := c.assembler.report.Check(); err != nil {
+			return EventNone, newFault("bad-figure", "%v", err)
 		}
-		t.head = &h
+		c.summary = &h
 		return EventWelcome, nil
-	case (f.Kind == KindSection || f.Kind == KindEnd) && t.asked && t.g != nil:
-		if bad := t.g.Add(f); bad != nil {
+	case (f.Kind == KindSection || f.Kind == KindEnd) && c.requested && c.assembler != nil:
+		if bad := c.assembler.Add(f); bad != nil {
 			return EventNone, bad
 		}
-		if t.g.whole {
+		if c.assembler.complete {
 			return EventComplete, nil
 		}
 		return EventSections, nil
 	}
-	return EventNone, fault("bad-order", "a frame of kind %d", f.Kind)
+	return EventNone, newFault("bad-order", "unexpected frame of kind %d", f.Kind)
 }
 
-// word makes a peer's code fit for a log line.
-func word(s string) string {
+// sanitizeCode returns a peer's code without the characters that a log line must not contain, and at most 32 bytes
+// long.
+func sanitizeCode(s string) string {
 	out := []byte{}
 	for i := 0; i < len(s) && i < 32; i++ {
 		if c := s[i]; c == '-' || c >= 'a' && c <= 'z' || c >= '0' && c <= '9' {
--- a/internal/peer/selection.go
+++ b/internal/peer/selection.go
@@ -8,77 +8,82 @@
 	"whinrudder/internal/knowledge"
 )
 
-// Limits of a round.
+// Limits of a selection.
 const (
-	MaxSources = 64  // donors that are considered
-	wantDonors = 3   // reports that are wanted: with three, one that is wrong is outvoted
-	askAtOnce  = 6   // connections at a time
-	headsFor   = 400 // donors are compared once so long has passed since the first welcome, or all have spoken
-	slowAfter  = 500 // a donor that has not given all by then gets a second beside it
+	MaxSources     = 64  // sources that are considered
+	wantedReports  = 3   // complete reports that end the selection: with three, a single wrong one is outvoted
+	maxConnections = 6   // concurrent connections
+	compareAfterMs = 400 // time after the first welcome to wait for those of other sources before comparing them
+	slowAfterMs    = 500 // duration of a transfer after which another source is used in addition
 )
 
-// Action is what a round wants of its driver, about one donor.
+// Action is what the driver of a selection must do with one source.
 type Action struct {
 	Kind ActionKind
 	Addr string
 }
 
-// ActionKind is a word of a round.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The words.
+// The kinds of actions.
 const (
-	ActionConnect ActionKind = iota // connect and say hello
-	ActionRequest                   // ask for the sections
-	ActionClose                     // take leave and close
+	ActionConnect ActionKind = iota // connect and send the hello
+	ActionRequest                   // request the sections
+	ActionClose                     // tell the source that no more data is needed, and close the connection
 )
 
+// donorState is the state of one source in a selection.
 type donorState uint8
 
 const (
-	waiting  donorState = iota // not asked yet, or put off
-	asked                      // connected, no welcome yet
-	welcomed                   // may be taken from
-	taking
+	waiting    donorState = iota // not connected yet, or asked to retry later
+	connecting                   // no welcome received yet
+	welcomed                     // summary received
+	transferring
 	done
 	failed
 )
 
+// donor is one source in a selection.
 type donor struct {
-	addr   string
-	state  donorState
-	head   Summary
-	at     float64 // when it may be asked, or when it was taken from
-	second bool    // another was asked beside it, as it was slow
-	report knowledge.Report
-	whole  bool
-}
-
-// SourceSelection is the choice of donors of one start: whom to ask, whom to take from, and when it is enough. It prefers donors
-// that are not draining and warm, then those whose knowledge rests on most runs, then the longest observed.
+	addr     string
+	state    donorState
+	summary  Summary
+	at       float64 // when waiting: earliest time to connect; when transferring: start of the transfer
+	slow     bool    // the transfer takes so long that it no longer counts as one in progress
+	report   knowledge.Report
+	complete bool
+}
+
+// SourceSelection decides, for one start of a node, which sources to connect to, which to request knowledge from, and
+// when there is enough. It uses only sources that are warm and not draining, and prefers those whose knowledge is based
+// on the most runs, then those with the longest uptime.
 type SourceSelection struct {
-	by     float64
-	first  float64 // when the first welcome came; 0: none yet
-	donors []*donor
-	over   bool
+	deadline       float64
+	firstWelcomeAt float64 // when the first welcome was received; 0: none yet
+	donors         []*donor
+	finished       bool
 }
 
-// NewSourceSelection returns a round over some donors, in the order in which they are to be asked, that ends at an absolute time.
-func NewSourceSelection(addrs []string, by float64) *SourceSelection {
-	r := &SourceSelection{by: by}
+// NewSourceSelection returns a selection among the sources at some addresses. It connects to them in that order and ends
+// at the absolute time deadline.
+func NewSourceSelection(addrs []string, deadline float64) *SourceSelection {
+	s := &SourceSelection{deadline: deadline}
 	for _, a := range addrs {
-		if len(r.donors) < MaxSources && !slices.ContainsFunc(r.donors, func(d *donor) bool { return d.addr == a }) {
-			r.donors = append(r.donors, &donor{addr: a})
+		if len(s.donors) < MaxSources && !slices.ContainsFunc(s.donors, func(d *donor) bool { return d.addr == a }) {
+			s.donors = append(s.donors, &donor{addr: a})
 		}
 	}
-	return r
+	return s
 }
 
-// Deadline returns the absolute time at which the round ends.
-func (r *SourceSelection) Deadline() float64 { return r.by }
+// Deadline returns the absolute time at which the selection ends.
+func (s *SourceSelection) Deadline() float64 { return s.deadline }
 
-func (r *SourceSelection) find(addr string) *donor {
-	for _, d := range r.donors {
+// find returns the donor with an address, or a failed one if there is none.
+func (s *SourceSelection) find(addr string) *donor {
+	for _, d := range s.donors {
 		if d.addr == addr {
 			return d
 		}
@@ -86,147 +91,150 @@
 	return &donor{state: failed}
 }
 
-// HandleWelcome notes the head of a donor.
-func (r *SourceSelection) HandleWelcome(now float64, addr string, h Summary) {
-	if d := r.find(addr); d.state == asked {
-		d.state, d.head = welcomed, h
-		if r.first == 0 {
-			r.first = now
+// HandleWelcome records the summary of a source.
+func (s *SourceSelection) HandleWelcome(now float64, addr string, h Summary) {
+	if d := s.find(addr); d.state == connecting {
+		d.state, d.summary = welcomed, h
+		if s.firstWelcomeAt == 0 {
+			s.firstWelcomeAt = now
 		}
 	}
 }
 
-// HandleBusy notes that a donor wants to be asked again after so long.
-func (r *SourceSelection) HandleBusy(now float64, addr string, retry float64) {
-	if d := r.find(addr); d.state == asked || d.state == welcomed || d.state == taking {
-		d.state, d.at = waiting, now+math.Max(1, retry)
+// HandleBusy records that a source asks for a retry after a time in milliseconds.
+func (s *SourceSelection) HandleBusy(now float64, addr string, retryMs float64) {
+	if d := s.find(addr); d.state == connecting || d.state == welcomed || d.state == transferring {
+		d.state, d.at = waiting, now+math.Max(1, retryMs)
 	}
 }
 
-// HandleFailure notes that a donor is of no use any more. What came whole of it before may count.
-func (r *SourceSelection) HandleFailure(addr string, part knowledge.Report) {
-	if d := r.find(addr); d.state != done {
-		d.state, d.report = failed, part
+// HandleFailure records that a source can't be used any more, with the sections that it sent before.
+func (s *SourceSelection) HandleFailure(addr string, partial knowledge.Report) {
+	if d := s.find(addr); d.state != done {
+		d.state, d.report = failed, partial
 	}
 }
 
-// HandleReport notes all that a donor has to give, aged to the present.
-func (r *SourceSelection) HandleReport(addr string, all knowledge.Report) {
-	if d := r.find(addr); d.state == taking {
-		d.state, d.report, d.whole = done, all, true
+// HandleReport records the complete report of a source, with ages as of now.
+func (s *SourceSelection) HandleReport(addr string, report knowledge.Report) {
+	if d := s.find(addr); d.state == transferring {
+		d.state, d.report, d.complete = done, report, true
 	}
 }
 
-func (r *SourceSelection) count(in ...donorState) (n int) {
-	for _, d := range r.donors {
-		if slices.Contains(in, d.state) {
+// count returns the number of sources in some states.
+func (s *SourceSelection) count(states ...donorState) (n int) {
+	for _, d := range s.donors {
+		if slices.Contains(states, d.state) {
 			n++
 		}
 	}
 	return n
 }
 
-// usable tells whether a welcomed donor is worth taking from.
+// usable reports whether a source is worth a transfer.
 func usable(h Summary) bool { return !h.Draining && h.Warm && h.Runs > 0 }
 
-// Step decides what is to be done now. It returns true once the round is over: by time, with enough reports, or with
-// nobody left to ask.
-func (r *SourceSelection) Step(now float64) (todo []Action, over bool) {
-	if r.over {
+// Step returns the actions to perform now. It returns true once the selection has ended: at its deadline, with enough
+// reports, or without any source left.
+func (s *SourceSelection) Step(now float64) (actions []Action, finished bool) {
+	if s.finished {
 		return nil, true
 	}
-	for _, d := range r.donors {
-		if d.state == welcomed && !usable(d.head) {
+	for _, d := range s.donors {
+		if d.state == welcomed && !usable(d.summary) {
 			d.state = failed
-			todo = append(todo, Action{ActionClose, d.addr})
+			actions = append(actions, Action{ActionClose, d.addr})
 		}
-		if d.state == taking && !d.second && now >= d.at+slowAfter {
-			d.second = true
+		if d.state == transferring && !d.slow && now >= d.at+slowAfterMs {
+			d.slow = true
 		}
 	}
-	comparing := r.first > 0 && now < r.first+headsFor && r.count(asked) > 0
+	comparing := s.firstWelcomeAt > 0 && now < s.firstWelcomeAt+compareAfterMs && s.count(connecting) > 0
 	if !comparing {
-		todo = append(todo, r.take(now)...)
-	}
-	todo = append(todo, r.ask(now)...)
-	if now >= r.by || r.count(done) >= wantDonors || r.idle(now) {
-		r.over = true
-		for _, d := range r.donors {
-			if d.state == asked || d.state == welcomed || d.state == taking {
-				todo = append(todo, Action{ActionClose, d.addr})
+		actions = append(actions, s.request(now)...)
+	}
+	actions = append(actions, s.connect(now)...)
+	if now >= s.deadline || s.count(done) >= wantedReports || s.idle(now) {
+		s.finished = true
+		for _, d := range s.donors {
+			if d.state == connecting || d.state == welcomed || d.state == transferring {
+				actions = append(actions, Action{ActionClose, d.addr})
 			}
 		}
 	}
-	return todo, r.over
+	return actions, s.finished
 }
 
-// take chooses the best of the welcomed donors until enough are at work; one that is slow does not count as one.
-func (r *SourceSelection) take(now float64) (todo []Action) {
-	var ready []*donor
-	busy := r.count(done)
-	for _, d := range r.donors {
+// request starts transfers from the best of the welcomed sources until enough are done or in progress. Slow ones do not
+// count.
+func (s *SourceSelection) request(now float64) (actions []Action) {
+	var candidates []*donor
+	working := s.count(done)
+	for _, d := range s.donors {
 		switch {
 		case d.state == welcomed:
-			ready = append(ready, d)
-		case d.state == taking && !d.second:
-			busy++
+			candidates = append(candidates, d)
+		case d.state == transferring && !d.slow:
+			working++
 		}
 	}
-	slices.SortStableFunc(ready, func(a, b *donor) int {
-		return cmp.Or(cmp.Compare(b.head.Runs, a.head.Runs), cmp.Compare(b.head.UptimeMs, a.head.UptimeMs))
+	slices.SortStableFunc(candidates, func(a, b *donor) int {
+		return cmp.Or(cmp.Compare(b.summary.Runs, a.summary.Runs), cmp.Compare(b.summary.UptimeMs, a.summary.UptimeMs))
 	})
-	for _, d := range ready[:min(len(ready), max(0, wantDonors-busy))] {
-		d.state, d.at = taking, now
-		todo = append(todo, Action{ActionRequest, d.addr})
+	for _, d := range candidates[:min(len(candidates), max(0, wantedReports-working))] {
+		d.state, d.at = transferring, now
+		actions = append(actions, Action{ActionRequest, d.addr})
 	}
-	return todo
+	return actions
 }
 
-// ask connects to donors that were not asked yet, as long as enough are not at hand.
-func (r *SourceSelection) ask(now float64) (todo []Action) {
-	for _, d := range r.donors {
-		if r.count(asked, welcomed, taking) >= askAtOnce || r.count(done)+r.count(welcomed) >= askAtOnce {
+// connect connects to waiting sources while there are too few connections and reports.
+func (s *SourceSelection) connect(now float64) (actions []Action) {
+	for _, d := range s.donors {
+		if s.count(connecting, welcomed, transferring) >= maxConnections ||
+			s.count(done)+s.count(welcomed) >= maxConnections {
 			break
 		}
 		if d.state == waiting && now >= d.at {
-			d.state = asked
-			todo = append(todo, Action{ActionConnect, d.addr})
+			d.state = connecting
+			actions = append(actions, Action{ActionConnect, d.addr})
 		}
 	}
-	return todo
+	return actions
 }
 
-// idle tells that nothing more can come of the round before its end.
-func (r *SourceSelection) idle(now float64) bool {
-	for _, d := range r.donors {
-		if d.state == waiting && d.at < r.by || d.state == asked || d.state == welcomed || d.state == taking {
+// idle reports whether no source can deliver anything more before the deadline.
+func (s *SourceSelection) idle(now float64) bool {
+	for _, d := range s.donors {
+		if d.state == waiting && d.at < s.deadline || d.state == connecting || d.state == welcomed || d.state == transferring {
 			return false
 		}
 	}
 	return true
 }
 
-// NextDeadline returns when Step must be called again at the latest.
-func (r *SourceSelection) NextDeadline(now float64) float64 {
-	next := r.by
-	for _, d := range r.donors {
+// NextDeadline returns the latest time at which Step must be called again.
+func (s *SourceSelection) NextDeadline(now float64) float64 {
+	next := s.deadline
+	for _, d := range s.donors {
 		switch {
 		case d.state == waiting && d.at > now:
 			next = min(next, d.at)
-		case d.state == taking && !d.second:
-			next = min(next, d.at+slowAfter)
-		case d.state == welcomed && r.first > 0:
-			next = min(next, max(now+1, r.first+headsFor))
+		case d.state == transferring && !d.slow:
+			next = min(next, d.at+slowAfterMs)
+		case d.state == welcomed && s.firstWelcomeAt > 0:
+			next = min(next, max(now+1, s.firstWelcomeAt+compareAfterMs))
 		}
 	}
 	return next
 }
 
-// Reports returns what is to be merged: all whole reports, or, if there is none, what came whole of the others.
-func (r *SourceSelection) Reports() (out []knowledge.Report) {
-	for _, whole := range []bool{true, false} {
-		for _, d := range r.donors {
-			if d.whole == whole && len(d.report.Classes) > 0 {
+// Reports returns the reports to merge: all complete ones or, if there is none, the partial ones.
+func (s *SourceSelection) Reports() (out []knowledge.Report) {
+	for _, complete := range []bool{true, false} {
+		for _, d := range s.donors {
+			if d.complete == complete && len(d.report.Classes) > 0 {
 				out = append(out, d.report)
 			}
 		}
--- a/internal/peer/snapshot.go
+++ b/internal/peer/snapshot.go
@@ -2,26 +2,29 @@
 
 import "whinrudder/internal/knowledge"
 
-// KindSnapshot opens a snapshot file; a Welcome, the sections and an End follow, as in a transfer.
+// KindSnapshot is the kind of the first frame of a snapshot file. A Welcome, the sections and an End follow, as in a
+// transfer.
 const KindSnapshot Kind = 9
 
-type written struct {
-	Node string  `cbor:"node"`
-	At   float64 `cbor:"written_ms"`
+// snapshotHeader is the payload of the first frame of a snapshot file.
+type snapshotHeader struct {
+	Node      string  `cbor:"node"`
+	WrittenMs float64 `cbor:"written_ms"` // Unix time
 }
 
-// clockSlack is how far a snapshot may lie in the future: clocks are set back by a little now and then.
-const clockSlack = 1000
+// maxClockSkewMs is how far in the future a snapshot may have been written, because clocks are set back slightly now
+// and then.
+const maxClockSkewMs = 1000
 
-// AppendSnapshot appends the report of a node as a file that was written at a Unix time in milliseconds.
-func AppendSnapshot(b []byte, r knowledge.Report, at float64) []byte {
-	b = frame(b, KindSnapshot, written{r.Node, at})
-	b = frame(b, KindWelcome, SummaryOf(r))
+// AppendSnapshot appends the contents of a snapshot file that is written at a Unix time in milliseconds.
+func AppendSnapshot(b []byte, r knowledge.Report, writtenMs float64) []byte {
+	b = appendMessage(b, KindSnapshot, snapshotHeader{r.Node, writtenMs})
+	b = appendMessage(b, KindWelcome, SummaryOf(r))
 	return AppendSections(b, r)
 }
 
-// ReadSnapshot reads the file of an earlier life of a node and ages it by the wall clock. A file that is torn, another
-// node's or from the future is refused with a code.
+// ReadSnapshot decodes the snapshot file of an earlier process of a node, and adds the time since it was written to the
+// ages. It refuses a file that is incomplete or damaged, of another node, from the future or too old, with a code.
 func ReadSnapshot(b []byte, node string, now float64) (knowledge.Report, *Fault) {
 	var r Reader
 	r.Feed(b)
@@ -31,11 +34,11 @@
 		case bad != nil:
 			return &Fault{"torn", bad.Error()}
 		case !ok || f.Kind != kind:
-			return fault("torn", "no whole frame of kind %d", kind)
+			return newFault("torn", "no complete frame of kind %d", kind)
 		}
-		return read(f, v)
+		return decodePayload(f, v)
 	}
-	var w written
+	var w snapshotHeader
 	if bad := next(KindSnapshot, &w); bad != nil {
 		return knowledge.Report{}, bad
 	}
@@ -45,31 +48,31 @@
 	}
 	switch {
 	case w.Node != node || h.Node != node:
-		return knowledge.Report{}, fault("foreign", "it is of %.64q, this is %s", w.Node, node)
-	case !(w.At <= now+clockSlack):
-		return knowledge.Report{}, fault("future", "it was written %.0f s from now", (w.At-now)/1000)
-	case !(w.At > 0):
-		return knowledge.Report{}, fault("bad-figure", "written_ms is %v", w.At)
+		return knowledge.Report{}, newFault("foreign", "snapshot is of node %.64q, this is %s", w.Node, node)
+	case !(w.WrittenMs <= now+maxClockSkewMs):
+		return knowledge.Report{}, newFault("future", "snapshot was written %.0f s in the future", (w.WrittenMs-now)/1000)
+	case !(w.WrittenMs > 0):
+		return knowledge.Report{}, newFault("bad-figure", "written_ms is %v", w.WrittenMs)
 	}
-	g := NewReportAssembler(h)
-	for !g.whole {
+	assembler := NewReportAssembler(h)
+	for !assembler.complete {
 		f, ok, bad := r.Next()
 		switch {
 		case bad != nil:
 			return knowledge.Report{}, &Fault{"torn", bad.Error()}
 		case !ok:
-			return knowledge.Report{}, fault("torn", "it ends after %d sections", g.sections)
+			return knowledge.Report{}, newFault("torn", "snapshot ends after %d sections", assembler.sections)
 		}
-		if bad := g.Add(f); bad != nil {
+		if bad := assembler.Add(f); bad != nil {
 			return knowledge.Report{}, bad
 		}
 	}
 	if r.Buffered() > 0 {
-		return knowledge.Report{}, fault("torn", "%d bytes behind the end", r.Buffered())
+		return knowledge.Report{}, newFault("torn", "%d bytes after the end frame", r.Buffered())
 	}
-	report := g.report.AgedBy(now - w.At)
+	report := assembler.report.AgedBy(now - w.WrittenMs)
 	if err := report.Check(); err != nil {
-		return knowledge.Report{}, fault("old", "%v", err)
+		return knowledge.Report{}, newFault("old", "%v", err)
 	}
 	return report, nil
 }
--- a/internal/peer/source.go
+++ b/internal/peer/source.go
@@ -7,188 +7,194 @@
 	"whinrudder/internal/knowledge"
 )
 
-// Times of a connection, in milliseconds, as parts of absolute deadlines.
+// Time limits of a connection.
 const (
-	TransferTimeoutMs = 3000 // a taker that has not taken all by then is cut
-	MaxRetryMs        = 60e3 // nobody is told to stay away for longer
+	TransferTimeoutMs = 3000 // a connection that takes longer, from its acceptance on, is closed
+	MaxRetryMs        = 60e3 // longest time that a receiver is asked to wait before a retry
 )
 
-// Step is what a giver wants of its driver.
+// Step is what a SourceConn needs from its driver next.
 type Step uint8
 
 // The steps.
 const (
-	StepRead        Step = iota // more bytes are to be read
-	StepSendWelcome             // the taker is to be welcomed with the present report, or put off: SendWelcome or SendBusy
-	StepSendReport              // the sections are to be given: SendReport
-	StepClose                   // what is to be written is the last
+	StepRead        Step = iota // read more bytes and pass them to Feed
+	StepSendWelcome             // answer the hello by SendWelcome with the present summary, or by SendBusy
+	StepSendReport              // answer the request by SendReport, or by SendBusy
+	StepClose                   // write the returned bytes and close the connection
 )
 
-// SourceConn is the state machine of one connection at the node that gives. Its driver feeds it, does what it wants and
-// writes what it returns.
+// SourceConn is the state machine of one connection at the source node. Its driver passes it the bytes that were read,
+// performs the returned steps and writes the returned bytes.
 type SourceConn struct {
-	r            Reader
-	by           float64
+	reader       Reader
+	deadline     float64
 	state        Step
 	welcomed     bool
-	ReceiverName string // the name that the taker gave, of no authority
+	ReceiverName string // name that the receiver claims; it is not authenticated
 }
 
-// NewSourceConn returns the giver of a connection that was accepted at a time.
-func NewSourceConn(now float64) *SourceConn { return &SourceConn{by: now + TransferTimeoutMs} }
+// NewSourceConn returns the state machine of a connection that was accepted at time now.
+func NewSourceConn(now float64) *SourceConn { return &SourceConn{deadline: now + TransferTimeoutMs} }
 
-// Deadline returns the absolute time by which all of it is over.
-func (g *SourceConn) Deadline() float64 { return g.by }
+// Deadline returns the absolute time at which the connection must be closed.
+func (c *SourceConn) Deadline() float64 { return c.deadline }
 
-// HasPartialFrame tells whether the peer has begun a frame that is not whole.
-func (g *SourceConn) HasPartialFrame() bool { return g.r.Buffered() > 0 }
+// HasPartialFrame reports whether bytes of the peer wait for the rest of their frame or for an answer.
+func (c *SourceConn) HasPartialFrame() bool { return c.reader.Buffered() > 0 }
 
-// Feed takes bytes and returns what is wanted next. A fault ends the connection: the bytes tell the peer.
-func (g *SourceConn) Feed(b []byte) (Step, []byte, *Fault) {
-	g.r.Feed(b)
-	if g.state == StepSendWelcome || g.state == StepSendReport {
-		if g.r.Buffered() > headSize+MaxPayloadBytes {
-			return g.end(fault("ahead", "%d bytes before an answer", g.r.Buffered()))
+// Feed processes bytes that were read and returns the next step, with the bytes to write. A fault ends the connection,
+// and the bytes then tell the peer its code.
+func (c *SourceConn) Feed(b []byte) (Step, []byte, *Fault) {
+	c.reader.Feed(b)
+	if c.state == StepSendWelcome || c.state == StepSendReport {
+		if c.reader.Buffered() > headerBytes+MaxPayloadBytes {
+			return c.closeWithFault(newFault("ahead", "received %d bytes before the answer was sent", c.reader.Buffered()))
 		}
-		return g.state, nil, nil
+		return c.state, nil, nil
 	}
-	return g.next()
+	return c.next()
 }
 
-func (g *SourceConn) next() (Step, []byte, *Fault) {
-	g.state = StepRead
-	f, ok, bad := g.r.Next()
+// next processes the next frame, if there is a complete one.
+func (c *SourceConn) next() (Step, []byte, *Fault) {
+	c.state = StepRead
+	f, ok, bad := c.reader.Next()
 	switch {
 	case bad != nil:
-		return g.end(bad)
+		return c.closeWithFault(bad)
 	case !ok:
 		return StepRead, nil, nil
-	case f.Kind == KindHello && !g.welcomed:
-		var h hello
-		if bad := read(f, &h); bad != nil {
-			return g.end(bad)
+	case f.Kind == KindHello && !c.welcomed:
+		var h helloPayload
+		if bad := decodePayload(f, &h); bad != nil {
+			return c.closeWithFault(bad)
 		}
 		if !slices.Contains(h.Versions, Version) {
-			return g.end(fault("bad-version", "the taker speaks %v", h.Versions))
+			return c.closeWithFault(newFault("bad-version", "receiver supports versions %v", h.Versions))
 		}
-		g.ReceiverName = h.Node
-		g.state = StepSendWelcome
-	case f.Kind == KindTake && g.welcomed:
-		g.state = StepSendReport
+		c.ReceiverName = h.Node
+		c.state = StepSendWelcome
+	case f.Kind == KindTake && c.welcomed:
+		c.state = StepSendReport
 	case f.Kind == KindRefuse:
-		var r refuse
-		read(f, &r)
-		return g.end(fault("left", "the taker needs no more"))
+		var r refusePayload
+		decodePayload(f, &r)
+		return c.closeWithFault(newFault("left", "receiver needs no more data"))
 	default:
-		return g.end(fault("bad-order", "a frame of kind %d", f.Kind))
+		return c.closeWithFault(newFault("bad-order", "unexpected frame of kind %d", f.Kind))
 	}
-	return g.state, nil, nil
+	return c.state, nil, nil
 }
 
-// end tells the peer of a fault, and that the connection ends.
-func (g *SourceConn) end(bad *Fault) (Step, []byte, *Fault) {
-	g.state = StepClose
-	return StepClose, frame(nil, KindRefuse, refuse{bad.Code}), bad
+// closeWithFault returns the frame that tells the peer the code of a fault, and ends the connection.
+func (c *SourceConn) closeWithFault(bad *Fault) (Step, []byte, *Fault) {
+	c.state = StepClose
+	return StepClose, appendMessage(nil, KindRefuse, refusePayload{bad.Code}), bad
 }
 
-// SendWelcome answers the hello. The taker may ask for the sections then.
-func (g *SourceConn) SendWelcome(h Summary) (Step, []byte, *Fault) {
-	g.welcomed = true
-	step, more, bad := g.next()
-	return step, append(frame(nil, KindWelcome, h), more...), bad
+// SendWelcome answers the hello with a summary. The receiver may then request the sections.
+func (c *SourceConn) SendWelcome(h Summary) (Step, []byte, *Fault) {
+	c.welcomed = true
+	step, more, bad := c.next()
+	return step, append(appendMessage(nil, KindWelcome, h), more...), bad
 }
 
-// SendBusy puts the taker off for so many milliseconds. The connection ends.
-func (g *SourceConn) SendBusy(code string, retry float64) (Step, []byte, *Fault) {
-	g.state = StepClose
-	return StepClose, frame(nil, KindBusy, busy{min(retry, MaxRetryMs), code}), &Fault{code, "taker put off"}
+// SendBusy asks the receiver to retry after a time in milliseconds, and ends the connection.
+func (c *SourceConn) SendBusy(code string, retryMs float64) (Step, []byte, *Fault) {
+	c.state = StepClose
+	return StepClose, appendMessage(nil, KindBusy, busyPayload{min(retryMs, MaxRetryMs), code}),
+		&Fault{code, "receiver asked to retry later"}
 }
 
-// SendReport answers a take. The connection ends.
-func (g *SourceConn) SendReport(r knowledge.Report) (Step, []byte, *Fault) {
-	g.state = StepClose
+// SendReport answers the request with the sections of a report, and ends the connection.
+func (c *SourceConn) SendReport(r knowledge.Report) (Step, []byte, *Fault) {
+	c.state = StepClose
 	return StepClose, AppendSections(nil, r), nil
 }
 
-// Budget bounds what giving may cost a node: so many transfers at a time and so many a second, less when the node is at
-// its limit. It is used from one goroutine or under a lock.
+// Budget limits the load that transfers put on a source node: the number of concurrent transfers, and their rate by a
+// token bucket, which refills more slowly while the node is at its limit. A second bucket limits the rate of
+// connections. It is not safe for concurrent use.
 type Budget struct {
-	MaxConcurrent int     // at a time
-	IntervalMs    float64 // milliseconds for which one transfer counts
-	Burst         float64 // transfers that may be saved up
-	open          int
-	saved         float64
-	last          float64
-	queue         float64 // when the last of those put off was told to come
-
-	connects, connected float64 // connections that are saved up, and when that was counted last
+	MaxConcurrent int     // concurrent transfers
+	IntervalMs    float64 // time in which one token is added
+	Burst         float64 // capacity of the bucket, in transfers
+	active        int     // transfers in progress
+	tokens        float64 // transfers that may begin now
+	refilledAt    float64 // when tokens was last updated
+	lastRetryAt   float64 // latest retry time that was handed out, less one interval
+
+	connectionTokens, connectionsRefilledAt float64 // connections that may be accepted now, and when that was last updated
 }
 
-// Connections that a giver takes at once, and one more for each so many milliseconds: a handshake costs the core of a
-// small node about as much as a request.
+// Limit on the rate of connections: a burst, and then one per interval. A handshake costs a small node about as much
+// core time as a request.
 const (
-	connectBurst = 64
-	connectEvery = 31.25
+	connectionBurst      = 64
+	connectionIntervalMs = 31.25
 )
 
-// NewBudget returns the budget of a node that starts now: four at a time, four a second, none saved beyond four.
+// NewBudget returns the budget of a node that starts now: four concurrent transfers, four a second, bursts of four.
 func NewBudget(now float64) *Budget {
-	return &Budget{MaxConcurrent: 4, IntervalMs: 250, Burst: 4, saved: 4, last: now, connects: connectBurst, connected: now}
+	return &Budget{MaxConcurrent: 4, IntervalMs: 250, Burst: 4, tokens: 4, refilledAt: now,
+		connectionTokens: connectionBurst, connectionsRefilledAt: now}
 }
 
-// AllowConnection tells whether one more connection may be taken.
+// AllowConnection reports whether one more connection may be accepted, and counts it if so.
 func (b *Budget) AllowConnection(now float64) bool {
-	b.connects = min(connectBurst, b.connects+math.Max(0, now-b.connected)/connectEvery)
-	b.connected = now
-	if b.connects < 1 {
+	b.connectionTokens = min(connectionBurst,
+		b.connectionTokens+math.Max(0, now-b.connectionsRefilledAt)/connectionIntervalMs)
+	b.connectionsRefilledAt = now
+	if b.connectionTokens < 1 {
 		return false
 	}
-	b.connects--
+	b.connectionTokens--
 	return true
 }
 
-// SourceState is what a giver is at the moment.
+// SourceState is the present state of a source node.
 type SourceState struct {
-	HasKnowledge bool // its module has learned something, or could have
+	HasKnowledge bool // the decision module runs, so that it may have learned something
 	Draining     bool
-	AtLimit      bool // it is at its limit
+	AtLimit      bool // the node is at its concurrency limit
 }
 
-// Admit decides on what a taker wants: its code is empty if it is to have it, else the reason and how long the taker
-// should stay away. A transfer that is admitted is given back by Release.
-func (b *Budget) Admit(now float64, step Step, p SourceState) (code string, retry float64) {
+// Admit decides whether a step of a receiver's request may be served. The code is empty if so. Otherwise it is the
+// reason, and retryMs is how long the receiver should wait. The caller must call Release after an admitted transfer.
+func (b *Budget) Admit(now float64, step Step, state SourceState) (code string, retryMs float64) {
 	switch {
-	case !p.HasKnowledge:
+	case !state.HasKnowledge:
 		return "not-ready", 1000
-	case p.Draining:
+	case state.Draining:
 		return "draining", MaxRetryMs
 	case step == StepSendWelcome:
 		return "", 0
 	}
-	if ok, retry := b.Acquire(now, p.AtLimit); !ok {
-		return "busy", retry
+	if ok, retryMs := b.Acquire(now, state.AtLimit); !ok {
+		return "busy", retryMs
 	}
 	return "", 0
 }
 
-// Acquire asks for a transfer. If there is none to be had it returns how long the taker should stay away, each one put off
-// a little longer than the one before, so that they don't come back together. A node that is full gives at a quarter of
-// the pace.
-func (b *Budget) Acquire(now float64, full bool) (ok bool, retry float64) {
-	every := b.IntervalMs
-	if full {
-		every *= 4
+// Acquire takes a token for a transfer. If it can't, it returns how long the receiver should wait before a retry. Each
+// refused receiver waits a little longer than the one before, so that they don't all return at the same time. A node
+// at its limit serves transfers at a quarter of the rate.
+func (b *Budget) Acquire(now float64, atLimit bool) (ok bool, retryMs float64) {
+	intervalMs := b.IntervalMs
+	if atLimit {
+		intervalMs *= 4
 	}
-	b.saved = min(b.Burst, b.saved+math.Max(0, now-b.last)/every)
-	b.last = now
-	if b.open < b.MaxConcurrent && b.saved >= 1 && (!full || b.saved >= b.Burst-1) {
-		b.open++
-		b.saved--
+	b.tokens = min(b.Burst, b.tokens+math.Max(0, now-b.refilledAt)/intervalMs)
+	b.refilledAt = now
+	if b.active < b.MaxConcurrent && b.tokens >= 1 && (!atLimit || b.tokens >= b.Burst-1) {
+		b.active++
+		b.tokens--
 		return true, 0
 	}
-	b.queue = math.Max(b.queue, now) + every
-	return false, min(b.queue-now+every, MaxRetryMs)
+	b.lastRetryAt = math.Max(b.lastRetryAt, now) + intervalMs
+	return false, min(b.lastRetryAt-now+intervalMs, MaxRetryMs)
 }
 
-// Release gives back what Acquire gave.
-func (b *Budget) Release() { b.open-- }
+// Release ends a transfer that Acquire allowed.
+func (b *Budget) Release() { b.active-- }
