--- a/internal/classindex/classindex.go
+++ b/internal/classindex/classindex.go
@@ -89,8 +89,9 @@
 		next.names[index], next.classes[index], next.reusableAt[index] = n, s.Policy.Classes[i], 0
 	}
 	if len(next.names) > MaxIndices {
-		return View{}, fmt.Errorf("classindex: %d class indices needed, including those of recently removed classes, %d at most",
-			len(next.names), MaxIndices)
+		return View{},
+			fmt.Errorf("classindex: %d class indices needed, including those of recently removed classes, %d at most",
+				len(next.names), MaxIndices)
 	}
 	*a = next
 	v := a.View(s.Policy)
--- a/internal/classindex/classindex_test.go
+++ b/internal/classindex/classindex_test.go
@@ -36,7 +36,8 @@
 		{0, makeSettings("b", "p", "x"), map[string]int{"b": 1, "p": 2, "x": 3}, []int{3}},
 		// the index of a stays reserved for its deadline of 3 s and 15 s more
 		{17999, makeSettings("b", "p", "x", "y"), map[string]int{"b": 1, "p": 2, "x": 3, "y": 4}, []int{4}},
-		{18000, makeSettings("b", "p", "x", "y", "z"), map[string]int{"b": 1, "p": 2, "x": 3, "y": 4, "z": 0}, []int{0}},
+		{18000, makeSettings("b", "p", "x", "y", "z"), map[string]int{"b": 1, "p": 2, "x": 3, "y": 4, "z": 0},
+			[]int{0}},
 		{18000, makeSettings("p"), map[string]int{"p": 2}, nil},
 		{18001, makeSettings("y", "p"), map[string]int{"y": 4, "p": 2}, nil}, // y returns to its old index
 	} {
@@ -58,7 +59,8 @@
 	v, _ := a.Update(s, 18002)
 	if index := v.Active["y"]; index == 4 || v.Settings.Classes[4].Repeat != whinrudder.Safe ||
 		v.Settings.Classes[index].Repeat != whinrudder.Unsafe {
-		t.Errorf("y has index %d in %+v, want a new index for the unsafe class and 4 still safe", index, v.Settings.Classes)
+		t.Errorf("y has index %d in %+v, want a new index for the unsafe class and 4 still safe", index,
+			v.Settings.Classes)
 	}
 }
 
@@ -76,12 +78,13 @@
 		}
 	}
 	if len(a.names) > MaxIndices || refused == 0 || refused == n {
-		t.Errorf("got %d indices and %d of %d updates refused, want at most MaxIndices and only some updates refused", len(a.names), refused, n)
+		t.Errorf("got %d indices and %d of %d updates refused, want at most MaxIndices and only some updates refused",
+			len(a.names), refused, n)
 	}
 }
 
-// After any sequence of updates, each class of the settings has an index of its own, a class that stays keeps its index,
-// and no index is reused before its delay is over.
+// After any sequence of updates, each class of the settings has an index of its own, a class that stays keeps its
+// index, and no index is reused before its delay has passed.
 func TestIndicesAreStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := []string{"a", "b", "c", "d", "pa", "pb"}
@@ -105,7 +108,8 @@
 				index, ok := w.Active[n]
 				if !ok || seen[index] || w.Names[index] != n ||
 					w.Settings.Classes[index] != s.Policy.Classes[i] {
-					t.Fatalf("class %s has index %d, want an index of its own with its name and settings, in %+v", n, index, w)
+					t.Fatalf("class %s has index %d, want an index of its own with its name and settings, in %+v", n,
+						index, w)
 				}
 				seen[index] = true
 				if was, ok := v.Active[n]; ok && was != index {
@@ -117,7 +121,8 @@
 			}
 			for i, n := range v.Names {
 				if w.Names[i] != n && (!slices.Contains(w.NewIndices, i) || now < removedAt[i]+3000+indexReuseDelayMs) {
-					t.Fatalf("index %d of class %s was reused for %s %v ms after its removal", i, n, w.Names[i], now-removedAt[i])
+					t.Fatalf("index %d of class %s was reused for %s %v ms after its removal", i, n, w.Names[i],
+						now-removedAt[i])
 				}
 			}
 			for n, index := range v.Active {
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -91,9 +91,11 @@
 	}{
 		{"one donor", []Report{makeReport("a", 0, 100, 50, 200)}, []float64{100, 50, 200}, nil},
 		{"no donor", nil, []float64{0, 0, 0}, nil},
-		{"donor on another machine model", []Report{makeReport("a", 0, 100, 50, 200), makeReport("b", 0, 230, 115, 460)},
+		{"donor on another machine model", []Report{makeReport("a", 0, 100, 50, 200),
+			makeReport("b", 0, 230, 115, 460)},
 			[]float64{100, 50, 200}, nil},
-		{"two donors contradict each other in one class", []Report{makeReport("a", 0, 100, 50, 200), makeReport("b", 0, 100, 50, 900)},
+		{"two donors contradict each other in one class", []Report{makeReport("a", 0, 100, 50, 200),
+			makeReport("b", 0, 100, 50, 900)},
 			[]float64{100, 50, 0},
 			[]string{"contradiction field=cost"}},
 		{"one wrong donor of three", []Report{makeReport("a", 0, 100, 50, 200), makeReport("b", 0, 110, 50, 210),
@@ -106,7 +108,8 @@
 		{"donor lacks common classes", []Report{makeReport("a", 0, 100, 50, 200), makeReport("b", 0, 100, 50, 200),
 			makeReport("c", 0, 0, 0, 7)},
 			[]float64{100, 50, 200}, []string{"other-classes donor=c"}},
-		{"speed differs by more than two machines can", []Report{makeReport("a", 0, 100, 50, 200), makeReport("b", 0, 2000, 1000, 4000)},
+		{"speed differs by more than two machines can", []Report{makeReport("a", 0, 100, 50, 200),
+			makeReport("b", 0, 2000, 1000, 4000)},
 			[]float64{0, 0, 0}, []string{"contradiction field=scale"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -165,7 +168,8 @@
 			if diff := cmp.Diff(c.left, classTimes(validator.prior)); diff != "" {
 				t.Error(diff)
 			}
-			if diff := cmp.Diff(c.logEntries, formatEntries(logEntries)); diff != "" || changed != (c.logEntries != nil) {
+			if diff := cmp.Diff(c.logEntries, formatEntries(logEntries)); diff != "" ||
+				changed != (c.logEntries != nil) {
 				t.Error(diff, changed)
 			}
 		})
@@ -266,7 +270,7 @@
 		old, _ := Merge(DefaultTrustParams, recipient, []Report{r.AgedBy(rapid.Float64Range(0, 1e6).Draw(t, "more"))})
 		for i := range recipient.ClassNames {
 			if n := old.Classes[i].Cost.N; n > fresh.Classes[i].Cost.N || n > DefaultTrustParams.MaxRunWeight {
-				t.Fatalf("weight of the older report is %v, that of the fresher one %v, want no more and at most MaxRunWeight",
+				t.Fatalf("weight of the older report is %v, of the fresher one %v, want no more, MaxRunWeight at most",
 					n, fresh.Classes[i].Cost.N)
 			}
 		}
--- a/internal/knowledge/merge.go
+++ b/internal/knowledge/merge.go
@@ -182,9 +182,9 @@
 	return v, share, true
 }
 
-// comparable returns the classes whose costs allow a comparison of the donors, and the indices of the donors that know
-// all of them. These are the classes that more than half of the donors with any costs know.
-func (m *merger) comparable(reports []Report) (common []string, eligible []int) {
+// commonClasses returns the classes whose costs allow a comparison of the donors, and the indices of the donors that
+// know all of them. These are the classes that more than half of the donors with any costs know.
+func (m *merger) commonClasses(reports []Report) (common []string, eligible []int) {
 	count, donors := map[string]int{}, 0
 	known := func(r Report) map[string]whinrudder.CostModel {
 		costs := map[string]whinrudder.CostModel{}
@@ -224,7 +224,7 @@
 // ratio of each class's cost to that scale depends on the traffic. Scale and ratios are merged separately, so that a
 // donor on another machine model is as useful for the ratios as any other.
 func (m *merger) costs(reports []Report) {
-	common, eligible := m.comparable(reports)
+	common, eligible := m.commonClasses(reports)
 	scales := map[int]float64{}
 	var votes []vote
 	for _, i := range eligible {
@@ -248,7 +248,7 @@
 		}
 		return
 	}
-	for at, n := range m.recipient.ClassNames {
+	for index, n := range m.recipient.ClassNames {
 		var votes []vote
 		for _, i := range eligible {
 			for _, c := range reports[i].Classes {
@@ -271,7 +271,7 @@
 		c := reports[v.donor].Classes[slices.IndexFunc(reports[v.donor].Classes,
 			func(c Class) bool { return c.Name == n })]
 		time := v.value * scale.value
-		m.prior.Classes[at].Cost = whinrudder.CostModel{N: maxWeight * share, Age: c.Cost.Age, Work: c.Cost.Work,
+		m.prior.Classes[index].Cost = whinrudder.CostModel{N: maxWeight * share, Age: c.Cost.Age, Work: c.Cost.Work,
 			Time: time, WorkWork: c.Cost.WorkWork, WorkTime: c.Cost.WorkTime * time / c.Cost.Time}
 	}
 }
@@ -307,8 +307,8 @@
 
 // waits merges the waits that recur at more than half of the donors, by weight.
 func (m *merger) waits(reports []Report) {
-	for at, n := range m.recipient.ClassNames {
-		tolerance := waitToleranceRatio * m.recipient.Settings.Classes[at].Deadline
+	for index, n := range m.recipient.ClassNames {
+		tolerance := waitToleranceRatio * m.recipient.Settings.Classes[index].Deadline
 		var votes []vote
 		recurring := map[int][]float64{}
 		for i, r := range reports {
@@ -340,7 +340,7 @@
 				}
 			}
 		}
-		m.prior.Classes[at].Waits = merged[:min(len(merged), MaxWaits/minSimilarWaits)]
+		m.prior.Classes[index].Waits = merged[:min(len(merged), MaxWaits/minSimilarWaits)]
 	}
 }
 
@@ -366,7 +366,7 @@
 
 // shares merges the shares of the classes in the traffic, each as a part of its donor's total.
 func (m *merger) shares(reports []Report) {
-	for at, n := range m.recipient.ClassNames {
+	for index, n := range m.recipient.ClassNames {
 		var votes []vote
 		for i, r := range reports {
 			total := 0.0
@@ -380,7 +380,7 @@
 			}
 		}
 		if v, _, ok := weightedMedian(votes, math.Inf(1)); ok {
-			m.prior.Classes[at].Share = v.value
+			m.prior.Classes[index].Share = v.value
 		}
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -197,13 +197,14 @@
 				continue
 			}
 			if retryMs <= last || retryMs > MaxRetryMs {
-				t.Errorf("atLimit=%t: retry after %v ms follows one after %v ms, want increasing times up to MaxRetryMs", atLimit, retryMs, last)
+				t.Errorf("atLimit=%t: retry after %v ms follows %v ms, want increasing times up to MaxRetryMs",
+					atLimit, retryMs, last)
 			}
 			last, waits[retryMs] = retryMs, true
 		}
 		if want := map[bool]int{false: 4, true: 2}[atLimit]; granted != want || len(waits) != 20-want {
-			t.Errorf("atLimit=%t: got %d transfers and %d distinct retry times, want %d transfers and the others spread", atLimit,
-				granted, len(waits), want)
+			t.Errorf("atLimit=%t: got %d transfers, %d distinct retry times, want %d transfers and the others spread",
+				atLimit, granted, len(waits), want)
 		}
 	}
 	b := NewBudget(0)
@@ -249,8 +250,8 @@
 	}
 }
 
-// runSelection steps a selection every 10 ms. Donors return their responses to an action, which take effect 50 ms apart.
-// It returns the actions with their times, and the time at which the selection ended, or -1.
+// runSelection steps a selection every 10 ms. Donors return their responses to an action, which take effect 50 ms
+// apart. It returns the actions with their times, and the time at which the selection ended, or -1.
 func runSelection(r *SourceSelection,
 	donors map[string]func(now float64, action ActionKind) []func()) (log []string, ended float64) {
 	type event struct {
@@ -296,8 +297,8 @@
 			[]string{"0 connect a", "0 connect b", "0 connect c", "0 connect d", "50 drop a", "50 drop b", "50 drop c",
 				"50 take d"}, []string{"d"}, 100},
 		{"the three of five with most runs", []string{"a 10", "b 50", "c 20", "d 40", "e 30"},
-			[]string{"0 connect a", "0 connect b", "0 connect c", "0 connect d", "0 connect e", "50 take b", "50 take d",
-				"50 take e", "100 drop a", "100 drop c"}, []string{"b", "d", "e"}, 100},
+			[]string{"0 connect a", "0 connect b", "0 connect c", "0 connect d", "0 connect e", "50 take b",
+				"50 take d", "50 take e", "100 drop a", "100 drop c"}, []string{"b", "d", "e"}, 100},
 		{"a failed source is replaced", []string{"a dies", "b 90", "c 80", "d 70"},
 			[]string{"0 connect a", "0 connect b", "0 connect c", "0 connect d", "50 take a", "50 take b", "50 take c",
 				"100 take d"}, []string{"b", "c", "d"}, 150},
@@ -320,7 +321,8 @@
 				addrs = append(addrs, name)
 				tries := 0
 				donors[name] = func(now float64, action ActionKind) []func() {
-					summary := Summary{Node: name, Warm: behavior != "cold", Draining: behavior == "draining", Runs: 100}
+					summary := Summary{Node: name, Warm: behavior != "cold", Draining: behavior == "draining",
+						Runs: 100}
 					fmt.Sscanf(behavior, "%f", &summary.Runs)
 					if behavior == "empty" {
 						summary.Runs = 0
@@ -378,7 +380,8 @@
 		}
 		got := r.Reports()
 		if len(got) != 1 || len(got[0].Classes) != map[bool]int{false: 1, true: 2}[whole] {
-			t.Errorf("second source complete=%t: got %d reports, want one, complete if the second source is", whole, len(got))
+			t.Errorf("second source complete=%t: got %d reports, want one, complete if the second source is", whole,
+				len(got))
 		}
 	}
 }
--- a/internal/peer/section.go
+++ b/internal/peer/section.go
@@ -69,8 +69,9 @@
 // class, and the end. A transfer and a snapshot contain the same frames, after a Summary.
 func AppendSections(b []byte, r knowledge.Report) []byte {
 	for _, c := range r.Classes {
-		b = appendMessage(b, KindSection, sectionPayload{Class: c.Name, Runs: c.Cost.N, Age: c.Cost.Age, Time: c.Cost.Time,
-			Work: c.Cost.Work, WorkWork: c.Cost.WorkWork, WorkTime: c.Cost.WorkTime, Share: c.Share, Waits: c.Waits})
+		b = appendMessage(b, KindSection, sectionPayload{Class: c.Name, Runs: c.Cost.N, Age: c.Cost.Age,
+			Time: c.Cost.Time, Work: c.Cost.Work, WorkWork: c.Cost.WorkWork, WorkTime: c.Cost.WorkTime,
+			Share: c.Share, Waits: c.Waits})
 	}
 	estimates := map[string]estimatePayload{}
 	for name, f := range estimatesOf(&r) {
--- a/internal/peer/selection.go
+++ b/internal/peer/selection.go
@@ -66,8 +66,8 @@
 	finished       bool
 }
 
-// NewSourceSelection returns a selection among the sources at some addresses. It connects to them in that order and ends
-// at the absolute time deadline.
+// NewSourceSelection returns a selection among the sources at some addresses. It connects to them in that order and
+// ends at the absolute time deadline.
 func NewSourceSelection(addrs []string, deadline float64) *SourceSelection {
 	s := &SourceSelection{deadline: deadline}
 	for _, a := range addrs {
@@ -207,7 +207,8 @@
 // idle reports whether no source can deliver anything more before the deadline.
 func (s *SourceSelection) idle(now float64) bool {
 	for _, d := range s.donors {
-		if d.state == waiting && d.at < s.deadline || d.state == connecting || d.state == welcomed || d.state == transferring {
+		if d.state == waiting && d.at < s.deadline || d.state == connecting || d.state == welcomed ||
+			d.state == transferring {
 			return false
 		}
 	}
--- a/internal/peer/snapshot.go
+++ b/internal/peer/snapshot.go
@@ -50,7 +50,8 @@
 	case w.Node != node || h.Node != node:
 		return knowledge.Report{}, newFault("foreign", "snapshot is of node %.64q, this is %s", w.Node, node)
 	case !(w.WrittenMs <= now+maxClockSkewMs):
-		return knowledge.Report{}, newFault("future", "snapshot was written %.0f s in the future", (w.WrittenMs-now)/1000)
+		return knowledge.Report{}, newFault("future", "snapshot was written %.0f s in the future",
+			(w.WrittenMs-now)/1000)
 	case !(w.WrittenMs > 0):
 		return knowledge.Report{}, newFault("bad-figure", "written_ms is %v", w.WrittenMs)
 	}
--- a/internal/peer/source.go
+++ b/internal/peer/source.go
@@ -49,7 +49,8 @@
 	c.reader.Feed(b)
 	if c.state == StepSendWelcome || c.state == StepSendReport {
 		if c.reader.Buffered() > headerBytes+MaxPayloadBytes {
-			return c.closeWithFault(newFault("ahead", "received %d bytes before the answer was sent", c.reader.Buffered()))
+			return c.closeWithFault(newFault("ahead", "received %d bytes before the answer was sent",
+				c.reader.Buffered()))
 		}
 		return c.state, nil, nil
 	}
@@ -125,7 +126,8 @@
 	refilledAt    float64 // when tokens was last updated
 	lastRetryAt   float64 // latest retry time that was handed out, less one interval
 
-	connectionTokens, connectionsRefilledAt float64 // connections that may be accepted now, and when that was last updated
+	// Connections that may be accepted now, and when that was last updated.
+	connectionTokens, connectionsRefilledAt float64
 }
 
 // Limit on the rate of connections: a burst, and then one per interval. A handshake costs a small node about as much
