--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,120 +1,123 @@
-// Package ownership decides which of the processes of a node has the journal of kept operations while one succeeds another.
-// The journal has one owner, by a lock that ends with its process; a run is told of only to the process that began it. So
-// the process that is succeeded takes no new operations, ends those that it has in hand, and then gives up the journal;
-// its successor tries for the lock, and refuses requests with a token until it has it.
+// Package ownership decides which process of a node owns the journal of kept operations while one process succeeds another.
+// The journal has one owner at a time, enforced by a lock that is released when its process ends. The result of a run is
+// reported only to the process that started it. A process that is succeeded therefore stops accepting new operations,
+// finishes those in progress, and then closes the journal. Its successor keeps trying to acquire the lock, and refuses
+// requests with a token until it has it.
 //
-// Machine is that of one process. It does no I/O and has no clock: absolute times in Unix milliseconds go in.
+// Machine is the state machine of one process. It does no I/O and has no clock: callers pass absolute times in Unix
+// milliseconds.
 package ownership
 
-// again is the pause between two tries for the journal, in milliseconds: a caller that was refused comes back later.
-const again = 50.0
+// retryIntervalMs is the pause between two attempts to open the journal. It is short because callers whose requests were
+// refused retry later.
+const retryIntervalMs = 50.0
 
-// Action is what is to be done.
+// Action is the next thing for the driver to do.
 type Action uint8
 
-// What is to be done.
+// The actions.
 const (
 	None   Action = iota
-	Open          // try to open the journal, then say Opened
-	Yield         // take no new operations and say Released once none is in hand
-	Resume        // take new operations again
-	Close         // close the journal, then say Closed
+	Open          // try to open the journal, then call Opened
+	Yield         // stop accepting new operations, and call Released once none is in progress
+	Resume        // accept new operations again
+	Close         // close the journal, then call Closed
 )
 
 type state uint8
 
 const (
-	without  state = iota // another process may have the journal
-	opening               // a try is under way
-	holding               // this one has it
-	yielding              // it has it, and ends what is in hand
-	closing               // it is being closed
+	notOwner state = iota // another process may own the journal
+	opening               // an attempt to open the journal is in progress
+	owner                 // this process owns the journal
+	yielding              // this process owns the journal and finishes the operations in progress
+	closing               // the journal is being closed
 )
 
-// Machine is one process towards the journal. Create it with New.
+// Machine is the journal ownership state of one process. Create it with New.
 type Machine struct {
-	state     state
-	succeeded bool // another process serves: this one wants the journal no more
-	tryAt     float64
-	want      []Action
+	state            state
+	successorServing bool     // another process serves, so this one no longer tries to own the journal
+	retryAt          float64  // earliest time of the next attempt to open the journal
+	pending          []Action // actions that NextAction has yet to return
 }
 
-// New returns the machine of a process that has opened the journal, or of one that has yet to.
+// New returns the machine of a process that has already opened the journal (held), or of one that has yet to open it.
 func New(held bool) *Machine {
 	m := &Machine{}
 	if held {
-		m.state = holding
+		m.state = owner
 	}
 	return m
 }
 
-// SetSuccessorServing tells that another process takes what comes, or that it is lost.
+// SetSuccessorServing records that a successor accepts new requests or, with on false, that the successor was lost.
 func (m *Machine) SetSuccessorServing(on bool) {
-	if m.succeeded == on {
+	if m.successorServing == on {
 		return
 	}
-	m.succeeded = on
+	m.successorServing = on
 	switch {
-	case on && m.state == holding:
+	case on && m.state == owner:
 		m.state = yielding
-		m.want = append(m.want, Yield)
+		m.pending = append(m.pending, Yield)
 	case !on && m.state == yielding:
-		m.state = holding
-		m.want = append(m.want, Resume)
+		m.state = owner
+		m.pending = append(m.pending, Resume)
 	}
 }
 
-// Released tells that no operation is in hand and none is taken. It may cross a Resume: the journal is let go all the same,
-// as nothing keeps its books any more, and tried for again.
+// Released records that no operation is in progress and none is accepted. It may cross a Resume: the journal is closed even
+// then, because the core no longer keeps the table of its operations, and is opened again afterwards.
 func (m *Machine) Released() {
-	if m.state == yielding || m.state == holding {
+	if m.state == yielding || m.state == owner {
 		m.state = closing
-		m.want = append(m.want, Close)
+		m.pending = append(m.pending, Close)
 	}
 }
 
-// Closed tells that the journal is closed.
+// Closed records that the journal is closed.
 func (m *Machine) Closed(now float64) {
 	if m.state == closing {
-		m.state, m.tryAt = without, now
+		m.state, m.retryAt = notOwner, now
 	}
 }
 
-// Opened tells what came of a try.
+// Opened records the result of an attempt to open the journal.
 func (m *Machine) Opened(now float64, ok bool) {
 	switch {
 	case m.state != opening:
 	case !ok:
-		m.state, m.tryAt = without, now+again
-	case m.succeeded:
+		m.state, m.retryAt = notOwner, now+retryIntervalMs
+	case m.successorServing:
 		m.state = yielding
-		m.want = append(m.want, Yield)
+		m.pending = append(m.pending, Yield)
 	default:
-		m.state = holding
+		m.state = owner
 	}
 }
 
-// Owns tells whether this process has the journal.
-func (m *Machine) Owns() bool { return m.state >= holding }
+// Owns reports whether this process owns the journal.
+func (m *Machine) Owns() bool { return m.state >= owner }
 
-// NextAction returns what is to be done now, one after the other until there is nothing.
+// NextAction returns the next action to carry out. Call it repeatedly until it returns None.
 func (m *Machine) NextAction(now float64) Action {
-	if len(m.want) > 0 {
-		do := m.want[0]
-		m.want = m.want[1:]
-		return do
+	if len(m.pending) > 0 {
+		action := m.pending[0]
+		m.pending = m.pending[1:]
+		return action
 	}
-	if m.state == without && !m.succeeded && now >= m.tryAt {
+	if m.state == notOwner && !m.successorServing && now >= m.retryAt {
 		m.state = opening
 		return Open
 	}
 	return None
 }
 
-// WakeAt returns when NextAction has something to do if nothing happens; 0: never.
+// WakeAt returns the time at which to call NextAction again if nothing happens before; 0 means never.
 func (m *Machine) WakeAt() float64 {
-	if m.state == without && !m.succeeded {
-		return m.tryAt
+	if m.state == notOwner && !m.successorServing {
+		return m.retryAt
 	}
 	return 0
 }
