--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,189 +10,190 @@
 
 var self = Entry{Name: "n1", Listen: "127.0.0.1:1", Start: "b"}
 
-const leaveTime = 2000.0 // from the notice to the removal
+const removeDelayMs = 2000.0 // from the notice to the removal
 
-// world is an ensemble with one place, as a machine meets it.
-type world struct {
-	t       *rapid.T
-	m       *Machine
-	now     float64
-	last    int64 // session that was opened last
-	open    bool
-	there   bool
-	owner   int64
-	version int32
-	content Entry
-	known   bool
-	left    bool
-	ended   bool
-	draws   bool // steps may fail
+// fakeEnsemble is a test double of an ensemble with one znode, and the driver of one machine.
+type fakeEnsemble struct {
+	t         *rapid.T
+	m         *Machine
+	now       float64
+	session   int64 // the session that was opened last
+	connected bool
+	exists    bool // the znode exists; owner, version, content and valid describe it
+	owner     int64
+	version   int32
+	content   Entry
+	valid     bool
+	leaving   bool // Leave was called
+	ended     bool // the machine closed the session
+	faults    bool // steps may fail
 }
 
-// step takes one step of the machine, if it wants one, and checks it. It tells whether there was one.
-func (w *world) step() (took bool, wake float64) {
-	s, ok, wake := w.m.NextStep(w.now)
+// step carries out one step of the machine, if there is one, and checks it. It reports whether there was one.
+func (f *fakeEnsemble) step() (stepped bool, wake float64) {
+	s, ok, wake := f.m.NextStep(f.now)
 	if !ok {
 		return false, wake
 	}
-	if w.ended {
-		w.t.Fatal("a step after the end")
+	if f.ended {
+		f.t.Fatal("NextStep returns a step after CloseSession")
 	}
-	if _, twice, _ := w.m.NextStep(w.now); twice {
-		w.t.Fatal("two steps at once")
+	if _, second, _ := f.m.NextStep(f.now); second {
+		f.t.Fatal("NextStep returns a second step while one is pending")
 	}
-	if (s.Action == Create || s.Action == Replace || s.Action == Write) && w.left && !s.Content.Draining {
-		w.t.Fatal("serving is written after the notice to leave")
+	if (s.Action == Create || s.Action == Replace || s.Action == Write) && f.leaving && !s.Content.Draining {
+		f.t.Fatal("an entry that is not draining is written after the notice to leave")
 	}
-	if (s.Action == Create || s.Action == Replace) && w.left {
-		w.t.Fatal("a node that leaves registers")
+	if (s.Action == Create || s.Action == Replace) && f.leaving {
+		f.t.Fatal("a node that leaves registers its entry")
 	}
 	if s.Action == CloseSession {
-		w.ended = true
+		f.ended = true
 		return true, 0
 	}
 	outcome := 0
-	if w.draws {
-		outcome = rapid.IntRange(0, 5).Draw(w.t, "outcome") // 0 to 3: it works, 4: refused, 5: the connection ends first
+	if f.faults {
+		outcome = rapid.IntRange(0, 5).Draw(f.t, "outcome") // 0 to 3: success, 4: refused, 5: the connection ends first
 	}
 	r := Result{}
 	switch {
-	case !w.open || outcome == 5:
-		if w.open {
-			w.close()
+	case !f.connected || outcome == 5:
+		if f.connected {
+			f.close()
 		}
 		r.Code = ConnectionLost
 	case outcome == 4:
 		r.Code = Failed
-	case s.Action == Read && w.there:
-		r = Result{OK, w.owner, w.version, w.content, w.known}
-	case s.Action == Create && w.there:
+	case s.Action == Read && f.exists:
+		r = Result{OK, f.owner, f.version, f.content, f.valid}
+	case s.Action == Create && f.exists:
 		r.Code = Conflict
 	case s.Action == Create:
-		w.there, w.owner, w.version, w.content, w.known = true, w.last, 0, s.Content, true
-	case !w.there:
+		f.exists, f.owner, f.version, f.content, f.valid = true, f.session, 0, s.Content, true
+	case !f.exists:
 		r.Code = NotFound
-	case s.Version != w.version:
+	case s.Version != f.version:
 		r.Code = Conflict
 	case s.Action == Write:
-		w.content, w.version = s.Content, w.version+1
+		f.content, f.version = s.Content, f.version+1
 	case s.Action == Replace:
-		if w.owner == w.last || !w.known || w.content.Name != self.Name || w.content.Listen != self.Listen || w.content.Start > self.Start {
-			w.t.Fatal("takes what is another's")
+		if f.owner == f.session || !f.valid || f.content.Name != self.Name || f.content.Listen != self.Listen || f.content.Start > self.Start {
+			f.t.Fatal("replaces an entry of its attempts session or of another node")
 		}
-		w.owner, w.version, w.content = w.last, 0, s.Content
+		f.owner, f.version, f.content = f.session, 0, s.Content
 	case s.Action == Remove:
-		if w.owner != w.last {
-			w.t.Fatal("removes what is another's")
+		if f.owner != f.session {
+			f.t.Fatal("removes an entry of another session")
 		}
-		w.there = false
+		f.exists = false
 	}
-	w.m.StepDone(w.now, s, r)
+	f.m.StepDone(f.now, s, r)
 	return true, 0
 }
 
-func (w *world) close() {
-	w.open = false
-	w.m.ConnectionClosed(w.now)
+func (f *fakeEnsemble) close() {
+	f.connected = false
+	f.m.ConnectionClosed(f.now)
 }
 
-func (w *world) put(e Entry, known bool) {
-	w.there, w.owner, w.version, w.content, w.known = true, 7, 3, e, known
-	w.m.EntryChanged(w.now)
+func (f *fakeEnsemble) put(e Entry, valid bool) {
+	f.exists, f.owner, f.version, f.content, f.valid = true, 7, 3, e, valid
+	f.m.EntryChanged(f.now)
 }
 
-// Whatever happens in whatever order: nobody else's entry is removed, nothing is registered and nothing that serves is
-// written after the notice to leave, one step is out at a time; and once it is calm the entry stands as it should, or is
-// gone, within a bounded time and few steps.
+// Events and failures come in any order. The machine must not remove an entry of another session, must not register or write
+// an entry that is not draining after the notice to leave, and must have one step pending at a time. Once events stop, the
+// entry must be correct, or be removed if the node leaves, within a bounded time and number of steps.
 func TestEntryFollowsTheNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: 1e6, last: 100, draws: true}
-		w.m = New(self, 6000, rapid.Uint64().Draw(t, "seed"))
+		f := &fakeEnsemble{t: t, now: 1e6, session: 100, faults: true}
+		f.m = New(self, 6000, rapid.Uint64().Draw(t, "seed"))
 		drained, yielded := false, false
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			switch rapid.SampledFrom([]string{"step", "step", "step", "time", "open", "close", "expire", "drain", "yield", "leave", "remove",
-				"former", "successor", "foreign", "garbage", "back"}).Draw(t, "event") {
+				"predecessor", "successor", "foreign", "garbage", "clock back"}).Draw(t, "event") {
 			case "step":
-				w.step()
+				f.step()
 			case "time":
-				w.now += rapid.Float64Range(0, 5000).Draw(t, "ms")
-			case "back":
-				w.now -= rapid.Float64Range(0, 1e5).Draw(t, "ms")
+				f.now += rapid.Float64Range(0, 5000).Draw(t, "ms")
+			case "clock back":
+				f.now -= rapid.Float64Range(0, 1e5).Draw(t, "ms")
 			case "open", "expire":
-				if w.open {
-					w.close()
+				if f.connected {
+					f.close()
 				}
-				if w.there && w.owner == w.last {
-					w.there = false
+				if f.exists && f.owner == f.session {
+					f.exists = false
 				}
-				w.last++
-				w.open = true
-				w.m.SessionOpened(w.now, w.last)
+				f.session++
+				f.connected = true
+				f.m.SessionOpened(f.now, f.session)
 			case "close":
-				w.close()
+				f.close()
 			case "drain":
 				drained = !drained
-				w.m.Drain(w.now, drained)
+				f.m.Drain(f.now, drained)
 			case "yield":
 				yielded = !yielded
-				w.m.Yield(w.now, yielded)
+				f.m.Yield(f.now, yielded)
 			case "leave":
-				if !w.left {
-					w.left = true
-					w.m.Leave(w.now, w.now+leaveTime)
+				if !f.leaving {
+					f.leaving = true
+					f.m.Leave(f.now, f.now+removeDelayMs)
 				}
 			case "remove":
-				w.there = false
-				w.m.EntryChanged(w.now)
-			case "former":
-				w.put(Entry{Name: self.Name, Listen: self.Listen, Start: "a"}, true)
+				f.exists = false
+				f.m.EntryChanged(f.now)
+			case "predecessor":
+				f.put(Entry{Name: self.Name, Listen: self.Listen, Start: "a"}, true)
 			case "successor":
-				w.put(Entry{Name: self.Name, Listen: self.Listen, Start: "c"}, true)
+				f.put(Entry{Name: self.Name, Listen: self.Listen, Start: "c"}, true)
 			case "foreign":
-				w.put(Entry{Name: self.Name, Listen: "127.0.0.1:2"}, true)
+				f.put(Entry{Name: self.Name, Listen: "127.0.0.1:2"}, true)
 			case "garbage":
-				w.put(Entry{}, false)
+				f.put(Entry{}, false)
 			}
 		}
-		w.draws = false
+		f.faults = false
 		if yielded {
-			w.m.Yield(w.now, false)
+			f.m.Yield(f.now, false)
 		}
-		if !w.open && !w.ended {
-			w.open = true
-			w.last++
-			w.there = false
-			w.m.SessionOpened(w.now, w.last)
+		if !f.connected && !f.ended {
+			f.connected = true
+			f.session++
+			f.exists = false
+			f.m.SessionOpened(f.now, f.session)
 		}
-		end, steps := w.now+leaveTime+2*stepMost, 0
-		for w.now < end {
-			took, wake := w.step()
-			if took {
+		end, steps := f.now+removeDelayMs+2*maxStepBackoffMs, 0
+		for f.now < end {
+			stepped, wake := f.step()
+			if stepped {
 				steps++
 				continue
 			}
 			if wake == 0 || wake > end {
 				break
 			}
-			w.now = max(w.now, wake)
+			f.now = max(f.now, wake)
 		}
 		if steps > 40 {
-			t.Fatalf("%d steps in a calm minute", steps)
+			t.Fatalf("%d steps after the last event, want at most 40", steps)
 		}
-		foreign := w.there && w.owner != w.last && !(w.known && self.Supersedes(w.content))
+		foreign := f.exists && f.owner != f.session && !(f.valid && self.Supersedes(f.content))
 		switch {
-		case w.left && (!w.ended || w.there && w.owner == w.last && w.open && w.m.Phase() != Finished):
-			t.Fatalf("not gone: ended %t, entry %+v", w.ended, w.content)
-		case w.left:
-		case foreign && w.m.Phase() != Foreign:
-			t.Fatalf("phase %d of what is another's", w.m.Phase())
-		case !foreign && (w.m.Phase() != Registered || !w.there || w.owner != w.last || w.content.Draining != drained):
-			t.Fatalf("phase %d, entry %+v there %t, drained %t", w.m.Phase(), w.content, w.there, drained)
+		case f.leaving && (!f.ended || f.exists && f.owner == f.session && f.connected && f.m.Phase() != Finished):
+			t.Fatalf("the node has not left: session closed %t, entry %+v", f.ended, f.content)
+		case f.leaving:
+		case foreign && f.m.Phase() != Foreign:
+			t.Fatalf("phase %d with an entry of another node, want Foreign", f.m.Phase())
+		case !foreign && (f.m.Phase() != Registered || !f.exists || f.owner != f.session || f.content.Draining != drained):
+			t.Fatalf("phase %d, entry %+v exists %t, drained %t, want a registered entry with that drain mark",
+				f.m.Phase(), f.content, f.exists, drained)
 		}
 	})
 }
 
-// peak returns the most of these times that fall into any 100 ms.
+// peak returns the largest number of times that fall into any 100 ms.
 func peak(times []float64) (most int) {
 	slices.Sort(times)
 	for i, j := 0, 0; j < len(times); j++ {
@@ -204,69 +205,70 @@
 	return most
 }
 
-// libraryWait is the pause that the ZooKeeper client makes after each round of its servers, before it asks.
-const libraryWait = 1000.0
+// libraryPauseMs is the pause of the ZooKeeper client library after each round of its servers, before it calls DialAt.
+const libraryPauseMs = 1000.0
 
-// Three hundred nodes lose their ensemble at one instant, and it is away for 20 s. They don't come back at once, tries of each are
-// bounded in any second, and a session that is there again hears of its node before it expires.
-func TestNodesDoNotComeBackAtOnce(t *testing.T) {
-	const session, back = 6000.0, 20000.0
-	var tries, last []float64
+// 300 nodes lose their ensemble at the same instant, for 20 s. The test guards against nodes that all reconnect at once,
+// against a node that retries too fast, and against a session that expires because its node reconnects too late.
+func TestReconnectionsAreSpread(t *testing.T) {
+	const sessionMs, outageMs = 6000.0, 20000.0
+	var allAttempts, returnDelays []float64
 	for seed := range uint64(300) {
-		m := New(self, session, seed)
+		m := New(self, sessionMs, seed)
 		m.SessionOpened(0, 1)
 		m.ConnectionClosed(0)
-		own := []float64{}
+		attempts := []float64{}
 		for {
-			at := m.DialAt(previous(own) + libraryWait)
-			own = append(own, at)
-			if at >= back {
+			at := m.DialAt(previous(attempts) + libraryPauseMs)
+			attempts = append(attempts, at)
+			if at >= outageMs {
 				break
 			}
 			m.ConnectionClosed(at)
 		}
-		if n := peak(slices.Clone(own)); n > 1 {
-			t.Fatalf("a node tries %d times in 100 ms", n)
+		if n := peak(slices.Clone(attempts)); n > 1 {
+			t.Fatalf("a node makes %d connection attempts within 100 ms, want at most 1", n)
 		}
-		tries, last = append(tries, own...), append(last, own[len(own)-1]-back)
+		allAttempts, returnDelays = append(allAttempts, attempts...), append(returnDelays, attempts[len(attempts)-1]-outageMs)
 	}
-	t.Logf("tries %d, most in 100 ms %d of 300 (all at once without a spread), last node back after %.0f ms", len(tries), peak(tries),
-		slices.Max(last))
-	if n := peak(tries); n > 75 {
-		t.Errorf("%d of 300 nodes try within 100 ms", n)
+	t.Logf("%d attempts, peak within 100 ms %d of 300 (300 without a spread), last node back after %.0f ms", len(allAttempts),
+		peak(allAttempts), slices.Max(returnDelays))
+	if n := peak(allAttempts); n > 75 {
+		t.Errorf("%d of 300 nodes attempt to connect within 100 ms, want at most 75", n)
 	}
-	if slices.Max(last) > session*dialMost {
-		t.Errorf("a node comes back %.0f ms after its ensemble", slices.Max(last))
+	if slices.Max(returnDelays) > sessionMs*maxDialBackoffRatio {
+		t.Errorf("the last node reconnects %.0f ms after the ensemble returned", slices.Max(returnDelays))
 	}
 }
 
-// previous returns the time of the last try, or 0.
-func previous(own []float64) float64 {
-	if len(own) == 0 {
+// previous returns the time of the last attempt, or 0.
+func previous(attempts []float64) float64 {
+	if len(attempts) == 0 {
 		return 0
 	}
-	return own[len(own)-1]
+	return attempts[len(attempts)-1]
 }
 
-// A connection that flaps faster than a session is tried no faster than one that can't be made.
+// A connection that flaps within a session timeout must not be retried faster than one that cannot be established. Reporting
+// the end of a connection twice must not extend the pause.
 func TestFlappingIsBounded(t *testing.T) {
-	m, now, tries := New(self, 6000, 1), 0.0, 0
+	m, now, attempts := New(self, 6000, 1), 0.0, 0
 	for now < 60000 {
 		now = m.DialAt(now) + 1
 		m.SessionOpened(now, 1)
 		m.ConnectionClosed(now)
 		at := m.dialAt
 		if m.ConnectionClosed(now); m.dialAt != at {
-			t.Fatal("one end, told twice, is drawn a pause for twice")
+			t.Fatal("the second report of one connection end changes dialAt")
 		}
-		tries++
+		attempts++
 	}
-	if most := 60000/(6000*dialPart*leastPart) + 1; float64(tries) > most {
-		t.Errorf("%d connections in a minute, %.0f at most", tries, most)
+	if most := 60000/(6000*firstDialBackoffRatio*minPauseRatio) + 1; float64(attempts) > most {
+		t.Errorf("%d connections in a minute, want at most %.0f", attempts, most)
 	}
 }
 
-// A step that is refused is tried again at growing pauses, within the bound.
+// A step that is refused is retried with growing pauses, neither too often nor too rarely.
 func TestRefusedStepsAreBounded(t *testing.T) {
 	m, now, steps := New(self, 6000, 1), 0.0, 0
 	m.SessionOpened(0, 1)
@@ -279,25 +281,25 @@
 		steps++
 		m.StepDone(now, s, Result{Code: Failed})
 	}
-	if steps < 10*60e3/stepMost || steps > 50 {
-		t.Errorf("%d steps in ten minutes", steps)
+	if steps < 10*60e3/maxStepBackoffMs || steps > 50 {
+		t.Errorf("%d steps in ten minutes, want %.0f to 50", steps, 10*60e3/maxStepBackoffMs)
 	}
 }
 
-// Later starts have names that sort behind, on every clock of the next centuries.
-func TestStartsSort(t *testing.T) {
+// The IDs of later starts sort after those of earlier ones, for any clock of the next centuries.
+func TestStartIDsSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := rapid.Float64Range(0, 1e13).Draw(t, "at")
 		a := NewStartID(at, rapid.Uint64().Draw(t, "a"))
 		b := NewStartID(at+1+rapid.Float64Range(0, 1e12).Draw(t, "after"), rapid.Uint64().Draw(t, "b"))
 		if a >= b || len(a) != 16 || len(b) != 16 {
-			t.Fatalf("%s, later %s", a, b)
+			t.Fatalf("start ID %s, later start ID %s, want ascending IDs of 16 characters", a, b)
 		}
 	})
 }
 
-// Entries are read as they are written, and those of older nodes and of others are no fault.
-func TestEntries(t *testing.T) {
+// Entries survive a round trip. Entries of older nodes and with unknown keys are parsed, and anything else is rejected.
+func TestEntryFormat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Entry{Name: rapid.String().Draw(t, "name"), Listen: rapid.String().Draw(t, "listen"), H2C: rapid.String().Draw(t, "h2c"),
 			Start: rapid.StringMatching("[0-9a-f]{16}").Draw(t, "start"), Draining: rapid.Bool().Draw(t, "draining")}
@@ -312,7 +314,7 @@
 	}
 	for _, bad := range []string{"", "peer", "[]", "3", `{"name":`} {
 		if _, ok := ParseEntry([]byte(bad)); ok {
-			t.Errorf("%q is taken for an entry", bad)
+			t.Errorf("%q is parsed as an entry", bad)
 		}
 	}
 }
@@ -325,7 +327,7 @@
 		if !ok {
 			return
 		}
-		once, ok := ParseEntry(e.Append(nil)) // bytes that are no UTF-8 are replaced
+		once, ok := ParseEntry(e.Append(nil)) // bytes that are not UTF-8 are replaced
 		twice, _ := ParseEntry(once.Append(nil))
 		if diff := cmp.Diff(once, twice); diff != "" || !ok || once.Draining != e.Draining {
 			t.Error(diff)
