--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,21 +1,21 @@
-// Package handover is the protocol by which a running process of a node hands over to one that was started beside it,
-// over a socket of the same machine: the listening sockets, what it has learned, the ids that it has read, and then its
-// connections at rest, one by one. Predecessor is the side of the running process and Successor that of its successor; both are
-// state machines that are fed bytes and know no socket. They have no clock: absolute times in Unix milliseconds go in.
+// Package handover implements the protocol by which a running process of a node (the predecessor) hands over to a process
+// started on the same machine (the successor). It hands over the listening sockets, the learned state, the IDs of the
+// requests that it has read, and then its idle connections, one by one. Predecessor and Successor are the two sides as state
+// machines: they are fed bytes and do no I/O. They have no clock: callers pass absolute times in Unix milliseconds.
 //
-// The frames are those of package peer, with kinds of their own. Descriptors travel beside the frame that names them, in
-// the order in which it does (SCM_RIGHTS, unix(7)).
+// The frames have the format of package peer, with additional kinds. Descriptors travel with the frame that names them, in
+// the order in which it names them (SCM_RIGHTS, unix(7)).
 //
-//	successor               running process
+//	successor               predecessor
 //	hello  ------------------>
-//	       <------------------  welcome (listening sockets), sections of knowledge, end
-//	       <----- load ------>  each way, every LoadIntervalMs
-//	serving ----------------->                         from here on the successor takes new connections
-//	       <------------------  yielded                and the running process takes none: it may be told to leave
-//	       <------------------  conn (a connection at rest), any number
+//	       <------------------  welcome (listening sockets), sections of learned state, end
+//	       <----- load ------>  in both directions, every LoadIntervalMs
+//	serving ----------------->                         from here on the successor accepts new connections
+//	       <------------------  yielded                the predecessor accepts none, and may be told to leave
+//	       <------------------  conn (an idle connection), any number
 //
-// Until serving nothing has changed for the running process, and if the successor is lost then or later, it goes on as
-// before.
+// Until it receives serving, the predecessor works as before. If the successor is lost, at that time or later, the
+// predecessor continues to serve.
 package handover
 
 import (
@@ -26,93 +26,93 @@
 	"whinrudder/internal/peer"
 )
 
-// The kinds of frames, beside Section, End and Refuse of package peer.
+// The kinds of frames, in addition to KindSection, KindEnd and KindRefuse of package peer.
 const (
-	kindHello   peer.Kind = 32 + iota // successor: who it is and where it would listen
-	kindWelcome                       // running process: the fronts whose sockets come with the frame
-	kindServing                       // successor: it serves
-	kindLoad                          // either: what it has in hand, and ids that it has read
-	kindConn                          // running process: a connection comes with the frame
-	kindYielded                       // running process: it takes no new connections
+	kindHello   peer.Kind = 32 + iota // from the successor: its node name and the addresses at which it is to listen
+	kindWelcome                       // from the predecessor: the fronts whose sockets come with the frame
+	kindServing                       // from the successor: it accepts new connections
+	kindLoad                          // from either side: its load, and IDs of requests that it has read
+	kindConn                          // from the predecessor: a connection comes with the frame
+	kindYielded                       // from the predecessor: it accepts no new connections
 )
 
 // Times in milliseconds.
 const (
-	// LoadIntervalMs is how often each side tells what it has in hand: a few times in the time that a request takes.
+	// LoadIntervalMs is the interval at which each side reports its load: several times within the duration of a request.
 	LoadIntervalMs = 50
-	// silentFor is how long a side may say nothing: it tells its load far more often, but a process may stand still, and
-	// its end is heard of at once.
-	silentFor = 5000
-	// helloFor is how long a successor may take to say who it is.
-	helloFor = 1000
-	// welcomeFor is how long a running process may take to hand over its sockets.
-	welcomeFor = 2000
-	// serveFor is how long a successor may take until it serves.
-	serveFor = 30e3
+	// silenceTimeoutMs is how long a side may send nothing. Each side reports its load far more often, but a process may
+	// stall. The end of a process is noticed at once, without this timeout.
+	silenceTimeoutMs = 5000
+	// helloTimeoutMs is how long a successor may take to send hello.
+	helloTimeoutMs = 1000
+	// welcomeTimeoutMs is how long a predecessor may take to hand over its sockets.
+	welcomeTimeoutMs = 2000
+	// servingTimeoutMs is how long a successor may take from the welcome until it serves.
+	servingTimeoutMs = 30e3
 )
 
 const (
-	idSize    = 16  // characters of an id
-	idsAFrame = 900 // so that a frame stays within peer.MaxPayloadBytes
-	maxFronts = 8
-	maxLoad   = 1e9
+	idBytes       = 16  // length of a request ID
+	maxIDsPerLoad = 900 // IDs in one load frame, which keeps it within peer.MaxPayloadBytes
+	maxFronts     = 8
+	maxInProgress = 1e9 // requests that a load frame may report; its memory in kB is limited to 1000 times this number
 )
 
 type hello struct {
 	Node  string            `cbor:"node"`
-	Addrs map[string]string `cbor:"addrs"` // of the fronts
+	Addrs map[string]string `cbor:"addrs"` // listening addresses by front
 }
 
 type welcome struct {
-	Node   string       `cbor:"node"`
-	Fronts []string     `cbor:"fronts"`
-	Away   bool         `cbor:"away"` // operators have sent the clients away
-	Head   peer.Summary `cbor:"head"`
+	Node            string       `cbor:"node"`
+	Fronts          []string     `cbor:"fronts"` // whose listening sockets come with the frame, in this order
+	OperatorDrained bool         `cbor:"away"`   // operators have drained the node
+	Summary         peer.Summary `cbor:"head"`   // of the learned state; its sections follow
 }
 
 type load struct {
-	Live int     `cbor:"live"`
-	KB   float64 `cbor:"kb"`
-	IDs  []byte  `cbor:"ids"` // one after the other
+	InProgress int     `cbor:"live"`
+	MemoryKB   float64 `cbor:"kb"`
+	IDs        []byte  `cbor:"ids"` // concatenated
 }
 
-// Conn is a connection at rest.
+// Conn describes an idle connection that is handed over.
 type Conn struct {
 	Front  string  `cbor:"front"`
-	Served int     `cbor:"served"` // answers so far
-	Since  float64 `cbor:"since"`  // when the last was given, or the connection began
+	Served int     `cbor:"served"` // number of answers sent so far
+	Since  float64 `cbor:"since"`  // time of the last answer, or of the start of the connection
 }
 
-// Message is what is to be written in one go, with the descriptors that it names beside it.
+// Message is a sequence of bytes to be written at once, with the descriptors to be passed along.
 type Message struct {
 	Bytes  []byte
-	Fronts []string // whose listening sockets go along
-	Conn   any      // the connection that goes along, as it was given; nil: none
+	Fronts []string // fronts whose listening sockets are passed
+	Conn   any      // the connection to be passed, as given to SendConn; nil: none
 }
 
-// An Event is what the other side said.
+// Event is something that the other side has sent.
 type Event interface{ event() }
 
 type (
-	// HelloReceived tells that a successor wants to know: SendWelcome is to be called.
+	// HelloReceived means that a successor wants to take over. The caller must call SendWelcome.
 	HelloReceived struct{ Node string }
-	// ListenersReceived tells that listening sockets came, of these fronts in this order.
+	// ListenersReceived means that the listening sockets of these fronts have arrived, in this order.
 	ListenersReceived struct {
 		Fronts          []string
-		OperatorDrained bool
+		OperatorDrained bool // operators have drained the node
 	}
-	// KnowledgeReceived brings what the running process has learned. All that is needed to serve has come.
+	// KnowledgeReceived carries the learned state of the predecessor. Everything needed to serve has now arrived.
 	KnowledgeReceived struct{ knowledge.Report }
-	// SuccessorServing tells that the successor takes new connections.
+	// SuccessorServing means that the successor accepts new connections.
 	SuccessorServing struct{}
-	// PredecessorYielded tells that the running process takes no new connections, and knows its successor.
+	// PredecessorYielded means that the predecessor knows of its successor and accepts no new connections.
 	PredecessorYielded struct{}
-	// LoadReceived brings what the other side has in hand, and ids that it has read.
+	// LoadReceived carries the load of the other side, and IDs of requests that it has read.
 	LoadReceived struct {
 		whinrudder.Beside
 		IDs []string
 	}
-	// ConnReceived tells that a connection came.
+	// ConnReceived means that a connection has arrived.
 	ConnReceived struct{ Conn }
 )
 
@@ -124,206 +124,207 @@
 func (LoadReceived) event()       {}
 func (ConnReceived) event()       {}
 
-// side is what both machines have in common.
-type side struct {
-	in    peer.Reader
-	out   []Message
-	heard float64 // when the other side was heard last
-	by    float64 // when the present phase must be over; 0: it has no end
+// endpoint is the state that both sides have in common.
+type endpoint struct {
+	reader    peer.Reader
+	outgoing  []Message
+	lastHeard float64 // time at which the other side was last heard
+	deadline  float64 // time by which the present phase must be over; 0: none
 }
 
-func (s *side) say(m Message) { s.out = append(s.out, m) }
+func (e *endpoint) queue(m Message) { e.outgoing = append(e.outgoing, m) }
 
-// Messages returns what is to be written, in order.
-func (s *side) Messages() []Message {
-	out := s.out
-	s.out = nil
-	return out
+// Messages returns the messages to be written, in order, and removes them from the queue.
+func (e *endpoint) Messages() []Message {
+	outgoing := e.outgoing
+	e.outgoing = nil
+	return outgoing
 }
 
-// SendLoad tells the other side what is in hand here, and ids that were read.
-func (s *side) SendLoad(b whinrudder.Beside, ids []string) {
+// SendLoad reports the load of this process and the IDs of requests that it has read to the other side.
+func (e *endpoint) SendLoad(b whinrudder.Beside, ids []string) {
 	for first := true; first || len(ids) > 0; first = false {
-		n := min(len(ids), idsAFrame)
-		l := load{Live: b.InProgress, KB: b.MemoryKB}
+		n := min(len(ids), maxIDsPerLoad)
+		l := load{InProgress: b.InProgress, MemoryKB: b.MemoryKB}
 		for _, id := range ids[:n] {
-			if len(id) == idSize {
+			if len(id) == idBytes {
 				l.IDs = append(l.IDs, id...)
 			}
 		}
 		ids = ids[n:]
-		s.say(Message{Bytes: peer.AppendValue(nil, kindLoad, l)})
+		e.queue(Message{Bytes: peer.AppendValue(nil, kindLoad, l)})
 	}
 }
 
-func loaded(f peer.Frame) (LoadReceived, *peer.Fault) {
+func decodeLoad(f peer.Frame) (LoadReceived, *peer.Fault) {
 	var l load
 	if err := peer.DecodeValue(f, &l); err != nil {
 		return LoadReceived{}, err
 	}
-	if l.Live < 0 || l.Live > maxLoad || !(l.KB >= 0 && l.KB <= maxLoad*1e3) || len(l.IDs)%idSize != 0 {
-		return LoadReceived{}, peer.NewFault("bad-load", "%d live, %v kB, %d bytes of ids", l.Live, l.KB, len(l.IDs))
+	if l.InProgress < 0 || l.InProgress > maxInProgress ||
+		!(l.MemoryKB >= 0 && l.MemoryKB <= maxInProgress*1e3) || len(l.IDs)%idBytes != 0 {
+		return LoadReceived{}, peer.NewFault("bad-load", "invalid load: %d requests in progress, %v kB of memory, %d bytes of IDs",
+			l.InProgress, l.MemoryKB, len(l.IDs))
 	}
-	e := LoadReceived{Beside: whinrudder.Beside{InProgress: l.Live, MemoryKB: l.KB}}
-	for ; len(l.IDs) > 0; l.IDs = l.IDs[idSize:] {
-		e.IDs = append(e.IDs, string(l.IDs[:idSize]))
+	e := LoadReceived{Beside: whinrudder.Beside{InProgress: l.InProgress, MemoryKB: l.MemoryKB}}
+	for ; len(l.IDs) > 0; l.IDs = l.IDs[idBytes:] {
+		e.IDs = append(e.IDs, string(l.IDs[:idBytes]))
 	}
 	return e, nil
 }
 
-// due tells what is wrong with the other side's silence.
-func (s *side) due(now float64) *peer.Fault {
+// checkTimeouts returns a fault if the other side has been silent or in its present phase for too long.
+func (e *endpoint) checkTimeouts(now float64) *peer.Fault {
 	switch {
-	case s.by > 0 && now >= s.by:
-		return peer.NewFault("late", "the other process did not come to its next step")
-	case now >= s.heard+silentFor:
-		return peer.NewFault("silent", "nothing came for %d ms", silentFor)
+	case e.deadline > 0 && now >= e.deadline:
+		return peer.NewFault("late", "the other process did not reach its next phase in time")
+	case now >= e.lastHeard+silenceTimeoutMs:
+		return peer.NewFault("silent", "received nothing for %d ms", silenceTimeoutMs)
 	}
 	return nil
 }
 
-// WakeAt returns when CheckTimeouts must be called.
-func (s *side) WakeAt() float64 {
-	at := s.heard + silentFor
-	if s.by > 0 {
-		at = min(at, s.by)
+// WakeAt returns the time at which CheckTimeouts must be called.
+func (e *endpoint) WakeAt() float64 {
+	at := e.lastHeard + silenceTimeoutMs
+	if e.deadline > 0 {
+		at = min(at, e.deadline)
 	}
 	return at
 }
 
-// Predecessor is the side of the running process. Create it with NewPredecessor.
+// Predecessor is the state machine of the running process. Create it with NewPredecessor.
 type Predecessor struct {
-	side
+	endpoint
 	node  string
 	addrs map[string]string
 	phase phase
-	asked hello
+	hello hello // as received
 }
 
 type phase uint8
 
 const (
-	unknown phase = iota // nothing was said yet
-	asked                // hello came
-	given                // welcome went out
-	serving              // the successor serves
+	phaseConnected     phase = iota // nothing was received yet
+	phaseHelloReceived              // hello was received
+	phaseWelcomeSent                // welcome was sent
+	phaseServing                    // the successor serves
 )
 
-// NewPredecessor returns the machine of a connection that was accepted at a time, for a node that listens at addresses, by the
-// names of the fronts.
+// NewPredecessor returns the machine of a connection that was accepted at time now. The node listens at addrs, by front.
 func NewPredecessor(node string, addrs map[string]string, now float64) *Predecessor {
-	return &Predecessor{side: side{heard: now, by: now + helloFor}, node: node, addrs: addrs}
+	return &Predecessor{endpoint: endpoint{lastHeard: now, deadline: now + helloTimeoutMs}, node: node, addrs: addrs}
 }
 
-// Feed takes bytes that were read.
-func (g *Predecessor) Feed(now float64, b []byte) (events []Event, bad *peer.Fault) {
-	g.in.Feed(b)
+// Feed processes bytes that were read. It returns the resulting events, and a fault if the other side broke the protocol.
+func (p *Predecessor) Feed(now float64, b []byte) (events []Event, fault *peer.Fault) {
+	p.reader.Feed(b)
 	for {
-		f, ok, bad := g.in.Next()
-		if bad != nil || !ok {
-			return events, bad
+		f, ok, fault := p.reader.Next()
+		if fault != nil || !ok {
+			return events, fault
 		}
-		g.heard = now
+		p.lastHeard = now
 		switch {
-		case f.Kind == kindHello && g.phase == unknown:
-			if bad := peer.DecodeValue(f, &g.asked); bad != nil {
-				return events, bad
+		case f.Kind == kindHello && p.phase == phaseConnected:
+			if fault := peer.DecodeValue(f, &p.hello); fault != nil {
+				return events, fault
 			}
-			if g.asked.Node != g.node {
-				return events, peer.NewFault("other-node", "%q asks, this is %q", g.asked.Node, g.node)
+			if p.hello.Node != p.node {
+				return events, peer.NewFault("other-node", "successor is node %q, this is node %q", p.hello.Node, p.node)
 			}
-			if len(g.asked.Addrs) > maxFronts {
-				return events, peer.NewFault("many-fronts", "%d, %d at most", len(g.asked.Addrs), maxFronts)
+			if len(p.hello.Addrs) > maxFronts {
+				return events, peer.NewFault("many-fronts", "%d fronts exceed the limit of %d", len(p.hello.Addrs), maxFronts)
 			}
-			g.phase, g.by = asked, now+welcomeFor
-			events = append(events, HelloReceived{g.asked.Node})
-		case f.Kind == kindServing && g.phase == given:
-			g.phase, g.by = serving, 0
+			p.phase, p.deadline = phaseHelloReceived, now+welcomeTimeoutMs
+			events = append(events, HelloReceived{p.hello.Node})
+		case f.Kind == kindServing && p.phase == phaseWelcomeSent:
+			p.phase, p.deadline = phaseServing, 0
 			events = append(events, SuccessorServing{})
-		case f.Kind == kindLoad && g.phase >= given:
-			e, bad := loaded(f)
-			if bad != nil {
-				return events, bad
+		case f.Kind == kindLoad && p.phase >= phaseWelcomeSent:
+			e, fault := decodeLoad(f)
+			if fault != nil {
+				return events, fault
 			}
 			events = append(events, e)
 		default:
-			return events, peer.NewFault("bad-order", "a frame of kind %d", f.Kind)
+			return events, peer.NewFault("bad-order", "unexpected frame of kind %d", f.Kind)
 		}
 	}
 }
 
-// SendWelcome hands over the sockets of the fronts that both have at the same address, and what was learned.
-func (g *Predecessor) SendWelcome(now float64, away bool, r knowledge.Report) {
-	if g.phase != asked {
+// SendWelcome hands over the listening sockets of the fronts that have the same address on both sides, and the learned state.
+func (p *Predecessor) SendWelcome(now float64, operatorDrained bool, r knowledge.Report) {
+	if p.phase != phaseHelloReceived {
 		return
 	}
-	g.phase, g.by = given, now+serveFor
-	w := welcome{Node: g.node, Away: away, Head: peer.SummaryOf(r)}
-	for _, name := range fronts {
-		if a := g.asked.Addrs[name]; a != "" && a == g.addrs[name] {
+	p.phase, p.deadline = phaseWelcomeSent, now+servingTimeoutMs
+	w := welcome{Node: p.node, OperatorDrained: operatorDrained, Summary: peer.SummaryOf(r)}
+	for _, name := range frontOrder {
+		if addr := p.hello.Addrs[name]; addr != "" && addr == p.addrs[name] {
 			w.Fronts = append(w.Fronts, name)
 		}
 	}
-	g.say(Message{Bytes: peer.AppendValue(nil, kindWelcome, w), Fronts: w.Fronts})
-	// Each frame by itself: what is written in one go must not be long.
-	g.say(Message{Bytes: peer.AppendSections(nil, r)})
+	p.queue(Message{Bytes: peer.AppendValue(nil, kindWelcome, w), Fronts: w.Fronts})
+	// The sections go in a separate message because a message must not be long.
+	p.queue(Message{Bytes: peer.AppendSections(nil, r)})
 }
 
-// fronts in the order in which their sockets travel.
-var fronts = []string{"http", "h2c", "uwsgi", "peer"}
+// frontOrder is the order in which the sockets of the fronts are passed.
+var frontOrder = []string{"http", "h2c", "uwsgi", "peer"}
 
-// SuccessorServing tells whether the successor takes new connections.
-func (g *Predecessor) SuccessorServing() bool { return g.phase == serving }
+// SuccessorServing reports whether the successor accepts new connections.
+func (p *Predecessor) SuccessorServing() bool { return p.phase == phaseServing }
 
-// SendYielded tells the successor that this process takes no new connections.
-func (g *Predecessor) SendYielded() {
-	if g.phase == serving {
-		g.say(Message{Bytes: peer.AppendValue(nil, kindYielded, struct{}{})})
+// SendYielded informs the successor that this process accepts no new connections.
+func (p *Predecessor) SendYielded() {
+	if p.phase == phaseServing {
+		p.queue(Message{Bytes: peer.AppendValue(nil, kindYielded, struct{}{})})
 	}
 }
 
-// SendConn hands over a connection. It tells false if the successor does not take any.
-func (g *Predecessor) SendConn(c Conn, what any) bool {
-	if g.phase != serving {
+// SendConn hands over a connection. It returns false if the successor does not accept connections yet.
+func (p *Predecessor) SendConn(c Conn, conn any) bool {
+	if p.phase != phaseServing {
 		return false
 	}
-	g.say(Message{Bytes: peer.AppendValue(nil, kindConn, c), Conn: what})
+	p.queue(Message{Bytes: peer.AppendValue(nil, kindConn, c), Conn: conn})
 	return true
 }
 
-// CheckTimeouts tells what is wrong if nothing that came by a time was left unread.
-func (g *Predecessor) CheckTimeouts(looked float64) *peer.Fault { return g.due(looked) }
+// CheckTimeouts returns a fault if a timeout has expired. The caller must have fed all bytes that arrived before readUntil.
+func (p *Predecessor) CheckTimeouts(readUntil float64) *peer.Fault { return p.checkTimeouts(readUntil) }
 
-// Successor is the side of the successor. Create it with NewSuccessor.
+// Successor is the state machine of the process that takes over. Create it with NewSuccessor.
 type Successor struct {
-	side
-	node   string
-	addrs  map[string]string
-	gather *peer.ReportAssembler // nil until the welcome came
-	whole  bool
-	serves bool
+	endpoint
+	node      string
+	addrs     map[string]string
+	assembler *peer.ReportAssembler // nil until welcome was received
+	complete  bool                  // everything needed to serve has arrived
+	serving   bool                  // serving was sent
 }
 
-// NewSuccessor returns the machine of a connection that was made at a time, for a node that would listen at addresses, by the
-// names of the fronts.
+// NewSuccessor returns the machine of a connection that was established at time now. The node is to listen at addrs, by
+// front.
 func NewSuccessor(node string, addrs map[string]string, now float64) *Successor {
-	t := &Successor{side: side{heard: now, by: now + welcomeFor}, node: node, addrs: addrs}
-	t.say(Message{Bytes: peer.AppendValue(nil, kindHello, hello{node, addrs})})
-	return t
+	s := &Successor{endpoint: endpoint{lastHeard: now, deadline: now + welcomeTimeoutMs}, node: node, addrs: addrs}
+	s.queue(Message{Bytes: peer.AppendValue(nil, kindHello, hello{node, addrs})})
+	return s
 }
 
-// Feed takes bytes that were read.
-func (t *Successor) Feed(now float64, b []byte) (events []Event, bad *peer.Fault) {
-	t.in.Feed(b)
+// Feed processes bytes that were read. It returns the resulting events, and a fault if the other side broke the protocol.
+func (s *Successor) Feed(now float64, b []byte) (events []Event, fault *peer.Fault) {
+	s.reader.Feed(b)
 	for {
-		f, ok, bad := t.in.Next()
-		if bad != nil || !ok {
-			return events, bad
+		f, ok, fault := s.reader.Next()
+		if fault != nil || !ok {
+			return events, fault
 		}
-		t.heard = now
-		e, bad := t.frame(f)
-		if bad != nil {
-			return events, bad
+		s.lastHeard = now
+		e, fault := s.handleFrame(f)
+		if fault != nil {
+			return events, fault
 		}
 		if e != nil {
 			events = append(events, e)
@@ -331,83 +332,83 @@
 	}
 }
 
-func (t *Successor) frame(f peer.Frame) (Event, *peer.Fault) {
+func (s *Successor) handleFrame(f peer.Frame) (Event, *peer.Fault) {
 	switch {
-	case f.Kind == kindWelcome && t.gather == nil:
+	case f.Kind == kindWelcome && s.assembler == nil:
 		var w welcome
-		if bad := peer.DecodeValue(f, &w); bad != nil {
-			return nil, bad
+		if fault := peer.DecodeValue(f, &w); fault != nil {
+			return nil, fault
 		}
-		if w.Node != t.node || len(w.Fronts) > maxFronts {
-			return nil, peer.NewFault("other-node", "%q gives, this is %q", w.Node, t.node)
+		if w.Node != s.node || len(w.Fronts) > maxFronts {
+			return nil, peer.NewFault("other-node", "predecessor is node %q, this is node %q, or it names too many fronts", w.Node, s.node)
 		}
 		for i, name := range w.Fronts {
-			if t.addrs[name] == "" || i > 0 && w.Fronts[i-1] == name {
-				return nil, peer.NewFault("other-front", "%q was not asked for", name)
+			if s.addrs[name] == "" || i > 0 && w.Fronts[i-1] == name {
+				return nil, peer.NewFault("other-front", "front %q was not requested or is repeated", name)
 			}
 		}
-		t.gather = peer.NewReportAssembler(w.Head)
-		return ListenersReceived{w.Fronts, w.Away}, nil
+		s.assembler = peer.NewReportAssembler(w.Summary)
+		return ListenersReceived{w.Fronts, w.OperatorDrained}, nil
 	case f.Kind == peer.KindRefuse:
 		return nil, peer.NewFault("refused", "%s", peer.DescribeFrame(f))
-	case (f.Kind == peer.KindSection || f.Kind == peer.KindEnd) && t.gather != nil && !t.whole:
-		if bad := t.gather.Add(f); bad != nil {
-			return nil, bad
+	case (f.Kind == peer.KindSection || f.Kind == peer.KindEnd) && s.assembler != nil && !s.complete:
+		if fault := s.assembler.Add(f); fault != nil {
+			return nil, fault
 		}
-		r, whole := t.gather.Report()
-		if !whole {
+		r, complete := s.assembler.Report()
+		if !complete {
 			return nil, nil
 		}
-		t.whole, t.by = true, 0
+		s.complete, s.deadline = true, 0
 		return KnowledgeReceived{r}, nil
-	case f.Kind == kindLoad && t.whole:
-		e, bad := loaded(f)
-		if bad != nil {
-			return nil, bad
+	case f.Kind == kindLoad && s.complete:
+		e, fault := decodeLoad(f)
+		if fault != nil {
+			return nil, fault
 		}
 		return e, nil
-	case f.Kind == kindYielded && t.serves:
+	case f.Kind == kindYielded && s.serving:
 		return PredecessorYielded{}, nil
-	case f.Kind == kindConn && t.serves:
+	case f.Kind == kindConn && s.serving:
 		var c Conn
-		if bad := peer.DecodeValue(f, &c); bad != nil {
-			return nil, bad
+		if fault := peer.DecodeValue(f, &c); fault != nil {
+			return nil, fault
 		}
 		if c.Served < 0 || c.Front == "" || !(c.Since >= 0 && !math.IsInf(c.Since, 0)) {
-			return nil, peer.NewFault("bad-conn", "%+v", c)
+			return nil, peer.NewFault("bad-conn", "invalid connection %+v", c)
 		}
 		return ConnReceived{c}, nil
 	}
-	return nil, peer.NewFault("bad-order", "a frame of kind %d", f.Kind)
+	return nil, peer.NewFault("bad-order", "unexpected frame of kind %d", f.Kind)
 }
 
-// Complete tells whether all that is needed to serve has come.
-func (t *Successor) Complete() bool { return t.whole }
+// Complete reports whether everything needed to serve has arrived.
+func (s *Successor) Complete() bool { return s.complete }
 
-// SendServing tells the running process that this one takes new connections.
-func (t *Successor) SendServing() {
-	if t.whole && !t.serves {
-		t.serves = true
-		t.say(Message{Bytes: peer.AppendValue(nil, kindServing, struct{}{})})
+// SendServing informs the predecessor that this process accepts new connections.
+func (s *Successor) SendServing() {
+	if s.complete && !s.serving {
+		s.serving = true
+		s.queue(Message{Bytes: peer.AppendValue(nil, kindServing, struct{}{})})
 	}
 }
 
-// CheckTimeouts tells what is wrong if nothing that came by a time was left unread.
-func (t *Successor) CheckTimeouts(looked float64) *peer.Fault { return t.due(looked) }
+// CheckTimeouts returns a fault if a timeout has expired. The caller must have fed all bytes that arrived before readUntil.
+func (s *Successor) CheckTimeouts(readUntil float64) *peer.Fault { return s.checkTimeouts(readUntil) }
 
-// The platform stops a process that was succeeded after the longest deadline, counted as graceMost where it is longer, and
-// graceMore. It ends graceMargin before that.
+// The platform stops a process that was succeeded after the longest deadline of a class, but at most maxDeadlineMs, plus
+// platformExtraMs. The process ends graceMarginMs before that.
 const (
-	graceMost   = 3000
-	graceMore   = 700
-	graceMargin = 100
+	maxDeadlineMs   = 3000
+	platformExtraMs = 700
+	graceMarginMs   = 100
 )
 
-// GraceMs is how long a process that was succeeded has from the notice to leave, in milliseconds.
+// GraceMs returns the time that a process that was succeeded has to finish after the notice to leave, in milliseconds.
 func GraceMs(classes []whinrudder.Class) float64 {
 	longest := 0.0
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, graceMost) + graceMore - graceMargin
+	return min(longest, maxDeadlineMs) + platformExtraMs - graceMarginMs
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -22,7 +22,8 @@
 	ClassKnowledge: whinrudder.ClassKnowledge{Cost: whinrudder.CostModel{N: 20, Time: 100}}}},
 	Limit: whinrudder.Estimate{Value: 2, N: 10}}
 
-func addrs(text string) map[string]string {
+// parseAddrs parses FRONT=ADDRESS pairs that are separated by commas.
+func parseAddrs(text string) map[string]string {
 	out := map[string]string{}
 	for pair := range strings.SplitSeq(text, ",") {
 		k, v, _ := strings.Cut(pair, "=")
@@ -31,7 +32,8 @@
 	return out
 }
 
-func loadOf(words []string) (b whinrudder.Beside, ids []string) {
+// parseLoad parses the words of a load: requests in progress, kB of memory, IDs.
+func parseLoad(words []string) (b whinrudder.Beside, ids []string) {
 	b.InProgress, _ = strconv.Atoi(words[0])
 	b.MemoryKB, _ = strconv.ParseFloat(words[1], 64)
 	if len(words) > 2 {
@@ -40,15 +42,16 @@
 	return b, ids
 }
 
-// frameOf makes the bytes that a line tells to come.
-func frameOf(t *testing.T, words []string) []byte {
+// encodeFrame returns the bytes of the frame that the words of an "in" line describe.
+func encodeFrame(t *testing.T, words []string) []byte {
 	t.Helper()
 	rest := words[1:]
 	switch words[0] {
 	case "hello":
-		return peer.AppendValue(nil, kindHello, hello{rest[0], addrs(rest[1])})
+		return peer.AppendValue(nil, kindHello, hello{rest[0], parseAddrs(rest[1])})
 	case "welcome":
-		return peer.AppendValue(nil, kindWelcome, welcome{Node: rest[0], Fronts: strings.Split(rest[1], ","), Away: len(rest) > 2, Head: peer.SummaryOf(sample)})
+		return peer.AppendValue(nil, kindWelcome, welcome{Node: rest[0], Fronts: strings.Split(rest[1], ","),
+			OperatorDrained: len(rest) > 2, Summary: peer.SummaryOf(sample)})
 	case "sections":
 		return peer.AppendSections(nil, sample)
 	case "serving":
@@ -56,7 +59,7 @@
 	case "yielded":
 		return peer.AppendValue(nil, kindYielded, struct{}{})
 	case "load":
-		b, ids := loadOf(rest)
+		b, ids := parseLoad(rest)
 		return peer.AppendValue(nil, kindLoad, load{b.InProgress, b.MemoryKB, []byte(strings.Join(ids, ""))})
 	case "conn":
 		n, _ := strconv.Atoi(strings.TrimPrefix(rest[1], "served="))
@@ -71,11 +74,12 @@
 	return b
 }
 
-func told(b whinrudder.Beside, ids []string) string {
+func describeLoad(b whinrudder.Beside, ids []string) string {
 	return strings.TrimSpace(fmt.Sprint(b.InProgress, " ", b.MemoryKB, " ", strings.Join(ids, ",")))
 }
 
-func tellEvent(e Event) string {
+// describeEvent returns an event in the form of the transcripts.
+func describeEvent(e Event) string {
 	switch e := e.(type) {
 	case HelloReceived:
 		return "asked " + e.Node
@@ -84,7 +88,7 @@
 	case KnowledgeReceived:
 		return fmt.Sprint("learned ", len(e.Classes))
 	case LoadReceived:
-		return "loaded " + told(e.Beside, e.IDs)
+		return "loaded " + describeLoad(e.Beside, e.IDs)
 	case PredecessorYielded:
 		return "yielded"
 	case ConnReceived:
@@ -93,14 +97,14 @@
 	return "serving"
 }
 
-// tellOut names the frames of messages and what goes along.
-func tellOut(t *testing.T, all []Message) (out []string) {
-	for _, m := range all {
+// describeMessages returns the frames of messages, and what is passed along, in the form of the transcripts.
+func describeMessages(t *testing.T, messages []Message) (out []string) {
+	for _, m := range messages {
 		var r peer.Reader
 		r.Feed(m.Bytes)
-		for f, ok, bad := r.Next(); ok || bad != nil; f, ok, bad = r.Next() {
-			if bad != nil {
-				t.Fatal(bad)
+		for f, ok, fault := r.Next(); ok || fault != nil; f, ok, fault = r.Next() {
+			if fault != nil {
+				t.Fatal(fault)
 			}
 			line := "out " + peer.DescribeFrame(f)
 			switch f.Kind {
@@ -121,8 +125,8 @@
 			case kindYielded:
 				line = "out yielded"
 			case kindLoad:
-				e, _ := loaded(f)
-				line = "out load " + told(e.Beside, e.IDs)
+				e, _ := decodeLoad(f)
+				line = "out load " + describeLoad(e.Beside, e.IDs)
 			case kindConn:
 				var c Conn
 				peer.DecodeValue(f, &c)
@@ -152,21 +156,23 @@
 	return out
 }
 
-// machine is either side.
+// machine is implemented by Predecessor and Successor.
 type machine interface {
 	Feed(now float64, b []byte) ([]Event, *peer.Fault)
 	Messages() []Message
-	CheckTimeouts(now float64) *peer.Fault
+	CheckTimeouts(readUntil float64) *peer.Fault
 	SendLoad(b whinrudder.Beside, ids []string)
 }
 
-func newSide(name string) machine {
+// newMachine returns the machine of a side, under the name of its transcript.
+func newMachine(name string) machine {
 	if name == "give" {
-		return NewPredecessor("n1", addrs("http=a:1,h2c=b:2,uwsgi=c:3"), 0)
+		return NewPredecessor("n1", parseAddrs("http=a:1,h2c=b:2,uwsgi=c:3"), 0)
 	}
-	return NewSuccessor("n1", addrs("http=a:1,h2c=b:2"), 0)
+	return NewSuccessor("n1", parseAddrs("http=a:1,h2c=b:2"), 0)
 }
 
+// Each line of a transcript is an input or an expected output of one side. The test feeds the inputs and compares all lines.
 func TestTranscripts(t *testing.T) {
 	for _, name := range []string{"give", "take"} {
 		text, err := os.ReadFile("testdata/" + name + ".txt")
@@ -174,8 +180,8 @@
 			t.Fatal(err)
 		}
 		var want, got []string
-		m, now := newSide(name), 0.0
-		got = append(got, tellOut(t, m.Messages())...)
+		m, now := newMachine(name), 0.0
+		got = append(got, describeMessages(t, m.Messages())...)
 		for line := range strings.Lines(string(text)) {
 			line = strings.TrimSpace(line)
 			if line == "" || line[0] == '#' {
@@ -188,16 +194,16 @@
 			}
 			got = append(got, line)
 			var events []Event
-			var bad *peer.Fault
+			var fault *peer.Fault
 			switch words[0] {
 			case "new":
-				m, now = newSide(name), 0
+				m, now = newMachine(name), 0
 			case "in":
-				for _, b := range frameOf(t, words[1:]) { // byte by byte
+				for _, b := range encodeFrame(t, words[1:]) { // byte by byte
 					e, f := m.Feed(now, []byte{b})
 					events = append(events, e...)
 					if f != nil {
-						bad = f
+						fault = f
 						break
 					}
 				}
@@ -206,7 +212,7 @@
 			case "serve":
 				m.(*Successor).SendServing()
 			case "load":
-				m.SendLoad(loadOf(words[1:]))
+				m.SendLoad(parseLoad(words[1:]))
 			case "yield":
 				m.(*Predecessor).SendYielded()
 			case "conn":
@@ -214,109 +220,111 @@
 			case "at":
 				now, _ = strconv.ParseFloat(words[1], 64)
 			case "due":
-				bad = m.CheckTimeouts(now)
+				fault = m.CheckTimeouts(now)
 			}
 			for _, e := range events {
-				got = append(got, "event "+tellEvent(e))
+				got = append(got, "event "+describeEvent(e))
 			}
-			got = append(got, tellOut(t, m.Messages())...)
-			if bad != nil {
-				got = append(got, "fault "+bad.Code)
+			got = append(got, describeMessages(t, m.Messages())...)
+			if fault != nil {
+				got = append(got, "fault "+fault.Code)
 			}
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("transcript %s (-want +got):\n%s", name, diff)
 		}
 	}
 }
 
-// However the bytes are cut, each side hears all that the other said, once and in order, with the descriptors in the
-// order of the frames that name them.
-func TestTalkInPieces(t *testing.T) {
+// Reads may split the bytes anywhere. Each side must still receive everything that the other sent, once and in order, with
+// the descriptors in the order of the frames that name them.
+func TestReadsSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := addrs("http=a:1,h2c=b:2,uwsgi=c:3")
-		g, k := NewPredecessor("n1", all, 0), NewSuccessor("n1", all, 0)
-		var sent, heard, files, named []string
+		addrs := parseAddrs("http=a:1,h2c=b:2,uwsgi=c:3")
+		predecessor, successor := NewPredecessor("n1", addrs, 0), NewSuccessor("n1", addrs, 0)
+		var sent, received, passed, named []string // IDs sent and received; descriptors passed and named by frames
 		for i := range rapid.IntRange(0, 2500).Draw(t, "ids") {
 			sent = append(sent, fmt.Sprintf("%016x", i))
 		}
 		conns := rapid.IntRange(0, 5).Draw(t, "conns")
-		take := func(e Event) {
+		handle := func(e Event) {
 			switch e := e.(type) {
 			case HelloReceived:
-				g.SendWelcome(0, false, sample)
-				g.SendLoad(whinrudder.Beside{InProgress: 2}, sent)
+				predecessor.SendWelcome(0, false, sample)
+				predecessor.SendLoad(whinrudder.Beside{InProgress: 2}, sent)
 			case ListenersReceived:
 				named = append(named, e.Fronts...)
 			case KnowledgeReceived:
-				k.SendServing()
+				successor.SendServing()
 			case SuccessorServing:
 				for i := range conns {
-					g.SendConn(Conn{Front: "http", Served: i}, fmt.Sprint("c", i))
+					predecessor.SendConn(Conn{Front: "http", Served: i}, fmt.Sprint("c", i))
 				}
 			case LoadReceived:
-				heard = append(heard, e.IDs...)
+				received = append(received, e.IDs...)
 			case ConnReceived:
 				named = append(named, fmt.Sprint("c", e.Served))
 			}
 		}
 		for busy := true; busy; {
 			busy = false
-			for _, way := range []struct{ from, to machine }{{k, g}, {g, k}} {
+			for _, direction := range []struct{ from, to machine }{{successor, predecessor}, {predecessor, successor}} {
 				var b []byte
-				for _, m := range way.from.Messages() {
+				for _, m := range direction.from.Messages() {
 					b = append(b, m.Bytes...)
-					files = append(files, m.Fronts...)
+					passed = append(passed, m.Fronts...)
 					if m.Conn != nil {
-						files = append(files, m.Conn.(string))
+						passed = append(passed, m.Conn.(string))
 					}
 				}
 				for len(b) > 0 {
 					busy = true
 					n := min(len(b), rapid.IntRange(1, 9000).Draw(t, "size"))
-					events, bad := way.to.Feed(0, b[:n])
-					if bad != nil {
-						t.Fatal(bad)
+					events, fault := direction.to.Feed(0, b[:n])
+					if fault != nil {
+						t.Fatal(fault)
 					}
 					for _, e := range events {
-						take(e)
+						handle(e)
 					}
 					b = b[n:]
 				}
 			}
 		}
-		if !g.SuccessorServing() || !slices.Equal(sent, heard) || !slices.Equal(files, named) || len(named) != 3+conns {
-			t.Fatal(g.SuccessorServing(), len(sent), len(heard), files, named)
+		if !predecessor.SuccessorServing() || !slices.Equal(sent, received) || !slices.Equal(passed, named) || len(named) != 3+conns {
+			t.Fatalf("successor serving %t; IDs sent %d, received %d; descriptors passed %v, named %v, want all and in order",
+				predecessor.SuccessorServing(), len(sent), len(received), passed, named)
 		}
 	})
 }
 
-func TestGrace(t *testing.T) {
+func TestGraceMs(t *testing.T) {
 	for longest, want := range map[float64]float64{900: 1500, 3000: 3600, 9300: 3600} {
 		if got := GraceMs([]whinrudder.Class{{Deadline: 100}, {Deadline: longest}}); got != want {
-			t.Errorf("%v ms with a deadline of %v, want %v", got, longest, want)
+			t.Errorf("GraceMs with a longest deadline of %v ms: got %v ms, want %v ms", longest, got, want)
 		}
 	}
 }
 
 func FuzzSides(f *testing.F) {
-	f.Add(true, peer.AppendValue(nil, kindHello, hello{"n1", addrs("http=a:1")}))
-	f.Add(false, append(peer.AppendValue(nil, kindWelcome, welcome{Node: "n1", Fronts: []string{"http"}, Head: peer.SummaryOf(sample)}), peer.AppendSections(nil, sample)...))
+	f.Add(true, peer.AppendValue(nil, kindHello, hello{"n1", parseAddrs("http=a:1")}))
+	f.Add(false, append(peer.AppendValue(nil, kindWelcome, welcome{Node: "n1", Fronts: []string{"http"},
+		Summary: peer.SummaryOf(sample)}), peer.AppendSections(nil, sample)...))
 	f.Add(false, peer.AppendValue(nil, kindConn, Conn{Front: "http"}))
-	f.Fuzz(func(t *testing.T, give bool, b []byte) {
-		m := newSide(map[bool]string{true: "give", false: "take"}[give])
+	f.Fuzz(func(t *testing.T, predecessor bool, b []byte) {
+		m := newMachine(map[bool]string{true: "give", false: "take"}[predecessor])
 		m.Messages()
 		events, _ := m.Feed(0, b)
 		for _, e := range events {
 			switch e := e.(type) {
 			case LoadReceived:
 				if e.InProgress < 0 || !(e.MemoryKB >= 0) {
-					t.Error(e)
+					t.Errorf("invalid load is accepted: %+v", e)
 				}
 			case ListenersReceived:
 				for _, n := range e.Fronts {
 					if n != "http" && n != "h2c" {
-						t.Error(e)
+						t.Errorf("front %q is accepted, but was not requested", n)
 					}
 				}
 			}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -78,7 +78,7 @@
 		f.content, f.version = s.Content, f.version+1
 	case s.Action == Replace:
 		if f.owner == f.session || !f.valid || f.content.Name != self.Name || f.content.Listen != self.Listen || f.content.Start > self.Start {
-			f.t.Fatal("replaces an entry of its attempts session or of another node")
+			f.t.Fatal("replaces an entry of its own session, of another node or of a later start")
 		}
 		f.owner, f.version, f.content = f.session, 0, s.Content
 	case s.Action == Remove:
