--- /dev/null
+++ b/internal/upgrade/predecessor.go
@@ -0,0 +1,148 @@
+package upgrade
+
+import (
+	"errors"
+	"io"
+	"net"
+
+	"whinrudder/internal/core"
+	"whinrudder/internal/handover"
+	"whinrudder/internal/peer"
+)
+
+// predecessorSide is this process in the role of the predecessor, with its connection to a successor.
+type predecessorSide struct {
+	u                *Upgrade
+	conn             *fdConn
+	successorServing bool // the successor accepts new connections; guarded by u.mu
+
+	machine    *handover.Predecessor // guarded by conn.mu
+	sendFailed bool                  // an idle connection could not be handed over; guarded by conn.mu
+}
+
+// flush writes the pending messages of the machine.
+func (p *predecessorSide) flush() error {
+	p.conn.mu.Lock()
+	defer p.conn.mu.Unlock()
+	return p.conn.write(p.machine.Messages(), now()+writeTimeoutMs, p.u.host.Listeners)
+}
+
+// refuse rejects a successor with a code and closes the connection.
+func (p *predecessorSide) refuse(code string) {
+	// Log first, because the other process exits once it has the refusal.
+	p.u.host.Log("handover", "side", "give", "code", code)
+	p.conn.write([]handover.Message{{Bytes: peer.AppendRefuse(nil, code)}}, now()+writeTimeoutMs, nil)
+	p.conn.close()
+}
+
+// handOffConn passes an idle connection to the successor. It returns false if the connection stays with this process.
+func (p *predecessorSide) handOffConn(c *net.TCPConn, info handover.Conn) bool {
+	p.conn.mu.Lock()
+	defer p.conn.mu.Unlock()
+	if !p.machine.SendConn(info, c) {
+		return false
+	}
+	if err := p.conn.write(p.machine.Messages(), now()+writeTimeoutMs, p.u.host.Listeners); err != nil {
+		p.sendFailed = true
+		p.conn.close() // a frame may be written in part, so nothing can follow it
+		return false
+	}
+	return true
+}
+
+// run serves the successor until the connection ends.
+func (p *predecessorSide) run() {
+	defer p.u.goroutines.Done()
+	code, text := p.exchange()
+	p.conn.mu.Lock()
+	if p.sendFailed {
+		code = "lost"
+	}
+	p.conn.mu.Unlock()
+	p.conn.close()
+	p.conn.closeFiles()
+	u := p.u
+	u.host.Submit(core.QueryLoad{Stop: true})
+	u.host.Submit(core.SiblingLoad{})
+	u.mu.Lock()
+	wasServing, ended := p.successorServing, u.ended
+	p.successorServing, u.asPredecessor = false, nil
+	u.mu.Unlock()
+	if wasServing && !ended { // the successor is lost: this process serves again, until its end if it leaves
+		u.host.SuccessorChanged(false)
+		u.ListenForSuccessor()
+	}
+	// Log last, because a reader of the log may then start another successor.
+	u.host.Log("handover", "side", "give", "code", code, "error", text)
+}
+
+// exchange runs the protocol until the connection ends. It returns the code of the end and, for a fault, its text.
+func (p *predecessorSide) exchange() (code, text string) {
+	query := newLoadQuery()
+	welcomed := false // the load is reported from the welcome on
+	for tick := now(); ; {
+		if welcomed && now() >= tick {
+			tick = now() + handover.LoadIntervalMs
+			if load, ok := query.run(p.u.host.Submit); ok {
+				p.conn.mu.Lock()
+				p.machine.SendLoad(load.Beside, load.IDs)
+				p.conn.mu.Unlock()
+			}
+		}
+		if err := p.flush(); err != nil {
+			return endReason(err)
+		}
+		by := p.machine.WakeAt()
+		if welcomed {
+			by = min(by, tick)
+		}
+		b, readUntil, err := p.conn.read(by)
+		if err != nil {
+			return endReason(err)
+		}
+		p.conn.mu.Lock()
+		events, fault := p.machine.Feed(now(), b)
+		if fault == nil {
+			fault = p.machine.CheckTimeouts(readUntil)
+		}
+		p.conn.mu.Unlock()
+		for _, e := range events {
+			switch e := e.(type) {
+			case handover.HelloReceived:
+				r := p.u.queryKnowledge()
+				p.conn.mu.Lock()
+				p.machine.SendWelcome(now(), p.u.host.OperatorDrained(), r)
+				p.conn.mu.Unlock()
+				welcomed = true
+			case handover.SuccessorServing:
+				p.u.mu.Lock()
+				p.successorServing = true
+				p.u.mu.Unlock()
+				p.u.host.Log("handover", "side", "give", "code", "succeeded")
+				p.u.host.SuccessorChanged(true)
+				p.conn.mu.Lock()
+				p.machine.SendYielded()
+				p.conn.mu.Unlock()
+			case handover.LoadReceived:
+				p.u.host.Submit(core.SiblingLoad{Beside: e.Beside, IDs: e.IDs})
+			}
+		}
+		if fault != nil {
+			return fault.Code, fault.Text
+		}
+	}
+}
+
+// endReason returns the log code and the text for the error that ended a connection.
+func endReason(err error) (code, text string) {
+	var fault *peer.Fault
+	switch {
+	case errors.As(err, &fault):
+		return fault.Code, fault.Text
+	case errors.Is(err, net.ErrClosed):
+		return "end", ""
+	case errors.Is(err, io.EOF):
+		return "lost", "" // the other process has ended; if it left bytes unread, the error is a reset instead
+	}
+	return "lost", err.Error()
+}
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -1,6 +1,7 @@
-// Package upgrade drives the handover from a running process of a node to one that is started beside it: a Unix socket
-// in a folder that both share, the sockets that pass over it, and what each side tells the other. It decides nothing:
-// the order of things is package handover's, what runs beside what is the decision module's.
+// Package upgrade drives the handover from a running process of a node to one that is started on the same machine. It does
+// the I/O: a Unix socket in a folder that both processes share, the passing of descriptors, and the messages of both sides.
+// It makes no decisions: package handover defines the protocol, and the decision module decides which requests run while
+// both processes share the cores.
 package upgrade
 
 import (
@@ -22,116 +23,119 @@
 
 // Times in milliseconds.
 const (
-	dialFor  = 500  // a running process that has not taken the connection by then is none
-	takeFor  = 2500 // all that is needed to serve has come by then
-	askFor   = 500  // the core has told what it was asked by then
-	writeFor = 300  // the other process has taken what is written by then
-	againFor = 50   // pause after an accept that failed
+	dialTimeoutMs     = 500  // for a running process to accept the connection
+	takeOverTimeoutMs = 2500 // for everything that a successor needs to serve
+	queryTimeoutMs    = 500  // for an answer of the core
+	writeTimeoutMs    = 300  // for a write to the other process
+	acceptRetryMs     = 50   // pause after a failed accept
 )
 
-// Host is what the node is to this package.
+// Host is the interface of this package to the node.
 type Host struct {
-	Name string
+	Name string // of the node
 	Dir  string // the folder that both processes share
-	// ListenAddrs returns where the node listens, by front, or is to listen as its files say.
+	// ListenAddrs returns the addresses at which the node listens, or is configured to listen, by front.
 	ListenAddrs     func() map[string]string
-	Submit          func(core.Input) // hands something to the core; must not be called from the core
+	Submit          func(core.Input) // sends an input to the core; must not be called from the core
 	Log             eventlog.Log
-	CurrentSettings func() (names []string, s whinrudder.Settings)
+	CurrentSettings func() (names []string, s whinrudder.Settings) // the class names and the settings
 
 	// Listeners returns the open listeners of the fronts.
 	Listeners func() map[string]*net.TCPListener
-	// OperatorDrained tells whether operators have sent the clients away.
+	// OperatorDrained reports whether operators have drained the node.
 	OperatorDrained func() bool
-	// SuccessorChanged tells that another process takes new connections from now on, or, if off, that it is lost.
+	// SuccessorChanged reports that another process accepts new connections from now on or, with on false, that it was lost.
 	SuccessorChanged func(on bool)
-	// PredecessorEnded tells that the process that this one succeeds has ended.
+	// PredecessorEnded reports that the process that this one succeeds has ended.
 	PredecessorEnded func()
-	// AdoptConn takes a connection at rest of another process. It returns false if it can't.
-	AdoptConn func(c net.Conn, how handover.Conn) bool
+	// AdoptConn takes over an idle connection of another process. It returns false if that is not possible.
+	AdoptConn func(c net.Conn, info handover.Conn) bool
 }
 
-// Upgrade is this part of one node.
+// Upgrade drives the handovers of one process of a node, in both roles. Create it with New.
 type Upgrade struct {
-	h Host
+	host Host
 
-	mu     sync.Mutex
-	l      *net.UnixListener
-	to     *giving // the successor; nil: none
-	from   *taking // the process that this one succeeds; nil: none
-	ended  bool
-	leaves bool
-	wait   sync.WaitGroup
+	mu            sync.Mutex
+	listener      *net.UnixListener // accepts successors; nil: not opened yet
+	asPredecessor *predecessorSide  // towards the successor; nil: there is none
+	asSuccessor   *successorSide    // towards the process that this one succeeds; nil: there is none
+	ended         bool              // EndShutdown was called
+	leaving       bool              // BeginShutdown was called
+	goroutines    sync.WaitGroup
 }
 
+// now returns the current time in Unix milliseconds.
 func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-func at(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
+// timeAt returns the time of Unix milliseconds.
+func timeAt(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
 
-// New returns the part of a node that shares a folder with those before and after it.
-func New(h Host) *Upgrade { return &Upgrade{h: h} }
+// New returns the Upgrade of a process.
+func New(host Host) *Upgrade { return &Upgrade{host: host} }
 
-// path is that of the socket, by the address of the platform's front: nodes may share a folder.
-func (u *Upgrade) path() string {
+// socketPath returns the path of the Unix socket. It contains the address of the HTTP front because nodes may share a folder.
+func (u *Upgrade) socketPath() string {
 	clean := strings.Map(func(c rune) rune {
 		if c == ':' || c == '/' || c == '[' || c == ']' {
 			return '-'
 		}
 		return c
-	}, u.h.ListenAddrs()["http"])
-	return filepath.Join(u.h.Dir, "whinrudder-"+clean)
+	}, u.host.ListenAddrs()["http"])
+	return filepath.Join(u.host.Dir, "whinrudder-"+clean)
 }
 
-// ListenForSuccessor opens the socket at which a successor finds this process, in place of an older one.
+// ListenForSuccessor opens the socket at which a successor finds this process. It replaces an older one.
 func (u *Upgrade) ListenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended || u.leaves {
+	if u.ended || u.leaving {
 		return
 	}
-	if u.l != nil {
-		u.l.Close()
+	if u.listener != nil {
+		u.listener.Close()
 	}
-	l, err := listenAt(u.path())
+	l, err := listenUnix(u.socketPath())
 	if err != nil {
-		u.h.Log("handover", "code", "off", "error", err)
+		u.host.Log("handover", "code", "off", "error", err)
 		return
 	}
-	u.l = l
-	u.wait.Add(1)
+	u.listener = l
+	u.goroutines.Add(1)
 	go u.accept(l)
 }
 
-// listenAt listens on a Unix socket that takes the place of any that stands at the path. Paths of sockets have 108
-// bytes, so that it is named by way of its folder.
-func listenAt(path string) (*net.UnixListener, error) {
+// listenUnix listens on a Unix socket that replaces any socket at the path. The path of a socket is limited to 108 bytes, so
+// the socket is addressed through the descriptor of its folder.
+func listenUnix(path string) (*net.UnixListener, error) {
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return nil, err
 	}
 	defer dir.Close()
-	short := fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
-	fresh := short + ".new"
-	os.Remove(fresh)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	shortPath := fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
+	temporary := shortPath + ".new"
+	os.Remove(temporary)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then the path may be a successor's
-	if err := errors.Join(os.Chmod(fresh, 0o600), os.Rename(fresh, short)); err != nil {
+	l.SetUnlinkOnClose(false) // by then the path may belong to a successor
+	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, shortPath)); err != nil {
 		l.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-func dialAt(path string, by float64) (*net.UnixConn, error) {
+// dialUnix connects to the Unix socket at a path of any length, until an absolute time at the latest.
+func dialUnix(path string, by float64) (*net.UnixConn, error) {
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return nil, err
 	}
 	defer dir.Close()
-	d := net.Dialer{Deadline: at(by)}
+	d := net.Dialer{Deadline: timeAt(by)}
 	c, err := d.Dial("unix", fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 	if err != nil {
 		return nil, err
@@ -139,68 +143,70 @@
 	return c.(*net.UnixConn), nil
 }
 
+// accept accepts successors until the listener is closed.
 func (u *Upgrade) accept(l *net.UnixListener) {
-	defer u.wait.Done()
+	defer u.goroutines.Done()
 	for {
 		c, err := l.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(time.Until(at(now() + againFor)))
+			time.Sleep(time.Until(timeAt(now() + acceptRetryMs)))
 			continue
 		}
-		g := &giving{u: u, pipe: newPipe(c), machine: handover.NewPredecessor(u.h.Name, u.h.ListenAddrs(), now())}
+		side := &predecessorSide{u: u, conn: newFDConn(c), machine: handover.NewPredecessor(u.host.Name, u.host.ListenAddrs(), now())}
 		u.mu.Lock()
-		// One successor at a time, and none beside a predecessor: what is in hand is shared with one other process.
-		taken := u.to != nil || u.ended || u.from != nil && !u.from.over
-		if !taken {
-			u.to = g
-			u.wait.Add(1)
+		// One successor at a time, and none while the predecessor is running: load is shared with only one other process.
+		busy := u.asPredecessor != nil || u.ended || u.asSuccessor != nil && !u.asSuccessor.predecessorEnded
+		if !busy {
+			u.asPredecessor = side
+			u.goroutines.Add(1)
 		}
 		u.mu.Unlock()
-		if taken {
-			g.refuse("taken")
+		if busy {
+			side.refuse("taken")
 			continue
 		}
-		go g.run()
+		go side.run()
 	}
 }
 
-// HasSuccessor tells whether another process takes new connections.
+// HasSuccessor reports whether a successor accepts new connections.
 func (u *Upgrade) HasSuccessor() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.to != nil && u.to.serves
+	return u.asPredecessor != nil && u.asPredecessor.successorServing
 }
 
-// TakeoverAcknowledged tells that the process that this one succeeds, if there is one, knows it: it may be told to leave.
+// TakeoverAcknowledged reports whether the predecessor, if there is one, has confirmed that this process serves. The
+// predecessor may then be told to leave.
 func (u *Upgrade) TakeoverAcknowledged() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.from == nil || u.from.yielded || u.from.over
+	return u.asSuccessor == nil || u.asSuccessor.predecessorYielded || u.asSuccessor.predecessorEnded
 }
 
-// HandOffConn hands a connection at rest to the successor. If it tells true, the connection is the successor's.
-func (u *Upgrade) HandOffConn(c net.Conn, how handover.Conn) bool {
+// HandOffConn passes an idle connection to the successor. If it returns true, the connection belongs to the successor.
+func (u *Upgrade) HandOffConn(c net.Conn, info handover.Conn) bool {
 	u.mu.Lock()
-	g := u.to
+	side := u.asPredecessor
 	u.mu.Unlock()
-	t, ok := c.(*net.TCPConn)
-	if g == nil || !ok {
+	tcp, ok := c.(*net.TCPConn)
+	if side == nil || !ok {
 		return false
 	}
-	return g.move(t, how)
+	return side.handOffConn(tcp, info)
 }
 
-// Ready tells that this process can serve: the one before it learns of it, and a successor of this one finds it.
+// Ready is called once this process can serve. It informs the predecessor, and opens the socket for a successor.
 func (u *Upgrade) Ready(bool) {
 	u.mu.Lock()
-	t := u.from
+	side := u.asSuccessor
 	u.mu.Unlock()
 	go func() {
-		if t != nil {
-			t.serve()
+		if side != nil {
+			side.announceServing()
 		}
 		u.ListenForSuccessor()
 	}()
@@ -209,91 +215,93 @@
 // Reload does nothing.
 func (u *Upgrade) Reload() {}
 
-// SuccessorChanged does nothing: it is this part that tells.
+// SuccessorChanged does nothing because Upgrade itself reports this change.
 func (u *Upgrade) SuccessorChanged(bool) {}
 
-// BeginShutdown closes the socket for successors: who comes now finds a node that leaves.
+// BeginShutdown closes the socket for successors, because this process leaves.
 func (u *Upgrade) BeginShutdown(float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.leaves = true
-	if u.l != nil {
-		u.l.Close()
+	u.leaving = true
+	if u.listener != nil {
+		u.listener.Close()
 	}
 }
 
-// EndShutdown closes everything.
+// EndShutdown closes the socket and the connections, and waits for the goroutines until an absolute time at the latest.
 func (u *Upgrade) EndShutdown(by float64) {
 	u.mu.Lock()
 	u.ended = true
-	if u.l != nil {
-		u.l.Close()
+	if u.listener != nil {
+		u.listener.Close()
 	}
-	if u.to != nil {
-		u.to.pipe.close()
+	if u.asPredecessor != nil {
+		u.asPredecessor.conn.close()
 	}
-	if u.from != nil {
-		u.from.pipe.close()
+	if u.asSuccessor != nil {
+		u.asSuccessor.conn.close()
 	}
 	u.mu.Unlock()
 	done := make(chan struct{})
-	go func() { u.wait.Wait(); close(done) }()
+	go func() { u.goroutines.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(time.Until(at(by))):
+	case <-time.After(time.Until(timeAt(by))):
 	}
 }
 
-// shares asks the core for what is in hand. What it tells too late is told the next time: no id is lost.
-type shares struct {
-	mu   sync.Mutex
-	last core.SiblingLoad // with all ids that were not taken yet
-	told chan struct{}
+// loadQuery asks the core for its load. An answer that arrives after the timeout is included in the next one, so that no ID is
+// lost.
+type loadQuery struct {
+	mu      sync.Mutex
+	last    core.SiblingLoad // the last answer, with all IDs that run has not returned yet
+	replied chan struct{}
 }
 
-func newShares() *shares { return &shares{told: make(chan struct{}, 1)} }
+func newLoadQuery() *loadQuery { return &loadQuery{replied: make(chan struct{}, 1)} }
 
-// take is called by the core.
-func (s *shares) take(load whinrudder.Beside, ids []string) {
-	s.mu.Lock()
-	s.last = core.SiblingLoad{Beside: load, IDs: append(s.last.IDs, ids...)}
-	s.mu.Unlock()
+// reply is called by the core.
+func (q *loadQuery) reply(load whinrudder.Beside, ids []string) {
+	q.mu.Lock()
+	q.last = core.SiblingLoad{Beside: load, IDs: append(q.last.IDs, ids...)}
+	q.mu.Unlock()
 	select {
-	case s.told <- struct{}{}:
+	case q.replied <- struct{}{}:
 	default:
 	}
 }
 
-func (s *shares) ask(tell func(core.Input)) (core.SiblingLoad, bool) {
-	tell(core.QueryLoad{Reply: s.take})
-	late := time.NewTimer(time.Until(at(now() + askFor)))
-	defer late.Stop()
+// run queries the core. It returns false if the core does not answer in time.
+func (q *loadQuery) run(submit func(core.Input)) (core.SiblingLoad, bool) {
+	submit(core.QueryLoad{Reply: q.reply})
+	timeout := time.NewTimer(time.Until(timeAt(now() + queryTimeoutMs)))
+	defer timeout.Stop()
 	select {
-	case <-s.told:
-	case <-late.C:
+	case <-q.replied:
+	case <-timeout.C:
 		return core.SiblingLoad{}, false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	b := s.last
-	s.last.IDs = nil
-	return b, true
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	load := q.last
+	q.last.IDs = nil
+	return load, true
 }
 
-// report asks the core what it has learned.
-func (u *Upgrade) report() knowledge.Report {
-	got := make(chan whinrudder.Knowledge, 1)
-	u.h.Submit(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, known bool) { got <- k }})
-	names, s := u.h.CurrentSettings()
+// queryKnowledge asks the core for its learned state. If the core does not answer in time, the report is without it.
+func (u *Upgrade) queryKnowledge() knowledge.Report {
+	reply := make(chan whinrudder.Knowledge, 1)
+	u.host.Submit(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, known bool) { reply <- k }})
+	names, s := u.host.CurrentSettings()
 	r := knowledge.Report{}
 	select {
-	case k := <-got:
+	case k := <-reply:
 		r = knowledge.NewReport(names, k)
-	case <-time.After(time.Until(at(now() + askFor))):
+	case <-time.After(time.Until(timeAt(now() + queryTimeoutMs))):
 	}
-	r.Node, r.Cores, r.Warm = u.h.Name, s.Cores, true
+	r.Node, r.Cores, r.Warm = u.host.Name, s.Cores, true
 	if r.Check() != nil {
-		return knowledge.Report{Node: u.h.Name, Cores: s.Cores, Warm: true} // what no node can have is not passed on
+		return knowledge.Report{Node: u.host.Name, Cores: s.Cores, Warm: true} // an invalid report is not passed on
 	}
 	return r
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -20,16 +20,17 @@
 	"whinrudder/internal/peer"
 )
 
-// toy is a node of which only its listener is real.
-type toy struct {
+// fakeNode is a test double of a node. Only its listener is real.
+type fakeNode struct {
 	u     *Upgrade
 	l     *net.TCPListener
-	lines chan string
+	lines chan string // log lines of handovers and calls of the Host functions
 	mu    sync.Mutex
-	ids   []string // that the other side told
+	ids   []string // received from the other side
 }
 
-func (n *toy) tell(i core.Input) {
+// submit answers the inputs that the core would answer.
+func (n *fakeNode) submit(i core.Input) {
 	switch i := i.(type) {
 	case core.QueryLoad:
 		if i.Reply != nil {
@@ -44,9 +45,9 @@
 	}
 }
 
-func newToy(t *testing.T, dir string, l *net.TCPListener, addr string) *toy {
-	n := &toy{l: l, lines: make(chan string, 64)}
-	n.u = New(Host{Name: "n1", Dir: dir, Submit: n.tell, ListenAddrs: func() map[string]string { return map[string]string{"http": addr} },
+func newFakeNode(t *testing.T, dir string, l *net.TCPListener, addr string) *fakeNode {
+	n := &fakeNode{l: l, lines: make(chan string, 64)}
+	n.u = New(Host{Name: "n1", Dir: dir, Submit: n.submit, ListenAddrs: func() map[string]string { return map[string]string{"http": addr} },
 		Log: func(word string, pairs ...any) {
 			if word == "handover" {
 				n.lines <- fmt.Sprint(pairs[1], " ", pairs[3])
@@ -56,15 +57,16 @@
 		Listeners:       func() map[string]*net.TCPListener { return map[string]*net.TCPListener{"http": n.l} },
 		OperatorDrained: func() bool { return true }, PredecessorEnded: func() { n.lines <- "alone" },
 		SuccessorChanged: func(on bool) { n.lines <- fmt.Sprint("succeeded ", on) },
-		AdoptConn: func(c net.Conn, how handover.Conn) bool {
-			n.lines <- fmt.Sprint("moved ", how.Served)
+		AdoptConn: func(c net.Conn, info handover.Conn) bool {
+			n.lines <- fmt.Sprint("moved ", info.Served)
 			fmt.Fprint(c, "from the successor")
 			return c.Close() == nil
 		}})
 	return n
 }
 
-func (n *toy) next(t *testing.T) string {
+// nextLine waits for the next line. It returns "nothing" if there is none within ten seconds.
+func (n *fakeNode) nextLine(t *testing.T) string {
 	t.Helper()
 	select {
 	case l := <-n.lines:
@@ -82,8 +84,8 @@
 	return l.(*net.TCPListener)
 }
 
-// The listening socket and a connection pass over, in a folder whose path is longer than that of a socket may be, and where
-// a process that died left its socket; a second successor is refused; the end of one is the start of the next.
+// A complete handover of the listening socket and an idle connection. The folder has a path longer than a socket path may be,
+// and a crashed process left its socket there. A second successor must be refused, and a successor must in turn accept one.
 func TestTakeOver(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long/", 30))
@@ -92,16 +94,16 @@
 	}
 	l := listen(t)
 	addr := l.Addr().String()
-	old := newToy(t, dir, l, addr)
-	if got, err := old.u.TakeOver(); got != nil || err != nil {
+	predecessor := newFakeNode(t, dir, l, addr)
+	if got, err := predecessor.u.TakeOver(); got != nil || err != nil {
 		t.Fatal(got, err)
 	}
-	old.u.ListenForSuccessor()
-	old.u.l.Close() // as a crash leaves it
-	if got, err := newToy(t, dir, nil, addr).u.TakeOver(); got != nil || err != nil {
+	predecessor.u.ListenForSuccessor()
+	predecessor.u.listener.Close() // leaves the socket file behind, as a crash does
+	if got, err := newFakeNode(t, dir, nil, addr).u.TakeOver(); got != nil || err != nil {
 		t.Fatal(got, err)
 	}
-	old.u.Ready(true)
+	predecessor.u.Ready(true)
 	client, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -111,52 +113,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := newToy(t, dir, nil, addr)
+	successor := newFakeNode(t, dir, nil, addr)
 	var got *Handoff
-	for by := time.Now().Add(10 * time.Second); got == nil && time.Now().Before(by); { // Ready offers beside
-		if got, err = next.u.TakeOver(); err != nil {
+	for by := time.Now().Add(10 * time.Second); got == nil && time.Now().Before(by); { // Ready opens the socket in the background
+		if got, err = successor.u.TakeOver(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got == nil || !got.OperatorDrained || got.Listeners["http"].Addr().String() != addr || got.Report.Node != "n1" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("handoff is %+v, want one that is complete", got)
 	}
-	if _, err := newToy(t, dir, nil, addr).u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refused") {
-		t.Fatal("a second successor:", err)
+	if _, err := newFakeNode(t, dir, nil, addr).u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refused") {
+		t.Fatal("second successor: got", err, "want a refusal")
 	}
-	if old.u.HandOffConn(c, handover.Conn{Front: "http"}) || next.u.TakeoverAcknowledged() {
-		t.Fatal("the successor does not serve yet")
+	if predecessor.u.HandOffConn(c, handover.Conn{Front: "http"}) || successor.u.TakeoverAcknowledged() {
+		t.Fatal("the successor does not serve yet, but takes connections or is acknowledged")
 	}
-	next.u.Ready(true)
-	for by := time.Now().Add(10 * time.Second); !next.u.TakeoverAcknowledged() && time.Now().Before(by); {
+	successor.u.Ready(true)
+	for by := time.Now().Add(10 * time.Second); !successor.u.TakeoverAcknowledged() && time.Now().Before(by); {
 		time.Sleep(time.Millisecond)
 	}
-	if !next.u.TakeoverAcknowledged() || !old.u.HasSuccessor() { // a notice to leave that comes now finds a process that knows its successor
-		t.Fatal(next.u.TakeoverAcknowledged(), old.u.HasSuccessor())
+	// From now on a notice to leave reaches a process that knows of its successor.
+	if !successor.u.TakeoverAcknowledged() || !predecessor.u.HasSuccessor() {
+		t.Fatal("acknowledged", successor.u.TakeoverAcknowledged(), "has successor", predecessor.u.HasSuccessor(), "want both")
 	}
-	lines := []string{old.next(t), old.next(t), old.next(t)}
+	lines := []string{predecessor.nextLine(t), predecessor.nextLine(t), predecessor.nextLine(t)}
 	if diff := cmp.Diff([]string{"give taken", "give succeeded", "succeeded true"}, lines); diff != "" {
 		t.Fatal(diff)
 	}
-	if !old.u.HandOffConn(c, handover.Conn{Front: "http", Served: 7}) {
-		t.Fatal("the connection did not move")
+	if !predecessor.u.HandOffConn(c, handover.Conn{Front: "http", Served: 7}) {
+		t.Fatal("the connection was not handed off")
 	}
 	c.Close()
 	l.Close()
-	lines = []string{next.next(t), next.next(t), next.next(t)}
+	lines = []string{successor.nextLine(t), successor.nextLine(t), successor.nextLine(t)}
 	if diff := cmp.Diff([]string{"take taken", "take settled", "moved 7"}, lines); diff != "" {
 		t.Fatal(diff)
 	}
 	buf := make([]byte, 64)
 	if n, _ := client.Read(buf); string(buf[:n]) != "from the successor" {
-		t.Errorf("the client reads %q", buf[:n])
+		t.Errorf("the client reads %q, want the text of the successor", buf[:n])
 	}
-	next.mu.Lock()
-	if len(next.ids) == 0 {
-		t.Error("no ids were told")
+	successor.mu.Lock()
+	if len(successor.ids) == 0 {
+		t.Error("the successor received no IDs")
 	}
-	next.mu.Unlock()
-	// The socket outlives the listener of the process that opened it.
+	successor.mu.Unlock()
+	// The socket stays open after the process that opened it has closed its listener.
 	go func() {
 		if c, err := net.Dial("tcp", addr); err == nil {
 			c.Close()
@@ -167,60 +170,60 @@
 	} else {
 		c.Close()
 	}
-	if _, err := newToy(t, dir, nil, addr).u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refused") {
-		t.Error("a successor of one that has a predecessor:", err)
+	if _, err := newFakeNode(t, dir, nil, addr).u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refused") {
+		t.Error("successor of a process with a running predecessor: got", err, "want a refusal")
 	}
-	if got := next.next(t); got != "give taken" {
-		t.Error(got)
+	if got := successor.nextLine(t); got != "give taken" {
+		t.Errorf("got line %q, want %q", got, "give taken")
 	}
-	old.u.EndShutdown(now() + 5000)
-	if a, b := next.next(t), next.next(t); a != "take lost" || b != "alone" {
-		t.Error(a, b)
+	predecessor.u.EndShutdown(now() + 5000)
+	if a, b := successor.nextLine(t), successor.nextLine(t); a != "take lost" || b != "alone" {
+		t.Errorf("got lines %q and %q, want %q and %q", a, b, "take lost", "alone")
 	}
 	got.Listeners["http"].Close()
-	next.u.EndShutdown(now() + 5000)
+	successor.u.EndShutdown(now() + 5000)
 }
 
-// Once a lost successor is told of, the process that goes on can be succeeded again.
+// Once the loss of a successor is logged, the predecessor must serve again and be able to hand over to another one.
 func TestLostSuccessor(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir, l := t.TempDir(), listen(t)
 	defer l.Close()
 	addr := l.Addr().String()
-	old := newToy(t, dir, l, addr)
-	old.u.ListenForSuccessor()
+	predecessor := newFakeNode(t, dir, l, addr)
+	predecessor.u.ListenForSuccessor()
 	for range 3 {
-		next := newToy(t, dir, nil, addr)
-		got, err := next.u.TakeOver()
+		successor := newFakeNode(t, dir, nil, addr)
+		got, err := successor.u.TakeOver()
 		if got == nil || err != nil {
 			t.Fatal(got, err)
 		}
-		next.u.Ready(true)
+		successor.u.Ready(true)
 		var lines []string
 		for range 2 {
-			lines = append(lines, old.next(t))
+			lines = append(lines, predecessor.nextLine(t))
 		}
 		got.Listeners["http"].Close()
-		next.u.EndShutdown(now() + 5000)
+		successor.u.EndShutdown(now() + 5000)
 		for range 2 {
-			lines = append(lines, old.next(t))
+			lines = append(lines, predecessor.nextLine(t))
 		}
 		if diff := cmp.Diff([]string{"give succeeded", "succeeded true", "succeeded false", "give lost"}, lines); diff != "" {
 			t.Fatal(diff)
 		}
 	}
-	old.u.EndShutdown(now() + 5000)
+	predecessor.u.EndShutdown(now() + 5000)
 }
 
-// Whatever comes to the socket, the running process goes on as it was, and can be succeeded.
-func TestHostileSuccessors(t *testing.T) {
+// Invalid input at the socket must not disturb the running process, which must accept further successors.
+func TestInvalidSuccessors(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
 	l := listen(t)
 	defer l.Close()
-	n := newToy(t, dir, l, l.Addr().String())
+	n := newFakeNode(t, dir, l, l.Addr().String())
 	n.u.ListenForSuccessor()
-	for name, say := range map[string]func(c *net.UnixConn){
+	for code, send := range map[string]func(c *net.UnixConn){
 		"bad-magic": func(c *net.UnixConn) { c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) },
 		"lost":      func(c *net.UnixConn) {},
 		"late":      func(c *net.UnixConn) {},
@@ -231,43 +234,43 @@
 			}
 		},
 	} {
-		c, err := dialAt(n.u.path(), now()+1000)
+		c, err := dialUnix(n.u.socketPath(), now()+1000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		say(c)
-		if name != "late" {
+		send(c)
+		if code != "late" {
 			// descriptors that no frame names are closed with the connection
 			c.WriteMsgUnix([]byte{0}, syscall.UnixRights(0, 1), nil)
 			c.CloseWrite()
 		}
-		if got := n.next(t); got != "give "+name && !(name == "lost" && got == "give bad-magic") {
-			t.Errorf("%s: %s", name, got)
+		if got := n.nextLine(t); got != "give "+code && !(code == "lost" && got == "give bad-magic") {
+			t.Errorf("got line %q, want code %s", got, code)
 		}
 		c.Close()
 	}
 	n.u.EndShutdown(now() + 5000)
 }
 
-// What the core tells too late is told the next time, with the ids of both.
-func TestSharesLoseNoID(t *testing.T) {
-	s := newShares()
-	s.take(whinrudder.Beside{InProgress: 1}, []string{"a"}) // of an earlier time
-	b, ok := s.ask(func(i core.Input) { i.(core.QueryLoad).Reply(whinrudder.Beside{InProgress: 2}, []string{"b"}) })
-	if diff := cmp.Diff(core.SiblingLoad{Beside: whinrudder.Beside{InProgress: 2}, IDs: []string{"a", "b"}}, b); diff != "" || !ok {
+// An answer of the core that arrives too late must be part of the next one, with the IDs of both.
+func TestLoadQueryLosesNoID(t *testing.T) {
+	q := newLoadQuery()
+	q.reply(whinrudder.Beside{InProgress: 1}, []string{"a"}) // answer to an earlier query
+	load, ok := q.run(func(i core.Input) { i.(core.QueryLoad).Reply(whinrudder.Beside{InProgress: 2}, []string{"b"}) })
+	if diff := cmp.Diff(core.SiblingLoad{Beside: whinrudder.Beside{InProgress: 2}, IDs: []string{"a", "b"}}, load); diff != "" || !ok {
 		t.Error(diff)
 	}
 }
 
-// After a stall the time of a read is over; what came meanwhile is read all the same.
-func TestReadAfterAStall(t *testing.T) {
+// After a stall the deadline of a read has passed. Data that arrived meanwhile must still be read.
+func TestReadAfterStall(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	l, err := listenAt(path)
+	l, err := listenUnix(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c, err := dialAt(path, now()+1000)
+	c, err := dialUnix(path, now()+1000)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,23 +281,23 @@
 	}
 	defer other.Close()
 	other.Write([]byte("load"))
-	if b, looked, err := newPipe(c).read(now() - 3000); string(b) != "load" || looked > now() || err != nil {
-		t.Errorf("%q %v", b, err)
+	if b, readUntil, err := newFDConn(c).read(now() - 3000); string(b) != "load" || readUntil > now() || err != nil {
+		t.Errorf("read %q until %v: %v, want %q", b, readUntil, err, "load")
 	}
 }
 
-// A process that is turned away tells why, though the other closed before it was asked anything.
-func TestRefusedBeforeItAsks(t *testing.T) {
+// A refused process must report the reason, even if the other process refused and closed before hello was sent.
+func TestRefusedBeforeHello(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	n := newToy(t, t.TempDir(), nil, "127.0.0.1:1")
-	l, err := listenAt(n.u.path())
+	n := newFakeNode(t, t.TempDir(), nil, "127.0.0.1:1")
+	l, err := listenUnix(n.u.socketPath())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	addrs, asked := n.u.h.ListenAddrs, 0
-	n.u.h.ListenAddrs = func() map[string]string {
-		if asked++; asked == 2 { // the socket is dialled and nothing was said
+	addrs, calls := n.u.host.ListenAddrs, 0
+	n.u.host.ListenAddrs = func() map[string]string {
+		if calls++; calls == 2 { // the connection is established and nothing was sent
 			other, err := l.AcceptUnix()
 			if err != nil {
 				t.Fatal(err)
@@ -304,43 +307,44 @@
 		}
 		return addrs()
 	}
-	if _, err := n.u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refuse:taken") || asked != 2 {
-		t.Error(err, asked)
+	if _, err := n.u.TakeOver(); err == nil || !strings.Contains(err.Error(), "refuse:taken") || calls != 2 {
+		t.Errorf("got %v after %d calls of ListenAddrs, want a refusal after 2", err, calls)
 	}
 }
 
-// A running process that hangs must not hold up its successor for long: that one says so.
+// A predecessor that hangs must not delay its successor for long. The successor must return an error.
 func TestHangingPredecessor(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
-	n := newToy(t, dir, nil, "127.0.0.1:1")
-	l, err := listenAt(n.u.path())
+	n := newFakeNode(t, dir, nil, "127.0.0.1:1")
+	l, err := listenUnix(n.u.socketPath())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	begun := now()
-	if _, err := n.u.TakeOver(); err == nil || now()-begun > takeFor+writeFor+dialFor+10e3 {
-		t.Errorf("%v after %v ms", err, now()-begun)
+	started := now()
+	if _, err := n.u.TakeOver(); err == nil || now()-started > takeOverTimeoutMs+writeTimeoutMs+dialTimeoutMs+10e3 {
+		t.Errorf("got %v after %v ms, want an error in time", err, now()-started)
 	}
 }
 
-// A system without such sockets must not keep a process from starting: it starts as one that nobody was before, and says so.
+// A system without Unix sockets must not prevent a process from starting. It must start as if no process were running, and
+// log that.
 func TestStartsWhereTheSystemRefuses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "no-folder")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	n := newToy(t, file, nil, "127.0.0.1:9") // connecting by way of a file is refused with ENOTDIR
-	taken, err := n.u.TakeOver()
-	if taken != nil || err != nil {
-		t.Errorf("took %v: %v", taken, err)
+	n := newFakeNode(t, file, nil, "127.0.0.1:9") // a path through a file is refused with ENOTDIR
+	handoff, err := n.u.TakeOver()
+	if handoff != nil || err != nil {
+		t.Errorf("got handoff %v and error %v, want neither", handoff, err)
 	}
-	if diff := cmp.Diff("take off", n.next(t)); diff != "" {
+	if diff := cmp.Diff("take off", n.nextLine(t)); diff != "" {
 		t.Error(diff)
 	}
 	n.u.ListenForSuccessor()
-	if l := n.next(t); !strings.HasPrefix(l, "off ") {
-		t.Error(l)
+	if l := n.nextLine(t); !strings.HasPrefix(l, "off ") {
+		t.Errorf("got line %q, want code off", l)
 	}
 }
