--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,10 +1,11 @@
-// Package handover implements the protocol by which a running process of a node (the predecessor) hands over to a process
-// started on the same machine (the successor). It hands over the listening sockets, the learned state, the IDs of the
-// requests that it has read, and then its idle connections, one by one. Predecessor and Successor are the two sides as state
-// machines: they are fed bytes and do no I/O. They have no clock: callers pass absolute times in Unix milliseconds.
+// Package handover implements the protocol by which a running process of a node (the predecessor) hands over to a
+// process started on the same machine (the successor). It hands over the listening sockets, the learned state, the IDs
+// of the requests that it has read, and then its idle connections, one by one. Predecessor and Successor are the two
+// sides as state machines: they are fed bytes and do no I/O. They have no clock: callers pass absolute times in Unix
+// milliseconds.
 //
-// The frames have the format of package peer, with additional kinds. Descriptors travel with the frame that names them, in
-// the order in which it names them (SCM_RIGHTS, unix(7)).
+// The frames have the format of package peer, with additional kinds. Descriptors travel with the frame that names them,
+// in the order in which it names them (SCM_RIGHTS, unix(7)).
 //
 //	successor               predecessor
 //	hello  ------------------>
@@ -38,7 +39,8 @@
 
 // Times in milliseconds.
 const (
-	// LoadIntervalMs is the interval at which each side reports its load: several times within the duration of a request.
+	// LoadIntervalMs is the interval at which each side reports its load: several times within the duration of a
+	// request.
 	LoadIntervalMs = 50
 	// silenceTimeoutMs is how long a side may send nothing. Each side reports its load far more often, but a process may
 	// stall. The end of a process is noticed at once, without this timeout.
@@ -216,7 +218,8 @@
 	return &Predecessor{endpoint: endpoint{lastHeard: now, deadline: now + helloTimeoutMs}, node: node, addrs: addrs}
 }
 
-// Feed processes bytes that were read. It returns the resulting events, and a fault if the other side broke the protocol.
+// Feed processes bytes that were read. It returns the resulting events, and a fault if the other side broke the
+// protocol.
 func (p *Predecessor) Feed(now float64, b []byte) (events []Event, fault *peer.Fault) {
 	p.reader.Feed(b)
 	for {
@@ -253,7 +256,8 @@
 	}
 }
 
-// SendWelcome hands over the listening sockets of the fronts that have the same address on both sides, and the learned state.
+// SendWelcome hands over the listening sockets of the fronts that have the same address on both sides, and the learned
+// state.
 func (p *Predecessor) SendWelcome(now float64, operatorDrained bool, r knowledge.Report) {
 	if p.phase != phaseHelloReceived {
 		return
@@ -292,7 +296,8 @@
 	return true
 }
 
-// CheckTimeouts returns a fault if a timeout has expired. The caller must have fed all bytes that arrived before readUntil.
+// CheckTimeouts returns a fault if a timeout has expired. The caller must have fed all bytes that arrived before
+// readUntil.
 func (p *Predecessor) CheckTimeouts(readUntil float64) *peer.Fault { return p.checkTimeouts(readUntil) }
 
 // Successor is the state machine of the process that takes over. Create it with NewSuccessor.
@@ -313,7 +318,8 @@
 	return s
 }
 
-// Feed processes bytes that were read. It returns the resulting events, and a fault if the other side broke the protocol.
+// Feed processes bytes that were read. It returns the resulting events, and a fault if the other side broke the
+// protocol.
 func (s *Successor) Feed(now float64, b []byte) (events []Event, fault *peer.Fault) {
 	s.reader.Feed(b)
 	for {
@@ -393,7 +399,8 @@
 	}
 }
 
-// CheckTimeouts returns a fault if a timeout has expired. The caller must have fed all bytes that arrived before readUntil.
+// CheckTimeouts returns a fault if a timeout has expired. The caller must have fed all bytes that arrived before
+// readUntil.
 func (s *Successor) CheckTimeouts(readUntil float64) *peer.Fault { return s.checkTimeouts(readUntil) }
 
 // The platform stops a process that was succeeded after the longest deadline of a class, but at most maxDeadlineMs, plus
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -172,7 +172,8 @@
 	return NewSuccessor("n1", parseAddrs("http=a:1,h2c=b:2"), 0)
 }
 
-// Each line of a transcript is an input or an expected output of one side. The test feeds the inputs and compares all lines.
+// Each line of a transcript is an input or an expected output of one side. The test feeds the inputs and compares all
+// lines.
 func TestTranscripts(t *testing.T) {
 	for _, name := range []string{"give", "take"} {
 		text, err := os.ReadFile("testdata/" + name + ".txt")
@@ -236,8 +237,8 @@
 	}
 }
 
-// Reads may split the bytes anywhere. Each side must still receive everything that the other sent, once and in order, with
-// the descriptors in the order of the frames that name them.
+// Reads may split the bytes anywhere. Each side must still receive everything that the other sent, once and in order,
+// with the descriptors in the order of the frames that name them.
 func TestReadsSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		addrs := parseAddrs("http=a:1,h2c=b:2,uwsgi=c:3")
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// Entry is the content of a node's znode. It is stored as a JSON object without its empty keys, except those that readers of
-// the first version of the format expect (name, listen, uwsgi). Readers ignore unknown keys.
+// Entry is the content of a node's znode. It is stored as a JSON object without its empty keys, except those that
+// readers of the first version of the format expect (name, listen, uwsgi). Readers ignore unknown keys.
 type Entry struct {
 	Name     string `json:"name"`
 	Listen   string `json:"listen"` // HOST:PORT of the HTTP front; empty: the front is off
@@ -39,15 +39,15 @@
 	return e, true
 }
 
-// Supersedes reports whether found was written by an earlier process of the node or by an earlier session of this process. It
-// has the same name and listening address, which only a predecessor or successor of this process can have, and it does not
-// have a later start.
+// Supersedes reports whether found was written by an earlier process of the node or by an earlier session of this
+// process. It has the same name and listening address, which only a predecessor or successor of this process can have,
+// and it does not have a later start.
 func (e Entry) Supersedes(found Entry) bool {
 	return found.Name == e.Name && found.Listen == e.Listen && found.Start <= e.Start
 }
 
-// NewStartID returns the ID of a process start at a time in Unix milliseconds. IDs of later starts sort after those of earlier
-// ones, and random distinguishes two starts in the same millisecond.
+// NewStartID returns the ID of a process start at a time in Unix milliseconds. IDs of later starts sort after those of
+// earlier ones, and random distinguishes two starts in the same millisecond.
 func NewStartID(now float64, random uint64) string {
 	return fmt.Sprintf("%011x%05x", uint64(max(now, 0))&(1<<44-1), random&(1<<20-1))
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership is the state machine of a node's entry (znode) in a ZooKeeper ensemble. It decides when the entry is
-// created, marked as draining and removed, and when a failed connection or step is retried. It does no I/O: a driver reports
-// what happened, with the current time in Unix milliseconds, and carries out one step at a time.
+// Package membership is the state machine of a node's entry (znode) in a ZooKeeper ensemble. It decides when the entry
+// is created, marked as draining and removed, and when a failed connection or step is retried. It does no I/O: a driver
+// reports what happened, with the current time in Unix milliseconds, and carries out one step at a time.
 package membership
 
 import "math/rand/v2"
@@ -30,7 +30,8 @@
 	CloseSession               // end the session
 )
 
-// Step is one step for the driver to carry out. Write, Replace and Remove apply only to an entry that has Version; -1 means any.
+// Step is one step for the driver to carry out. Write, Replace and Remove apply only to an entry that has Version; -1
+// means any.
 type Step struct {
 	Action  Action
 	Content Entry
@@ -93,8 +94,8 @@
 	dialAsked       bool    // DialAt was called since the last connection ended
 }
 
-// New returns the machine of a node that serves. sessionMs is the session timeout: a session expires when the ensemble has not
-// heard from the node for that time.
+// New returns the machine of a node that serves. sessionMs is the session timeout: a session expires when the ensemble
+// has not heard from the node for that time.
 func New(self Entry, sessionMs float64, seed uint64) *Machine {
 	self.Draining = false
 	return &Machine{self: self, sessionMs: sessionMs, random: rand.New(rand.NewPCG(seed, 1))}
@@ -129,8 +130,8 @@
 	m.nextStepAt, m.failures = now, 0
 }
 
-// ConnectionClosed records that a connection ended or could not be established. The session may outlive it. The next connection
-// must wait until DialAt.
+// ConnectionClosed records that a connection ended or could not be established. The session may outlive it. The next
+// connection must wait until DialAt.
 func (m *Machine) ConnectionClosed(now float64) {
 	if m.session == 0 && !m.dialAsked {
 		return // the driver reports the end of a session in addition to that of its connection
@@ -148,9 +149,9 @@
 	m.dialAt, m.dialAsked = now+m.pause(ratio*m.sessionMs), false
 }
 
-// DialAt returns the earliest time of the next connection attempt. A clock that was set back does not delay it further. A
-// driver that calls DialAt only after that time has paused by itself. Drivers of other nodes pause equally long, so another
-// random delay is added.
+// DialAt returns the earliest time of the next connection attempt. A clock that was set back does not delay it further.
+// A driver that calls DialAt only after that time has paused by itself. Drivers of other nodes pause equally long, so
+// another random delay is added.
 func (m *Machine) DialAt(now float64) float64 {
 	if !m.dialAsked && m.dialAttempts > 0 && now > m.dialAt {
 		m.dialAt = now + minPauseRatio*firstDialBackoffRatio*m.sessionMs*m.random.Float64()
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -101,9 +101,9 @@
 	f.m.EntryChanged(f.now)
 }
 
-// Events and failures come in any order. The machine must not remove an entry of another session, must not register or write
-// an entry that is not draining after the notice to leave, and must have one step pending at a time. Once events stop, the
-// entry must be correct, or be removed if the node leaves, within a bounded time and number of steps.
+// Events and failures come in any order. The machine must not remove an entry of another session, must not register or
+// write an entry that is not draining after the notice to leave, and must have one step pending at a time. Once events
+// stop, the entry must be correct, or be removed if the node leaves, within a bounded time and number of steps.
 func TestEntryFollowsTheNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fakeEnsemble{t: t, now: 1e6, session: 100, faults: true}
@@ -249,8 +249,8 @@
 	return attempts[len(attempts)-1]
 }
 
-// A connection that flaps within a session timeout must not be retried faster than one that cannot be established. Reporting
-// the end of a connection twice must not extend the pause.
+// A connection that flaps within a session timeout must not be retried faster than one that cannot be established.
+// Reporting the end of a connection twice must not extend the pause.
 func TestFlappingIsBounded(t *testing.T) {
 	m, now, attempts := New(self, 6000, 1), 0.0, 0
 	for now < 60000 {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,8 +1,8 @@
-// Package ownership decides which process of a node owns the journal of kept operations while one process succeeds another.
-// The journal has one owner at a time, enforced by a lock that is released when its process ends. The result of a run is
-// reported only to the process that started it. A process that is succeeded therefore stops accepting new operations,
-// finishes those in progress, and then closes the journal. Its successor keeps trying to acquire the lock, and refuses
-// requests with a token until it has it.
+// Package ownership decides which process of a node owns the journal of kept operations while one process succeeds
+// another. The journal has one owner at a time, enforced by a lock that is released when its process ends. The result
+// of a run is reported only to the process that started it. A process that is succeeded therefore stops accepting new
+// operations, finishes those in progress, and then closes the journal. Its successor keeps trying to acquire the lock,
+// and refuses requests with a token until it has it.
 //
 // Machine is the state machine of one process. It does no I/O and has no clock: callers pass absolute times in Unix
 // milliseconds.
@@ -67,8 +67,8 @@
 	}
 }
 
-// Released records that no operation is in progress and none is accepted. It may cross a Resume: the journal is closed even
-// then, because the core no longer keeps the table of its operations, and is opened again afterwards.
+// Released records that no operation is in progress and none is accepted. It may cross a Resume: the journal is closed
+// even then, because the core no longer keeps the table of its operations, and is opened again afterwards.
 func (m *Machine) Released() {
 	if m.state == yielding || m.state == owner {
 		m.state = closing
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// drainActions returns the actions that the machine asks for at a time. It leaves attempts to open the journal unanswered.
+// drainActions returns the actions that the machine asks for at a time. It leaves attempts to open the journal
+// unanswered.
 func drainActions(m *Machine, now float64) (actions []Action) {
 	for action := m.NextAction(now); action != None; action = m.NextAction(now) {
 		actions = append(actions, action)
@@ -27,7 +28,7 @@
 		"successor opens the journal":      {false, func(*Machine) {}, []Action{Open}, false},
 		"owner is succeeded":               {true, func(m *Machine) { m.SetSuccessorServing(true) }, []Action{Yield}, true},
 		"succession is reported twice":     {true, func(m *Machine) { m.SetSuccessorServing(true); m.SetSuccessorServing(true) }, []Action{Yield}, true},
-		"owner released all operations":    {true, func(m *Machine) { m.SetSuccessorServing(true); m.Released() }, []Action{Yield, Close}, true},
+		"all operations are finished":      {true, func(m *Machine) { m.SetSuccessorServing(true); m.Released() }, []Action{Yield, Close}, true},
 		"successor is lost before release": {true, func(m *Machine) { m.SetSuccessorServing(true); m.SetSuccessorServing(false) }, []Action{Yield, Resume}, true},
 		"release crosses resume":           {true, func(m *Machine) { m.SetSuccessorServing(true); m.SetSuccessorServing(false); m.Released() }, []Action{Yield, Resume, Close}, true},
 		"successor is lost after close":    {true, func(m *Machine) { m.SetSuccessorServing(true); m.Released(); m.Closed(5); m.SetSuccessorServing(false) }, []Action{Yield, Close, Open}, false},
@@ -51,8 +52,9 @@
 	}
 }
 
-// Processes succeed each other, crash and become idle in any order. The test guards against two owners of the journal, against
-// a process that accepts operations without owning it, and against a serving process that never gets it once events stop.
+// Processes succeed each other, crash and become idle in any order. The test guards against two owners of the journal,
+// against a process that accepts operations without owning it, and against a serving process that never gets it once
+// events stop.
 func TestOneOwner(t *testing.T) {
 	type process struct {
 		m        *Machine
--- a/internal/upgrade/fdconn.go
+++ b/internal/upgrade/fdconn.go
@@ -41,12 +41,12 @@
 	f.files = nil
 }
 
-// minReadMs is the minimum time that a read waits for data, in milliseconds. After a stall of this process the deadline of the
-// read has passed, although data that the other process sent meanwhile is waiting.
+// minReadMs is the minimum time that a read waits for data, in milliseconds. After a stall of this process the deadline
+// of the read has passed, although data that the other process sent meanwhile is waiting.
 const minReadMs = 5
 
-// read reads once, until an absolute time at the latest. Reaching that time is not an error: read then returns no bytes. If it
-// returns no bytes, nothing that arrived before readUntil is left unread.
+// read reads once, until an absolute time at the latest. Reaching that time is not an error: read then returns no
+// bytes. If it returns no bytes, nothing that arrived before readUntil is left unread.
 func (f *fdConn) read(by float64) (b []byte, readUntil float64, err error) {
 	readUntil = now()
 	f.c.SetReadDeadline(timeAt(max(by, readUntil+minReadMs)))
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// send writes bytes with the descriptors of sockets. The Control call of each socket keeps it open while it is passed. fds are
-// the descriptors of the sockets that are held already.
+// send writes bytes with the descriptors of sockets. The Control call of each socket keeps it open while it is passed.
+// fds are the descriptors of the sockets that are held already.
 func (f *fdConn) send(b []byte, sockets []syscall.Conn, fds []int) error {
 	if len(sockets) > 0 {
 		raw, err := sockets[0].SyscallConn()
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -29,16 +29,16 @@
 	Report          knowledge.Report            // the learned state
 }
 
-// TakeOver asks the running process of this node, if there is one, for its listening sockets and its learned state. If no
-// process is running, it returns nil. An error means that a process is running and did not hand over.
+// TakeOver asks the running process of this node, if there is one, for its listening sockets and its learned state. If
+// no process is running, it returns nil. An error means that a process is running and did not hand over.
 func (u *Upgrade) TakeOver() (*Handoff, error) {
 	c, err := dialUnix(u.socketPath(), now()+dialTimeoutMs)
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // no process has run here, or it has ended
 	}
 	if refused := syscall.Errno(0); errors.As(err, &refused) && !refused.Timeout() {
-		// The system does not support such sockets here, or the path cannot be reached, so no process can be asked. If one is
-		// running nevertheless, its address is in use and the start fails for that reason.
+		// The system does not support such sockets here, or the path cannot be reached, so no process can be asked. If
+		// one is running nevertheless, its address is in use and the start fails for that reason.
 		u.host.Log("handover", "side", "take", "code", "off", "error", err)
 		return nil, nil
 	}
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -1,7 +1,7 @@
-// Package upgrade drives the handover from a running process of a node to one that is started on the same machine. It does
-// the I/O: a Unix socket in a folder that both processes share, the passing of descriptors, and the messages of both sides.
-// It makes no decisions: package handover defines the protocol, and the decision module decides which requests run while
-// both processes share the cores.
+// Package upgrade drives the handover from a running process of a node to one that is started on the same machine. It
+// does the I/O: a Unix socket in a folder that both processes share, the passing of descriptors, and the messages of
+// both sides. It makes no decisions: package handover defines the protocol, and the decision module decides which
+// requests run while both processes share the cores.
 package upgrade
 
 import (
@@ -44,7 +44,8 @@
 	Listeners func() map[string]*net.TCPListener
 	// OperatorDrained reports whether operators have drained the node.
 	OperatorDrained func() bool
-	// SuccessorChanged reports that another process accepts new connections from now on or, with on false, that it was lost.
+	// SuccessorChanged reports that another process accepts new connections from now on or, with on false, that it was
+	// lost.
 	SuccessorChanged func(on bool)
 	// PredecessorEnded reports that the process that this one succeeds has ended.
 	PredecessorEnded func()
@@ -74,7 +75,8 @@
 // New returns the Upgrade of a process.
 func New(host Host) *Upgrade { return &Upgrade{host: host} }
 
-// socketPath returns the path of the Unix socket. It contains the address of the HTTP front because nodes may share a folder.
+// socketPath returns the path of the Unix socket. It contains the address of the HTTP front because nodes may share a
+// folder.
 func (u *Upgrade) socketPath() string {
 	clean := strings.Map(func(c rune) rune {
 		if c == ':' || c == '/' || c == '[' || c == ']' {
@@ -105,8 +107,8 @@
 	go u.accept(l)
 }
 
-// listenUnix listens on a Unix socket that replaces any socket at the path. The path of a socket is limited to 108 bytes, so
-// the socket is addressed through the descriptor of its folder.
+// listenUnix listens on a Unix socket that replaces any socket at the path. The path of a socket is limited to 108
+// bytes, so the socket is addressed through the descriptor of its folder.
 func listenUnix(path string) (*net.UnixListener, error) {
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
@@ -157,7 +159,8 @@
 		}
 		side := &predecessorSide{u: u, conn: newFDConn(c), machine: handover.NewPredecessor(u.host.Name, u.host.ListenAddrs(), now())}
 		u.mu.Lock()
-		// One successor at a time, and none while the predecessor is running: load is shared with only one other process.
+		// One successor at a time, and none while the predecessor is running: load is shared with only one other
+		// process.
 		busy := u.asPredecessor != nil || u.ended || u.asSuccessor != nil && !u.asSuccessor.predecessorEnded
 		if !busy {
 			u.asPredecessor = side
@@ -250,8 +253,8 @@
 	}
 }
 
-// loadQuery asks the core for its load. An answer that arrives after the timeout is included in the next one, so that no ID is
-// lost.
+// loadQuery asks the core for its load. An answer that arrives after the timeout is included in the next one, so that
+// no ID is lost.
 type loadQuery struct {
 	mu      sync.Mutex
 	last    core.SiblingLoad // the last answer, with all IDs that run has not returned yet
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -84,8 +84,9 @@
 	return l.(*net.TCPListener)
 }
 
-// A complete handover of the listening socket and an idle connection. The folder has a path longer than a socket path may be,
-// and a crashed process left its socket there. A second successor must be refused, and a successor must in turn accept one.
+// A complete handover of the listening socket and an idle connection. The folder has a path longer than a socket path
+// may be, and a crashed process left its socket there. A second successor must be refused, and a successor must in turn
+// accept one.
 func TestTakeOver(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long/", 30))
@@ -328,8 +329,8 @@
 	}
 }
 
-// A system without Unix sockets must not prevent a process from starting. It must start as if no process were running, and
-// log that.
+// A system without Unix sockets must not prevent a process from starting. It must start as if no process were running,
+// and log that.
 func TestStartsWhereTheSystemRefuses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "no-folder")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
