--- a/client/h2.go
+++ b/client/h2.go
@@ -17,12 +17,15 @@
 
 // h2 is a connection of HTTP/2 without TLS, by prior knowledge.
 type h2 struct {
+	//lint:ignore SA1019 http.ClientConn has no State, which streams and dead read; moving to it would change behaviour
 	cc   *http2.ClientConn
 	addr string
 }
 
 func newH2(c net.Conn, addr string) (conn, error) {
+	//lint:ignore SA1019 http.ClientConn has no State, which streams and dead read; moving to it would change behaviour
 	t := &http2.Transport{AllowHTTP: true, DisableCompression: true}
+	//lint:ignore SA1019 http.ClientConn has no State, which streams and dead read; moving to it would change behaviour
 	cc, err := t.NewClientConn(c)
 	if err != nil {
 		c.Close()
--- a/internal/client/route/route.go
+++ b/internal/client/route/route.go
@@ -39,7 +39,6 @@
 	at      float64 // of it
 	credit  float64 // below 0: none
 	heard   float64 // of the credit
-	spent   int     // requests that were sent since it was heard
 	away    float64
 	began   float64 // traffic rises from then on
 	fails   int     // in a row
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -66,10 +66,10 @@
 }
 
 // Config returns the present configuration. The caller must not change it.
-func (t *Validator) Config() *ValidatorConfig { return t.terms.Load() }
+func (s *Validator) Config() *ValidatorConfig { return s.terms.Load() }
 
 // SetConfig replaces the configuration for all later checks.
-func (t *Validator) SetConfig(terms ValidatorConfig) { t.terms.Store(&terms) }
+func (s *Validator) SetConfig(terms ValidatorConfig) { s.terms.Store(&terms) }
 
 // Fields are the values of a request by their names on the platform's protocol, as they came.
 type Fields struct{ ID, Time, From, Wait, KB, Rank, Key, Token string }
--- a/internal/kept/holder.go
+++ b/internal/kept/holder.go
@@ -160,7 +160,8 @@
 	}
 }
 
-// Ready, Reload and BeginShutdown have no meaning here: what the node has read is answered, and that needs the journal.
+// Ready does nothing here, and neither do Reload and BeginShutdown: the node still answers the requests that it has read,
+// and it needs the journal for that.
 func (h *Holder) Ready(bool)            {}
 func (h *Holder) Reload()               {}
 func (h *Holder) BeginShutdown(float64) {}
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -56,7 +56,6 @@
 
 type notice struct {
 	serial uint64
-	life   int
 	line   string
 }
 
@@ -68,7 +67,6 @@
 	gone          bool
 	answers       []core.Answer
 	promised      bool // served, and that was sure to last
-	life          int
 }
 
 // Deliver implements core.Sink.
