--- a/internal/kept/owner.go
+++ b/internal/kept/owner.go
@@ -160,7 +160,8 @@
 	}
 }
 
-// Ready, Reload and BeginShutdown have no meaning here: what the node has read is answered, and that needs the journal.
+// Ready does nothing here, and neither do Reload and BeginShutdown: the node still answers the requests that it has read,
+// and it needs the journal for that.
 func (h *Owner) Ready(bool)            {}
 func (h *Owner) Reload()               {}
 func (h *Owner) BeginShutdown(float64) {}
