--- a/api.go
+++ b/api.go
@@ -1,17 +1,18 @@
-// Package whinrudder decides, inside one server of a fleet, what that server takes, runs and turns away.
+// Package whinrudder decides, inside one server of a fleet, which requests that server runs and which it
+// refuses.
 //
 // A host creates one [Policy] for each server process with [New] and calls [Policy.Step] from a single
-// goroutine whenever something happened: all events of one instant go in together, in order of arrival, and
-// the actions come back in the order in which the host must carry them out. A Policy has no clock, no
-// goroutine and does no I/O; it is not safe for concurrent use; it shares nothing with other Policies. A host
-// persists nothing: after a restart it creates a new Policy.
+// goroutine whenever something happened: it passes all events of one instant together, in order of arrival,
+// and carries out the returned actions in their order. A Policy has no clock, starts no goroutine and does no
+// I/O. It is not safe for concurrent use, and shares nothing with other Policies. It needs no storage: after
+// a restart the host creates a new Policy.
 //
-// All times are milliseconds. Absolute times are readings of one clock of the host's choice that never goes
-// back. Amounts of memory are kilobytes. Amounts of work are milliseconds of a standard core.
+// All times are in milliseconds. Absolute times are readings of one monotonic clock that the host chooses.
+// Amounts of memory are in kilobytes. Amounts of work are in milliseconds of a standard core.
 //
-// The host owes the policy an [Ended] for each [Run] and [Reuse] that took effect, and a [Timer] for each
-// [Wake]. The policy owes the host one final answer for each [Arrival] by the time it falls due: the end of a
-// run, or one of [Refuse] and [Fail].
+// The host must report an [Ended] for each [Run] and [Reuse] that took effect, and a [Timer] for each [Wake].
+// The policy gives one final answer for each [Arrival] by the time it is due: the end of a run, a [Refuse] or
+// a [Fail].
 package whinrudder
 
 import (
@@ -20,228 +21,232 @@
 	"math"
 )
 
-// RequestID names one try of a request. It is opaque and never reused within the life of a server.
+// RequestID identifies one try of a request. It is opaque and is not reused during the life of a server.
 type RequestID string
 
 // Repeatability says how often a class of requests may take effect.
 type Repeatability string
 
-// The kinds of classes.
+// The values of Repeatability.
 const (
 	Safe   Repeatability = "safe"   // may run any number of times
 	Keyed  Repeatability = "keyed"  // runs once on a node within its window; the key table links repeats
 	Unsafe Repeatability = "unsafe" // runs once; a try is sent again only if the earlier one never ran
 )
 
-// StopMode says what a host can do to work that runs.
+// StopMode says what a host can do to running work.
 type StopMode string
 
-// The ways to stop work.
+// The values of StopMode.
 const (
-	StopNone  StopMode = "none"  // running work can't be stopped
+	StopNone  StopMode = "none"  // running work cannot be stopped
 	StopAbort StopMode = "abort" // stopped work is lost and the request returns to the hold
 	StopPause StopMode = "pause" // stopped work keeps progress and memory and can be resumed
 )
 
-// CreditMode is how callers read the free value that rides on each answer.
+// CreditMode says how callers interpret the free value that each answer carries.
 type CreditMode string
 
-// The readings of the free value.
+// The values of CreditMode.
 const (
-	CreditNone      CreditMode = "none"      // unused
-	CreditWindow    CreditMode = "window"    // most requests a caller may have out with this server
-	CreditThreshold CreditMode = "threshold" // callers withhold what ranks below it
-	CreditShare     CreditMode = "share"     // chance, 0 to 1, that a caller does not pass this server by
+	CreditNone      CreditMode = "none"      // the free value is not used
+	CreditWindow    CreditMode = "window"    // requests that a caller may have outstanding at this server
+	CreditThreshold CreditMode = "threshold" // callers withhold requests that rank below it
+	CreditShare     CreditMode = "share"     // probability, 0 to 1, that a caller does not skip this server
 )
 
-// Dependency is what running requests call.
+// Dependency says what running requests call.
 type Dependency string
 
-// The kinds of dependency.
+// The values of Dependency.
 const (
 	DependencyNone   Dependency = "none"   // no calls
 	DependencyShared Dependency = "shared" // one dependency that all servers share
 	DependencyTier   Dependency = "tier"   // a further tier of servers like this one
 )
 
-// Code is how a run or a call ended.
+// Code is the outcome of a run or a call.
 type Code string
 
-// The outcomes. Those marked * prove that nothing ran.
+// The values of Code. Those marked * prove that nothing ran.
 const (
 	OK            Code = "ok"
 	Error         Code = "error"
-	Rejected      Code = "rejected"       // * a call turned away unseen
-	Timeout       Code = "timeout"        // the caller gave up on a call
-	ConnectFailed Code = "connect_failed" // * nothing could be reached
-	Reset         Code = "reset"          // a call was interrupted
-	Cancelled     Code = "cancelled"      // a run was stopped
-	Moot          Code = "moot"           // * nothing started: the request was over
+	Rejected      Code = "rejected"       // * the call was refused before it was processed
+	Timeout       Code = "timeout"        // the call was abandoned after its timeout
+	ConnectFailed Code = "connect_failed" // * no connection could be made
+	Reset         Code = "reset"          // the connection of the call was reset
+	Cancelled     Code = "cancelled"      // the run was stopped
+	Moot          Code = "moot"           // * nothing was started, because the request had ended
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Aim             float64       // answers within this time of arrival earn full worth
 	AimStretch      float64       // the aim grows by this multiple of the request's own work, up to Deadline
-	Deadline        float64       // how long a client waits in all
-	Worth           float64       // worth of one request, or of one unit of work
-	LateWorth       float64       // share of the worth left after the aim
-	Repeat          Repeatability // what may happen twice
-	Window          float64       // Keyed: how long after its arrival a request can recur
+	Deadline        float64       // total time that a client waits
+	Worth           float64       // worth of one request, or of one unit of work if WorthByWork is set
+	LateWorth       float64       // share of the worth that an answer after the aim keeps
+	Repeat          Repeatability // how often a request may take effect
+	Window          float64       // Keyed only: time after its arrival in which a request can be repeated
 	CallsDependency bool          // may call the dependency
-	SkipWorth       float64       // share of the worth that an answer keeps when a call was skipped
+	SkipWorth       float64       // share of the worth that an answer keeps if a call was skipped
 }
 
-// Tenant describes one user of a shared fleet.
+// Tenant describes one tenant of a shared fleet.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second over all servers that earn full worth
+	QuotaPerSecond float64 // requests per second, over all servers, that earn the full worth
 }
 
-// Goal weighs the parts of the result.
+// Goal holds the weights of the parts of the result.
 type Goal struct {
 	Whole, WorstClass, WorstTenant, WorstWindow float64
 }
 
-// Rules holds the figures behind the four rules.
+// Rules holds the parameters of the four rules.
 type Rules struct {
-	AnswerGrace  float64 // an answer counts this long after it fell due
-	ColdFrom     float64 // share of full speed at which a cold server starts, at least
-	RampTime     float64 // a cold server is warm after this time, at the latest
-	DrainGrace   float64 // what arrives later than this after the notice must not run
-	FallMultiple float64 // requests on the cores, for each core, that a warm server survives
-	FallWindow   float64 // the time over which they are averaged
+	AnswerGrace  float64 // an answer still counts this long after it was due
+	ColdFrom     float64 // least share of full speed at which a cold server starts
+	RampTime     float64 // longest time until a cold server is warm
+	DrainGrace   float64 // requests that arrive later than this after the notice must not run
+	FallMultiple float64 // running requests per core that a warm server survives
+	FallWindow   float64 // time over which the running requests are averaged
 }
 
-// Settings is all that a policy knows of its server at the start.
+// Settings is what a policy knows about its server at the start.
 type Settings struct {
 	Servers             int // servers in the fleet
 	Callers             int // callers of the fleet
 	Cores               int
-	Cold                bool    // the process was only just started
+	Cold                bool    // the process has just started
 	Memory              float64 // kilobytes
-	RunFactor           float64 // memory of a running request over that of a held one
-	EntryKB             float64 // memory of a key entry
+	RunFactor           float64 // ratio of the memory of a running request to that of a held one
+	EntryKB             float64 // memory of an entry in the key table
 	Classes             []Class
 	Tenants             []Tenant
-	OverShareWorth      float64 // worth of a request beyond its tenant's quota, as a share
-	WorthByWork         bool    // worth counts for each unit of work
+	OverShareWorth      float64 // share of its worth that a request beyond its tenant's quota keeps
+	WorthByWork         bool    // the worth of a request is multiplied by its work
 	Halt                StopMode
 	CreditMode          CreditMode
-	HeardFor            float64 // how long a caller heeds the free value; 0: without end
-	ReportsCancellation bool    // the server hears of callers that gave up
+	HeardFor            float64 // how long a caller respects the free value; 0: without limit
+	ReportsCancellation bool    // the host reports callers that gave up
 	PassesDeadline      bool    // arrivals carry their due time
 	Dependency          Dependency
-	CallShare           float64 // mean calls this server may have in the dependency's hands
-	CallShareWindow     float64 // the time over which that mean is taken
-	CallLinger          float64 // how long an abandoned call stays in the dependency's hands
-	Fresh               float64 // how long an answer to a read may serve others
-	DeepChecks          bool    // health checks do real work unless answered from store
-	MaxRetryAfter       float64 // longest stay-away advice that is heeded; 0: none
-	KeepAlive           float64 // longest time a connection stays open idle
+	CallShare           float64 // mean number of calls that this server may have at the dependency
+	CallShareWindow     float64 // time over which that mean is taken
+	CallLinger          float64 // how long an abandoned call still occupies the dependency
+	Fresh               float64 // how long the answer to a read may serve other reads of the same key
+	DeepChecks          bool    // health checks do real work unless their answer is cached
+	MaxRetryAfter       float64 // longest RetryAfter that callers respect; 0: they respect none
+	KeepAlive           float64 // longest time that an idle connection stays open
 	Tick                float64 // shortest time between two steps
 	Rules               Rules
 	Goal                Goal
 }
 
-// Check reports all settings that make no sense, together, each by its name. Figures must be finite and not
-// negative; Cores, Memory and each Aim positive; Deadline at least Aim; FallMultiple at least 1; Classes not
-// empty; Repeat and Halt known words.
+// Check reports all invalid settings in one error, each by its name. Numbers must be finite and not negative;
+// Cores, Memory and each Aim must be positive, Deadline at least Aim, and FallMultiple at least 1; Classes
+// must not be empty; Repeat and Halt must have one of their defined values.
 func (s Settings) Check() error {
 	var errs []error
-	want := func(ok bool, what string, args ...any) {
+	require := func(ok bool, what string, args ...any) {
 		if !ok {
 			errs = append(errs, fmt.Errorf("whinrudder: settings: "+what, args...))
 		}
 	}
-	figure := func(name string, v float64) {
-		want(v >= 0 && !math.IsInf(v, 0), "%s is %v, want a finite figure not below 0", name, v)
+	checkNumber := func(name string, v float64) {
+		require(v >= 0 && !math.IsInf(v, 0), "%s is %v, want a finite figure not below 0", name, v)
 	}
-	want(s.Cores > 0, "Cores is %d, want at least 1", s.Cores)
-	want(s.Servers >= 0, "Servers is %d, want none or more", s.Servers)
-	want(s.Callers >= 0, "Callers is %d, want none or more", s.Callers)
-	want(len(s.Classes) > 0, "Classes is empty")
-	want(s.Memory > 0, "Memory is %v, want more than 0", s.Memory)
-	r := s.Rules
-	for _, f := range []struct {
+	require(s.Cores > 0, "Cores is %d, want at least 1", s.Cores)
+	require(s.Servers >= 0, "Servers is %d, want none or more", s.Servers)
+	require(s.Callers >= 0, "Callers is %d, want none or more", s.Callers)
+	require(len(s.Classes) > 0, "Classes is empty")
+	require(s.Memory > 0, "Memory is %v, want more than 0", s.Memory)
+	rules := s.Rules
+	for _, number := range []struct {
 		name string
 		v    float64
 	}{
 		{"Memory", s.Memory}, {"RunFactor", s.RunFactor}, {"EntryKB", s.EntryKB}, {"Tick", s.Tick},
 		{"OverShareWorth", s.OverShareWorth}, {"HeardFor", s.HeardFor}, {"CallShare", s.CallShare},
 		{"CallShareWindow", s.CallShareWindow}, {"CallLinger", s.CallLinger}, {"Fresh", s.Fresh},
-		{"MaxRetryAfter", s.MaxRetryAfter}, {"KeepAlive", s.KeepAlive}, {"Rules.AnswerGrace", r.AnswerGrace},
-		{"Rules.ColdFrom", r.ColdFrom}, {"Rules.RampTime", r.RampTime}, {"Rules.DrainGrace", r.DrainGrace},
-		{"Rules.FallMultiple", r.FallMultiple}, {"Rules.FallWindow", r.FallWindow},
+		{"MaxRetryAfter", s.MaxRetryAfter}, {"KeepAlive", s.KeepAlive},
+		{"Rules.AnswerGrace", rules.AnswerGrace}, {"Rules.ColdFrom", rules.ColdFrom},
+		{"Rules.RampTime", rules.RampTime}, {"Rules.DrainGrace", rules.DrainGrace},
+		{"Rules.FallMultiple", rules.FallMultiple}, {"Rules.FallWindow", rules.FallWindow},
 	} {
-		figure(f.name, f.v)
+		checkNumber(number.name, number.v)
 	}
-	want(r.FallMultiple >= 1, "Rules.FallMultiple is %v, want at least 1", r.FallMultiple)
-	want(s.Halt == StopNone || s.Halt == StopAbort || s.Halt == StopPause, "Halt %q is unknown", s.Halt)
+	require(rules.FallMultiple >= 1, "Rules.FallMultiple is %v, want at least 1", rules.FallMultiple)
+	require(s.Halt == StopNone || s.Halt == StopAbort || s.Halt == StopPause, "Halt %q is unknown", s.Halt)
 	for i, t := range s.Tenants {
-		figure(fmt.Sprintf("Tenants[%d].QuotaPerSecond", i), t.QuotaPerSecond)
+		checkNumber(fmt.Sprintf("Tenants[%d].QuotaPerSecond", i), t.QuotaPerSecond)
 	}
 	for i, c := range s.Classes {
-		want(c.Aim > 0 && c.Deadline >= c.Aim, "Classes[%d]: want 0 < Aim <= Deadline, got %v, %v", i,
+		require(c.Aim > 0 && c.Deadline >= c.Aim, "Classes[%d]: want 0 < Aim <= Deadline, got %v, %v", i,
 			c.Aim, c.Deadline)
 		known := c.Repeat == Safe || c.Repeat == Keyed || c.Repeat == Unsafe
-		want(known, "Classes[%d].Repeat %q is unknown", i, c.Repeat)
-		figure(fmt.Sprintf("Classes[%d].Deadline", i), c.Deadline)
-		figure(fmt.Sprintf("Classes[%d].AimStretch", i), c.AimStretch)
-		figure(fmt.Sprintf("Classes[%d].Worth", i), c.Worth)
-		figure(fmt.Sprintf("Classes[%d].LateWorth", i), c.LateWorth)
-		figure(fmt.Sprintf("Classes[%d].Window", i), c.Window)
-		figure(fmt.Sprintf("Classes[%d].SkipWorth", i), c.SkipWorth)
+		require(known, "Classes[%d].Repeat %q is unknown", i, c.Repeat)
+		checkNumber(fmt.Sprintf("Classes[%d].Deadline", i), c.Deadline)
+		checkNumber(fmt.Sprintf("Classes[%d].AimStretch", i), c.AimStretch)
+		checkNumber(fmt.Sprintf("Classes[%d].Worth", i), c.Worth)
+		checkNumber(fmt.Sprintf("Classes[%d].LateWorth", i), c.LateWorth)
+		checkNumber(fmt.Sprintf("Classes[%d].Window", i), c.Window)
+		checkNumber(fmt.Sprintf("Classes[%d].SkipWorth", i), c.SkipWorth)
 	}
 	return errors.Join(errs...)
 }
 
-// Estimate is one learned figure. In a prior N is what it counts for; in knowledge, what it rests on.
+// Estimate is one learned quantity.
 type Estimate struct {
 	Value float64
-	N     float64 // observations; 0: the figure is absent
-	Age   float64 // since the last of them
+	N     float64 // observations behind it or, in a prior, its weight; 0: the quantity is absent
+	Age   float64 // time since the last observation
 }
 
-// CostModel holds the moments of an aging straight fit of core time by hinted work, as means. Without hints
-// Work is 0.
+// CostModel holds the moments, as means, of an aging linear regression of core time on hinted work. Without
+// hints Work is 0.
 type CostModel struct {
-	N, Age             float64 // observations, 200 at most, and the time since the last
-	Work, Time         float64 // hinted work, core time on a warm server of this speed
-	WorkWork, WorkTime float64 // square of the work, product of both
+	N, Age             float64 // number of observations, at most 200, and the time since the last one
+	Work, Time         float64 // hinted work, and core time on a warm server of this speed
+	WorkWork, WorkTime float64 // square of the work, and product of work and time
 }
 
-// ClassKnowledge is what was learned of one class.
+// ClassKnowledge is what was learned about one class.
 type ClassKnowledge struct {
 	Cost  CostModel
-	Waits []float64 // how long callers of the last arrivals still waited, the newest first; 16 at most
-	Share float64   // worth asked for lately, to be compared with that of the other classes
+	Waits []float64 // how long callers of the last arrivals still waited, newest first, at most 16
+	Share float64   // recently requested worth, for comparison with the other classes
 }
 
-// Knowledge is what a policy has learned that outlives it. Classes stand in the order of [Settings]. Costs,
-// the pace and slowness belong to the machine; the relation of the costs, waits and shares to the traffic.
+// Knowledge is what a policy has learned that is of use to other policies. Classes are in the order of
+// [Settings]. Costs, CoreShare and Slowdown depend on the machine; the relation between the costs, the waits
+// and the shares depend on the traffic.
 type Knowledge struct {
 	Classes         []ClassKnowledge
-	Limit           Estimate // requests on the cores, for each core
-	CoreShare       Estimate // core time that runs have in a millisecond with the cores full, for each core
-	Slowdown        Estimate // how much longer runs take now than their base
+	Limit           Estimate // concurrency limit per core
+	CoreShare       Estimate // core time per millisecond and core that runs get while the cores are full
+	Slowdown        Estimate // factor by which runs currently take longer than their base
 	BaseCallLatency Estimate // lowest latency of calls
 }
 
-// Knowledge returns what the own runs have taught so far. What was adopted is no part of it.
+// Knowledge returns what was learned from this server's own runs, without what was adopted.
 func (p *Policy) Knowledge() Knowledge {
-	figure := func(v float64) Estimate { return Estimate{v / p.cores, p.renewed, p.now - p.ruled} }
-	k := Knowledge{Limit: figure(p.limit), CoreShare: figure(p.pace), Slowdown: figure(p.slow * p.cores)}
-	if p.callLat > 0 {
-		k.BaseCallLatency = Estimate{p.callMin, p.renewed, p.now - p.ruled}
+	perCore := func(v float64) Estimate { return Estimate{v / p.cores, p.renewals, p.now - p.renewedAt} }
+	k := Knowledge{Limit: perCore(p.limit), CoreShare: perCore(p.effectiveCores),
+		Slowdown: perCore(p.slowdown * p.cores)}
+	if p.callLatency > 0 {
+		k.BaseCallLatency = Estimate{p.baseCallLatency, p.renewals, p.now - p.renewedAt}
 	}
 	for i := range p.classes {
-		c := &p.classes[i]
-		l := ClassKnowledge{Share: c.asked, Cost: CostModel{N: min(c.runs, baseMemory), Age: p.now - c.learn,
-			Work: c.base.X, Time: c.base.Y, WorkWork: c.base.XX, WorkTime: c.base.XY}}
-		for j := range min(c.seen-c.told, waitsKept) {
-			l.Waits = append(l.Waits, c.waits[(c.seen-1-j)%waitsKept])
+		stats := &p.classes[i]
+		learned := ClassKnowledge{Share: stats.demand, Cost: CostModel{N: min(stats.runs, costMemoryRuns),
+			Age: p.now - stats.learnedAt, Work: stats.cost.X, Time: stats.cost.Y, WorkWork: stats.cost.XX,
+			WorkTime: stats.cost.XY}}
+		for j := range min(stats.waitsSeen-stats.waitsAdopted, waitWindow) {
+			learned.Waits = append(learned.Waits, stats.waits[(stats.waitsSeen-1-j)%waitWindow])
 		}
-		k.Classes = append(k.Classes, l)
+		k.Classes = append(k.Classes, learned)
 	}
 	return k
 }
@@ -249,20 +254,20 @@
 // An Event is something that happened to the server.
 type Event interface{ event() }
 
-// Arrival is a request that was read and now waits in the hold.
+// Arrival is a request that the host has read and that has not been started.
 type Arrival struct {
 	ID        RequestID
 	Due       float64 // absolute time at which its caller gives up; 0: unknown
 	Caller    int
-	ReadDelay float64 // time since it reached the server
+	ReadDelay float64 // time between its reaching the server and being read
 	WorkKnown bool    // Work is meaningful
 	Retry     bool    // marked as a retry or a second copy
 	Write     bool
 	RepeatOf  RequestID // the kept or unfinished request that this one repeats, or empty
-	Key       string    // what it is about
+	Key       string    // identifies its subject: the idempotency key, or what a read asks for
 	MemoryKB  float64   // memory it takes while held
 	Work      float64   // expected work
-	Rank      float64   // place by worth, from 0 to under 1
+	Rank      float64   // rank by worth, from 0 to below 1
 	Tenant    int
 	Class     int
 }
@@ -271,56 +276,57 @@
 type Ended struct {
 	ID      RequestID
 	Code    Code
-	Latency float64 // since the action that began it
+	Latency float64 // time since the action that began it
 }
 
-// Gone reports that the caller of a request gave up; nothing is owed to it any more.
+// Gone reports that the caller of a request gave up. The request needs no answer any more.
 type Gone struct{ ID RequestID }
 
-// AtCall reports that a run waits, off the cores, to call the dependency.
+// AtCall reports that a run has left the cores and waits to call the dependency.
 type AtCall struct{ ID RequestID }
 
-// Called reports the end of a call. Unless it is OK the request waits at its call again.
+// Called reports the end of a call. Unless Code is OK, the request waits for its call again.
 type Called struct {
 	ID      RequestID
 	Code    Code
 	Latency float64
 }
 
-// Notice tells the server that it will be stopped at the given absolute time. Where another process of the
-// same server has taken over what comes, no caller is to be sent away.
+// Notice announces that the server will be stopped at an absolute time. HandedOver says that another process
+// of the same server takes over the traffic, so that callers need not go elsewhere.
 type Notice struct {
 	StopAt     float64
 	HandedOver bool
 }
 
-// Beside tells what another process of the same server has in hand on the same cores, while one takes over
-// from the other: what was started there and is not over, and the memory that all of it takes.
+// Beside reports the load of another process of the same server on the same cores during a handover between
+// the two.
 type Beside struct {
 	InProgress int     // requests that were started there and have not ended
 	MemoryKB   float64 // memory that all its requests take
 }
 
-// CurrentLoad returns what this process has in hand, as Beside reports it to another.
+// CurrentLoad returns the load of this process, in the form in which another process gets it as Beside.
 func (p *Policy) CurrentLoad() Beside {
-	// Sums of floats are not exact.
-	return Beside{p.live() - p.beside.InProgress, max(0, p.used()-p.beside.MemoryKB)}
+	// Floating-point sums are inexact: the difference can be slightly negative.
+	return Beside{p.startedCount() - p.otherProcess.InProgress,
+		max(0, p.usedMemory()-p.otherProcess.MemoryKB)}
 }
 
-// Drain tells that operators send the clients away from this server, or take them back. The server goes on
-// serving whatever comes.
+// Drain reports that operators direct clients away from this server (On) or back to it. The server keeps
+// serving the requests that arrive.
 type Drain struct{ On bool }
 
-// Timer reports that a Wake is due, with the server's own gauges.
+// Timer reports that a Wake is due, together with the readings of the gauges.
 type Timer struct {
 	Token  uint64
 	Gauges Gauges
 }
 
-// Gauges are the server's measurements of itself.
+// Gauges are the host's measurements of the server.
 type Gauges struct {
-	CPU      float64 // share of the cores busy over the last half second; negative: not measured
-	Runnable float64 // all that wants a core at this moment
+	CPU      float64 // share of the cores that was busy over the last half second; negative: not measured
+	Runnable float64 // number of everything that wants a core at this moment
 	Memory   float64 // share of memory in use
 	Conns    float64 // open connections
 }
@@ -341,13 +347,13 @@
 // Run starts a held request or resumes a paused one.
 type Run struct{ ID RequestID }
 
-// Stop halts a running request as Settings.Halt says. It is not an answer.
+// Stop stops a running request in the way that Settings.Halt says. It is not an answer.
 type Stop struct{ ID RequestID }
 
-// Refuse answers that the request was turned away and never ran.
+// Refuse answers that the request was refused and never ran.
 type Refuse struct {
 	ID               RequestID
-	RetryAfter       float64 // how long the caller should stay away; 0: no advice
+	RetryAfter       float64 // time for which the caller should send nothing; 0: no advice
 	NoRetryElsewhere bool    // asks the caller not to try another server
 }
 
@@ -360,10 +366,10 @@
 	Timeout float64
 }
 
-// Skip goes on without the call.
+// Skip continues a request without its call.
 type Skip struct{ ID RequestID }
 
-// Keep enters a request into the key table, or renews its entry, for so long from now.
+// Keep enters a request into the key table, or renews its entry, for a time of TTL from now.
 type Keep struct {
 	ID  RequestID
 	TTL float64
@@ -372,16 +378,16 @@
 // Forget drops a request's entry in the key table.
 type Forget struct{ ID RequestID }
 
-// Reuse serves a request with the answer of the one it repeats.
+// Reuse serves a request with the answer of the one that it repeats.
 type Reuse struct{ ID RequestID }
 
-// Health sets the answer of health checks: whether it is given from store (Cached), and whether it is good.
+// Health sets the answer of health checks: whether it is cached, and whether it is good.
 type Health struct{ Cached, Healthy bool }
 
-// Advertise sets the free value.
+// Advertise sets the free value that answers carry.
 type Advertise struct{ Credit float64 }
 
-// CloseIdle closes connections that were idle for so long.
+// CloseIdle sets the time after which idle connections are closed.
 type CloseIdle struct{ After float64 }
 
 // Wake asks for a Timer at an absolute time.
@@ -390,7 +396,7 @@
 	Token uint64
 }
 
-// Log is a line for the operators.
+// Log is a line for the operators' log.
 type Log struct{ Text string }
 
 func (Run) action()       {}
--- a/cmd/whinrudder-kit/faults_test.go
+++ b/cmd/whinrudder-kit/faults_test.go
@@ -24,8 +24,8 @@
 		rule    string
 		changes []change
 	}{
-		{"drain", []change{{"policy.go", "if p.leaving && r.arrived > p.notice+p.s.Rules.DrainGrace {", "if p.leaving && r.arrived > p.notice+3*p.s.Rules.DrainGrace {"}}},
-		{"lost", []change{{"policy.go", "	r.due = max(r.due-2*p.s.Tick, p.now)\n", "	r.due = max(r.due-2*p.s.Tick, p.now) + 800\n"},
+		{"drain", []change{{"policy.go", "if p.shuttingDown && r.arrived > p.noticeAt+p.cfg.Rules.DrainGrace {", "if p.shuttingDown && r.arrived > p.noticeAt+3*p.cfg.Rules.DrainGrace {"}}},
+		{"lost", []change{{"policy.go", "	r.due = max(r.due-2*p.cfg.Tick, p.now)\n", "	r.due = max(r.due-2*p.cfg.Tick, p.now) + 800\n"},
 			{"internal/core/core.go", "	backstop  = 30 ", "	backstop  = 800 "}}}, // the core would answer in the module's place
 	} {
 		t.Run(f.rule, func(t *testing.T) {
--- a/knowledge_test.go
+++ b/knowledge_test.go
@@ -25,11 +25,11 @@
 func TestRelationComesFromThePriorAndScaleFromTheFirstRun(t *testing.T) {
 	s := newServer(t, nil)
 	s.p.Adopt(taught(15))
-	if got := s.p.classes[1].at(0, s.p.speed()); got != 0 {
+	if got := s.p.classes[1].predictCost(0, s.p.priorScale()); got != 0 {
 		t.Fatalf("before any run a prior says nothing of this machine, got %v", got)
 	}
 	s.serve(1, 0, 300) // three times as slow as the donor
-	if got := s.p.classes[1].at(0, s.p.speed()); math.Abs(got-600) > 1 {
+	if got := s.p.classes[1].predictCost(0, s.p.priorScale()); math.Abs(got-600) > 1 {
 		t.Fatalf("class 1 has no run, its relation says 600 here, got %v", got)
 	}
 }
@@ -41,7 +41,7 @@
 		s.serve(2*n, 0, 100)
 		s.serve(2*n+1, 1, 100) // the relation is another by now
 	}
-	if got := s.p.classes[1].at(0, s.p.speed()); got > 125 {
+	if got := s.p.classes[1].predictCost(0, s.p.priorScale()); got > 125 {
 		t.Fatalf("want the own 100 to outweigh the prior, got %v", got)
 	}
 }
@@ -69,8 +69,8 @@
 	k := taught(15)
 	k.Limit = Estimate{Value: 1000, N: 1e6}
 	s.p.Adopt(k)
-	if s.p.limit > s.p.crowd() {
-		t.Fatalf("limit %v is over the crowd %v that a cold server survives", s.p.limit, s.p.crowd())
+	if s.p.limit > s.p.maxRunning() {
+		t.Fatalf("limit %v is over the crowd %v that a cold server survives", s.p.limit, s.p.maxRunning())
 	}
 	k.Limit = Estimate{Value: 0.01, N: 1e6}
 	s.p.Adopt(k)
@@ -108,8 +108,8 @@
 		s.serve(n, 0, 300)
 	}
 	s.p.Adopt(Knowledge{Classes: make([]ClassKnowledge, 2)})
-	if got := s.p.classes[0].at(0, s.p.speed()); math.Abs(got-300) > 1 || s.p.led != 0 {
-		t.Fatalf("want the own 300 and no trust left, got %v, %v", got, s.p.led)
+	if got := s.p.classes[0].predictCost(0, s.p.priorScale()); math.Abs(got-300) > 1 || s.p.priorTrust != 0 {
+		t.Fatalf("want the own 300 and no trust left, got %v, %v", got, s.p.priorTrust)
 	}
 }
 
--- a/ops_test.go
+++ b/ops_test.go
@@ -32,7 +32,7 @@
 	}
 	p.Step(40, []Event{Notice{StopAt: 3000}}, nil)
 	for _, h := range find[Health](p.Step(50, []Event{Drain{true}, Drain{false}}, nil)) {
-		if h.Healthy && p.closed {
+		if h.Healthy && p.withdrawn {
 			t.Error("checks are good though the server leaves")
 		}
 	}
@@ -85,7 +85,7 @@
 	if got := runs(Beside{InProgress: 1}); alone < 2 || got != alone-1 {
 		t.Errorf("%d run beside one, %d alone", got, alone)
 	}
-	if got := runs(Beside{MemoryKB: newTestPolicy(t).s.Memory}); got != 0 {
+	if got := runs(Beside{MemoryKB: newTestPolicy(t).cfg.Memory}); got != 0 {
 		t.Errorf("%d run where the memory is full beside", got)
 	}
 }
@@ -97,7 +97,7 @@
 	p.Step(0, nil, nil)
 	p.Step(10, []Event{Arrival{ID: "a", Caller: 1, MemoryKB: 10, Due: 9000}}, nil)
 	p.Step(110, []Event{Ended{ID: "a", Code: OK, Latency: 100}}, nil)
-	s := p.s
+	s := p.cfg
 	s.Classes = append(append([]Class{}, s.Classes...), s.Classes[0])
 	p.Reconfigure(s, len(s.Classes)-1)
 	a := p.Step(200, []Event{Arrival{ID: "b", Caller: 1, MemoryKB: 10, Due: 9000, Class: len(s.Classes) - 1}}, nil)
--- a/policy.go
+++ b/policy.go
@@ -1,7 +1,7 @@
 // The decision module of whinrudder. Its interface (settings, events, actions) is in api.go.
 //
-// One mechanism: each server learns a limit on running requests from its own latency against a base, refuses
-// arrivals that it cannot answer in time at once, and tells callers a credit derived from the limit.
+// Each server learns a concurrency limit by comparing the latency of its runs with their base cost. It
+// refuses at once what it cannot answer in time, and tells callers a credit that is derived from the limit.
 
 package whinrudder
 
@@ -14,272 +14,334 @@
 	"whinrudder/internal/queue"
 )
 
-// Tunables. Times are relative to aims, ticks and periods; counts are relative to cores and limits.
+// Tunables. Ratios are relative to the quantity that the comment names. A span is the time constant of a
+// decaying mean or sum.
 const (
-	leasePeriod  = 500.0 // the limit is renewed this often: several finished requests a core at usual costs
-	pollsALease  = 10    // gauges are read this often in a period, to see stalls and idle cores early
-	leastGrad    = 0.5   // one period at most halves the limit, as the design's starting value has it
-	idleBelow    = 0.9   // cores less busy than this are idle: the limit is never cut then
-	idleGrowth   = 1.25  // growth of the limit in a period with idle cores and a full limit
-	crowdShare   = 0.6   // part of the crowd that the server survives which is ever put on the cores
-	memoryShare  = 0.95  // part of the memory that is ever used: the host may count a little more
-	ledRuns      = 10.0  // finished requests that a prior must count for to be believed in whole
-	fitPull      = 3.0   // finished requests that the assumption "cost in proportion to the hint" counts for
-	baseMemory   = 200.0 // finished requests that a base remembers: it ages, but outlives a crowded spell
-	slowSpan     = 3000  // slowness is a ratio of sums over this time: costs are long-tailed
-	slowPrior    = 2.0   // requests a core of usual cost that slowness starts with, so that few say little
-	paceSpan     = 4000  // the pace is a mean over this time: long enough for the noise of long-tailed costs
-	pressSpan    = 2000  // the pressure is a mean over this time: several periods, or bursts would set it off
-	slowMost     = 20.0  // slowness is told apart up to this factor
-	busyShare    = 0.8   // cores less busy than this have room: the pressure counts disk waits too
-	sickPart     = 3.0   // a sick server hears less than its cores over this could do at their base cost
-	sickFor      = 12000 // a sick server asks for no traffic for this long: lists follow in seconds
-	freeShare    = 0.25  // part of the free room that each caller may use beside its share
-	closeShare   = 0.9   // part of the drain's grace for which a leaving server that is needed stays open
-	callersMost  = 4096  // callers that are told apart
-	callerSpan   = 2000  // a caller heard of within this time takes part in the split of the credit
-	closeLeast   = 10.0  // hosts close no connection that was idle for less
-	connWorth    = 0.2   // a new connection costs as much as an idle one kept for this part of KeepAlive
-	classSpan    = 15000 // shares of classes in the traffic are means over this time
-	unreadShare  = 0.5   // part of the shortest aim spent unread at which runs give way to reading
-	holdShare    = 0.4   // part of the aim that a request may wait, unread and held, before it starts
-	waitsKept    = 16    // waits of the last arrivals of a class that tell which are usual
-	waitsAlike   = 0.01  // part of the deadline within which two waits are alike
-	waitsUsual   = 2     // alike waits among those kept that make one usual
-	likely       = 0.7   // median over mean of costs: they are long-tailed
-	aimMargin    = 0.03  // part of the aim kept for the way back to the client
-	priorCost    = 6.0   // before anything finished a request is taken to cost its aim over this
-	stallTicks   = 3.0   // a timer that is late by more ticks than this tells of a stall of the process
-	quotaBurst   = 2.0   // seconds of quota that a tenant may save up
-	callBase     = 50.0  // finished calls that the base of call latency remembers
-	callPatience = 4.0   // a call is given up after this multiple of its usual time
-	callShare    = 0.8   // part of the share of the dependency that is ever used in the mean
-	callTries    = 3     // times that a call is made for one request in all
+	// Interval between renewals of the limit: at usual costs each core finishes several requests in it.
+	limitPeriodMs = 500.0
+	// Readings of the gauges in each period, so that stalls and idle cores are noticed early.
+	pollsPerPeriod = 10
+	// One period at most halves the limit.
+	minGradient = 0.5
+	// Cores that are less busy than this count as idle; the limit is not reduced then.
+	idleUtilization = 0.9
+	// Growth of the limit in a period in which the limit was reached while cores were idle.
+	idleGrowthFactor = 1.25
+	// Share of the survivable number of running requests (Rules.FallMultiple) that is used.
+	maxRunningRatio = 0.6
+	// Share of the memory that is used: the host may account for slightly more than the policy does.
+	usableMemoryRatio = 0.95
+	// Number of runs behind a prior from which on the prior is trusted fully.
+	fullTrustRuns = 10.0
+	// Weight, in finished requests, of the assumption that cost is proportional to the work hint.
+	proportionalRuns = 3.0
+	// Finished requests that a base cost remembers: it ages, but outlives an overloaded spell.
+	costMemoryRuns = 200.0
+	// Span of the sums whose ratio is the slowdown; costs are long-tailed.
+	slowdownSpanMs = 3000
+	// Finished requests of usual cost that the slowdown starts with, so that a few runs change it little.
+	slowdownPriorRuns = 2.0
+	// Span of the mean of the effective cores: long enough to average out the noise of long-tailed costs.
+	effectiveCoresSpanMs = 4000
+	// Span of the means of load and utilization: several periods, because a burst alone must not raise them.
+	loadSpanMs = 2000
+	// Upper bound of the slowdown; its inverse is the lower bound.
+	maxSlowdown = 20.0
+	// Cores that are less busy than this have room, whatever the load: the load includes waits for the disk.
+	busyUtilization = 0.8
+	// A server counts as unhealthy only while the work offered to it is below its cores divided by this.
+	unhealthyLoadDivisor = 3.0
+	// Time for which an unhealthy server asks for no traffic: the callers' lists follow within seconds.
+	unhealthyMs = 12000
+	// Share of the free room that each caller may use in addition to its own share of the limit.
+	freeRoomRatio = 0.25
+	// Share of Rules.DrainGrace for which a server stays open while it shuts down, if the fleet needs it.
+	drainOpenRatio = 0.9
+	// Number of callers that are tracked one by one.
+	maxTrackedCallers = 4096
+	// A caller that was heard from within this time takes part in the split of the credit.
+	activeCallerMs = 2000
+	// Hosts do not close connections that were idle for less than this.
+	minIdleTimeoutMs = 10.0
+	// Cost of a new connection, as the share of KeepAlive for which keeping an idle one costs the same.
+	connectionCostRatio = 0.2
+	// Span of the shares that the classes have in the traffic.
+	classShareSpanMs = 15000
+	// Read delay, as a share of the shortest aim, at which runs leave most of the cores to reading.
+	readDelayAimRatio = 0.5
+	// Share of the aim, counted from when a request was read, within which it must be expected to start.
+	maxHoldAimRatio = 0.4
+	// Number of recent arrivals of a class whose waits are kept to find the usual waits.
+	waitWindow = 16
+	// Two waits count as equal if they differ by less than this share of the deadline.
+	equalWaitRatio = 0.01
+	// A wait is usual if at least this many of the kept waits equal it.
+	usualWaitCount = 2
+	// Median of the costs over their mean: costs are long-tailed.
+	medianCostRatio = 0.7
+	// Share of the aim that is reserved for the way of the answer back to the client.
+	returnMarginRatio = 0.03
+	// Before any request has finished, a request is expected to cost its aim divided by this.
+	defaultCostDivisor = 6.0
+	// A timer that is late by more ticks than this indicates a stall of the process.
+	stallTicks = 3.0
+	// Seconds of quota that a tenant can accumulate.
+	quotaBurstSeconds = 2.0
+	// Finished calls that the base latency of calls remembers.
+	baseCallMemory = 50.0
+	// A call times out after this multiple of its usual latency.
+	callTimeoutFactor = 4.0
+	// Share of CallShare that is used in the mean.
+	usableCallRatio = 0.8
+	// Attempts at a call for one request, including the first.
+	maxCallTries = 3
 )
 
+// phase is the stage that a request is in.
 type phase uint8
 
 const (
-	held    phase = iota // owes an answer, not started
-	running              // on the cores (or at the disk)
-	waiting              // at a call that was not made yet
-	calling              // its call is out
-	sharing              // waits for the answer of the request it repeats
-	over                 // nothing more will come of it
+	held         phase = iota // not started yet; an answer is due
+	running                   // on the cores or waiting for the disk
+	awaitingCall              // stopped at a call to the dependency that was not made yet
+	calling                   // the call was made and has not ended
+	reusing                   // waits for the answer of the request that it repeats
+	finished                  // nothing more happens to it
 )
 
-// request is one try.
+// request is one try of a request.
 type request struct {
 	Arrival
-	phase   phase
-	settled bool    // an answer was given, or none is owed any more
-	ran     bool    // was started at least once
-	stopped bool    // a halt is on its way
-	arrived float64 // when it reached the server
-	aim     float64 // last time at which its answer earns full worth
-	soon    float64 // last time at which its start must be in sight, or it is not held
-	due     float64 // last time at which an answer is owed
-	cost    float64 // expected core time
-	value   float64 // worth per expected core time
-	mem     float64 // memory while running
-	begun   float64 // clock less stalls at the start of the present stretch on the cores
-	service float64 // integral of the share of a core at that time
-	used    float64 // core time used in earlier stretches
-	lasted  float64 // clock time of earlier stretches
-	calls   int     // tries of the present call
-	seq     uint64  // place among all that arrived or, once started, that were started
-	kb      float64 // memory that it is counted with
-	sharers int     // requests that wait for its answer
-
-	timer queue.HeapEntry[*request] // in Policy.due
-	entry queue.HeapEntry[*request] // in Policy.keys
-	place queue.Item[*request]      // in its line of the hold
-}
-
-// alike is what requests of the hold have in common that are expected to cost and earn the same.
-type alike struct {
+	phase          phase
+	settled        bool    // an answer was given, or none is due any more
+	ran            bool    // it was started at least once
+	stopSent       bool    // a Stop was emitted for it
+	arrived        float64 // time at which it reached the server
+	aimAt          float64 // last time at which its answer earns the full worth
+	latestStart    float64 // it stays in the hold only if it is expected to start by this time
+	due            float64 // last time at which it must be answered
+	cost           float64 // expected core time
+	value          float64 // worth per expected core time
+	runningKB      float64 // memory that it takes once started
+	stretchStart   float64 // start of its present stretch on the cores, on the clock less all stalls
+	serviceAtStart float64 // Policy.serviceTime at that moment
+	coreTime       float64 // core time that it had in earlier stretches
+	elapsed        float64 // duration of the earlier stretches, without stalls
+	callTries      int     // attempts at the present call
+	seq            uint64  // order of arrival or, once started, of its start
+	countedKB      float64 // memory that it is counted with in Policy.memoryKB
+	reusers        int     // requests that wait for its answer
+
+	dueEntry queue.HeapEntry[*request] // in Policy.dueHeap
+	keyEntry queue.HeapEntry[*request] // in Policy.keyHeap
+	holdItem queue.Item[*request]      // in Policy.hold
+}
+
+// groupKey holds what determines the expected cost and worth of a request: held requests with the same key
+// are equal in both.
+type groupKey struct {
 	class, tenant int
 	work          float64
 }
 
-func (r *request) alike() alike { return alike{r.Class, r.Tenant, r.Work} }
-
-// class is what was learned about one class.
-type class struct {
-	base  estimate.Regression // core time of a request by its hinted work, slowly aging
-	prior estimate.Regression // what others learned of it: n is what it counts for beside the own
-	learn float64             // when the own was last added to
-	runs  float64             // runs in it
-	asked float64             // worth of arrivals lately
-	waits [waitsKept]float64  // how long callers of the last arrivals still waited, as a ring
-	seen  int                 // arrivals so far
-	told  int                 // waits among them that were adopted
+func (r *request) groupKey() groupKey { return groupKey{r.Class, r.Tenant, r.Work} }
+
+// classStats is what the policy has learned about one class.
+type classStats struct {
+	cost         estimate.Regression // core time by hinted work, from this server's runs; slowly aging
+	priorCost    estimate.Regression // the same as adopted from other servers; N is its weight
+	learnedAt    float64             // time of the last run that entered cost
+	runs         float64             // number of runs that entered cost
+	demand       float64             // decaying sum of the worth of its arrivals
+	waits        [waitWindow]float64 // ring buffer: how long the callers of recent arrivals still waited
+	waitsSeen    int                 // number of waits that were ever written to the ring
+	waitsAdopted int                 // number of those that were adopted from other servers
 }
 
-// at is what a request takes on a warm server. A prior's relation of classes goes by this server's speed.
-func (c *class) at(work, speed float64) float64 {
-	if c.prior.N <= 0 || speed <= 0 {
-		return c.base.Predict(work, fitPull)
+// predictCost returns the expected core time of a request on this server when warm. The prior gives the
+// relation between the classes; scale is the ratio of costs on this server to those in the prior, or 0 if it
+// is unknown.
+func (c *classStats) predictCost(work, scale float64) float64 {
+	if c.priorCost.N <= 0 || scale <= 0 {
+		return c.cost.Predict(work, proportionalRuns)
 	}
-	own, others := c.base.N*c.base.Predict(work, fitPull), c.prior.N*speed*c.prior.Predict(work, fitPull)
-	return (own + others) / (c.base.N + c.prior.N)
+	own, prior := c.cost.N*c.cost.Predict(work, proportionalRuns),
+		c.priorCost.N*scale*c.priorCost.Predict(work, proportionalRuns)
+	return (own + prior) / (c.cost.N + c.priorCost.N)
 }
 
 // Policy decides for one server. Create it with New.
 type Policy struct {
-	s                 Settings
-	cores             float64
-	aimLeast, aimMost float64 // shortest and longest aim of the classes
-	now               float64
-	started           float64
-	inited            bool
-	actions           []Action
-
-	reqs  map[RequestID]*request
-	seq   uint64
-	count [over + 1]int        // requests by phase
-	kb    float64              // memory of them all
-	due   queue.Heap[*request] // those that are owed an answer, by when guard must look at them
-	keys  queue.Heap[*request] // those with a key entry, by its end
-	hold  *queue.Grouped[alike, *request]
-	queue []*request // waiting
-
-	classes []class
-	quota   []float64 // tokens of each tenant
-	refresh float64   // when the tokens were last topped up
-
-	limit           float64
-	service         float64 // integral of the share of a core that each request on the cores had
-	extra           float64 // what wants a core beside the runs, by the gauge
-	stalled         float64 // time lost to stalls in all
-	spent, done     float64 // core time that runs had lately, and the base cost of those that finished
-	slow            float64 // their ratio: how much longer than the base things take now
-	busy            float64 // share of the cores busy, lately
-	press           float64 // offered work over what the server can do at that cost, lately
-	pace            float64 // core time that runs have in a millisecond with the cores full
-	renewed, ruled  float64 // renewals of the limit by own figures so far, and when the last was
-	own, like, led  float64 // since a prior came: core time of runs, what it said of them; its credit
-	period          period
-	pollAt, leaseAt float64
-
-	heard   []*caller
-	byID    map[int]*caller
-	sum, sq float64           // requests of callers heard lately, and sum of the squares by caller
-	idle    estimate.IdleCost // cost of closing at each idle time, lately, in time a connection is kept
-	trim    float64           // what was told last
-	unread  float64           // time that requests waited before they were read, lately
-	said    float64
-
-	callLimit, callLat, callMin float64
-	lingers                     []float64 // when abandoned calls leave the dependency
-	callDebt                    float64   // call time beyond the share, to be made up by none
-
-	sickTo                  float64 // checks fail until then
-	closed                  bool    // it leaves and asks for no more traffic
-	away                    bool    // operators drain it: checks fail, and all else goes on as always
-	sick, leaving           bool
-	succeeded               bool // another process of this server takes over what comes
-	beside                  Beside
-	closeAt, notice, stopAt float64
-}
-
-// period is what is summed up from one renewal of the limit to the next.
+	cfg            Settings
+	cores          float64
+	minAim, maxAim float64 // shortest and longest aim of the classes
+	now            float64
+	started        float64 // time of the first step
+	initialized    bool
+	actions        []Action // actions of the present step
+
+	requests        map[RequestID]*request
+	seq             uint64               // last sequence number given to a request
+	phaseCount      [finished + 1]int    // number of requests in each phase
+	memoryKB        float64              // memory of all requests
+	dueHeap         queue.Heap[*request] // unanswered requests, by the time at which answerDue looks at them
+	keyHeap         queue.Heap[*request] // requests with an entry in the key table, by the end of the entry
+	hold            *queue.Grouped[groupKey, *request]
+	callQueue       []*request // requests that wait for their call to be made
+	classes         []classStats
+	quotaTokens     []float64 // tokens left for each tenant
+	quotaRefilledAt float64
+
+	limit          float64 // concurrency limit
+	serviceTime    float64 // integral of the share of a core that each running request had
+	otherRunnable  float64 // what wants a core besides the runs; negative if runs wait for the disk
+	stalledMs      float64 // total time lost to stalls of the process
+	recentCoreTime float64 // decaying sum of the core time of all runs
+	recentBaseTime float64 // decaying sum of the base cost of the runs that finished
+	slowdown       float64 // ratio of the two sums: by how much runs take longer than their base cost
+	utilization    float64 // decaying mean share of the cores that was busy
+	offeredLoad    float64 // decaying mean of the offered work over what the server can do
+	effectiveCores float64 // core time per millisecond that runs get while the cores are full
+	renewals       float64 // number of renewals of the limit from own measurements
+	renewedAt      float64 // time of the last of them
+	ownCoreTime    float64 // core time of finished runs since a prior was adopted
+	priorCoreTime  float64 // core time that the prior predicted for those runs
+	priorTrust     float64 // trust in the prior, from 0 to 1
+	period         period
+	pollAt         float64 // time of the next reading of the gauges
+	renewAt        float64 // time of the next renewal of the limit
+
+	callers        []*caller // tracked callers
+	callersByID    map[int]*caller
+	callerRequests float64           // sum of recentRequests over the active callers
+	callerSquares  float64           // sum of the squares of recentRequests
+	idleCost       estimate.IdleCost // recent cost of each idle timeout, as time that connections are kept
+	idleTimeout    float64           // idle timeout that the host was told last
+	readDelay      float64           // moving mean of the time that requests waited before they were read
+	advertised     float64           // credit that was advertised last; -1 before the first
+
+	callLimit       float64   // concurrency limit of calls to the dependency
+	callLatency     float64   // moving mean of the latency of calls
+	baseCallLatency float64   // lowest latency of calls, slowly aging
+	lingerEnds      []float64 // times at which abandoned calls leave the dependency
+	callDebt        float64   // call time beyond the usable share; no call is made while it is positive
+
+	unhealthyUntil float64 // health checks fail until this time while unhealthy is set
+	withdrawn      bool    // the server shuts down and asks for no more traffic
+	drained        bool    // drained by an operator: only health checks change
+	unhealthy      bool    // health checks fail because requests wait too long before they are read
+	shuttingDown   bool    // a Notice has arrived
+	handedOver     bool    // another process of this server takes over the traffic
+	otherProcess   Beside  // load of that process
+	withdrawAt     float64 // time at which withdrawn becomes set after a Notice
+	noticeAt       float64 // time of the Notice
+	stopAt         float64 // time at which the server is stopped
+}
+
+// period holds what is accumulated between two renewals of the limit.
 type period struct {
-	base, lat      float64 // base latencies and latencies of the runs that ended
-	ran            float64 // core time that runs had
-	offered        float64 // work that arrived, at the base cost of a warm server
-	busy, polls    float64 // readings of the gauge
-	fullest        float64 // most requests on the cores
-	callLat, callN float64 // latencies of calls
+	baseLatency    float64 // sum of the base latencies of the runs that ended
+	latency        float64 // sum of their latencies
+	coreTime       float64 // core time that runs had
+	offeredWork    float64 // work that arrived, at the base cost of a warm server
+	utilizationSum float64 // sum of the gauge readings
+	polls          float64 // number of gauge readings
+	maxRunning     float64 // highest number of running requests
+	callLatency    float64 // sum of the latencies of calls
+	calls          float64 // number of those calls
 }
 
-// caller is one whose connection may be open still.
+// caller is a caller whose connection may still be open.
 type caller struct {
-	id    int
-	last  float64 // when it was last heard or answered
-	open  int     // its requests in hand
-	count float64 // requests lately
+	id             int
+	lastSeen       float64 // time of its last request, or of the last answer to it
+	outstanding    int     // its requests without an answer
+	recentRequests float64 // decaying number of its requests
 }
 
-// New returns the policy of a server that starts now. The seed is for choices by chance; none is made yet.
+// New returns the policy of a server that starts now. The second argument is a seed for random choices; the
+// policy makes none so far.
 func New(s Settings, _ uint64) (*Policy, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	p := &Policy{reqs: map[RequestID]*request{}, byID: map[int]*caller{}, said: -1, trim: s.KeepAlive}
-	p.hold = queue.NewGrouped((*request).alike, func(r *request) *request { like := *r; return &like })
+	p := &Policy{requests: map[RequestID]*request{}, callersByID: map[int]*caller{}, advertised: -1,
+		idleTimeout: s.KeepAlive}
+	p.hold = queue.NewGrouped((*request).groupKey, func(r *request) *request { clone := *r; return &clone })
 	p.Reconfigure(s)
-	p.limit, p.pace, p.slow, p.callLimit = p.cores, p.cores, 1, max(1, s.CallShare/2)
+	p.limit, p.effectiveCores, p.slowdown, p.callLimit = p.cores, p.cores, 1, max(1, s.CallShare/2)
 	return p, nil
 }
 
-// Reconfigure takes settings that have passed their check in place of the old ones. Classes keep their places
-// and what was learned of them, except those that are fresh; one that is gone keeps it for requests in hand.
+// Reconfigure replaces the settings by s, which must have passed Check. A class is identified by its index
+// and keeps what was learned about it, unless its index is in fresh. The statistics of a class that s no
+// longer has are kept for its unfinished requests.
 func (p *Policy) Reconfigure(s Settings, fresh ...int) {
-	p.s, p.cores = s, float64(s.Cores)
-	p.aimLeast, p.aimMost = s.Classes[0].Aim, 0
+	p.cfg, p.cores = s, float64(s.Cores)
+	p.minAim, p.maxAim = s.Classes[0].Aim, 0
 	for _, c := range s.Classes {
-		p.aimLeast, p.aimMost = min(p.aimLeast, c.Aim), max(p.aimMost, c.Aim)
+		p.minAim, p.maxAim = min(p.minAim, c.Aim), max(p.maxAim, c.Aim)
 	}
-	p.classes = append(p.classes, make([]class, max(0, len(s.Classes)-len(p.classes)))...)
+	p.classes = append(p.classes, make([]classStats, max(0, len(s.Classes)-len(p.classes)))...)
 	for _, i := range fresh {
-		p.classes[i] = class{}
+		p.classes[i] = classStats{}
 	}
-	p.quota = p.quota[:min(len(p.quota), len(s.Tenants))]
-	for i := len(p.quota); i < len(s.Tenants); i++ {
-		p.quota = append(p.quota, quotaBurst*p.quotaRate(i))
+	p.quotaTokens = p.quotaTokens[:min(len(p.quotaTokens), len(s.Tenants))]
+	for i := len(p.quotaTokens); i < len(s.Tenants); i++ {
+		p.quotaTokens = append(p.quotaTokens, quotaBurstSeconds*p.quotaRate(i))
 	}
 }
 
-// Step takes all events of one instant, in order, and appends the actions that answer them.
+// Step processes all events of one instant, in order, and returns actions with the resulting actions
+// appended.
 func (p *Policy) Step(now float64, events []Event, actions []Action) []Action {
 	p.actions = actions
-	if !p.inited {
-		p.inited = true
-		p.now, p.started, p.refresh, p.leaseAt = now, now, now, now+leasePeriod
-		p.do(Health{Cached: true, Healthy: true})
-		p.poll()
+	if !p.initialized {
+		p.initialized = true
+		p.now, p.started, p.quotaRefilledAt, p.renewAt = now, now, now, now+limitPeriodMs
+		p.emit(Health{Cached: true, Healthy: true})
+		p.schedulePoll()
 		p.advertise()
 	}
 	p.advance(now)
 	for _, e := range events {
 		switch e := e.(type) {
 		case Arrival:
-			p.arrive(e)
+			p.onArrival(e)
 		case Ended:
-			p.ended(e)
+			p.onEnded(e)
 		case Gone:
-			p.gone(p.reqs[e.ID])
+			p.onGone(p.requests[e.ID])
 		case AtCall:
-			if r := p.reqs[e.ID]; r != nil && r.phase == running {
-				p.offCore(r, waiting)
+			if r := p.requests[e.ID]; r != nil && r.phase == running {
+				p.leaveCores(r, awaitingCall)
 			}
 		case Called:
-			p.called(e)
+			p.onCalled(e)
 		case Notice:
-			if !p.leaving {
-				p.leaving, p.notice, p.stopAt = true, now, e.StopAt
-				p.closeAt = now
-				if p.succeeded = e.HandedOver; p.succeeded {
-					p.closeAt = math.Inf(1)
-				} else if p.needed() {
-					p.closeAt += min(closeShare*p.s.Rules.DrainGrace, (p.stopAt-now)/2)
-					p.do(Wake{At: p.closeAt})
+			if !p.shuttingDown {
+				p.shuttingDown, p.noticeAt, p.stopAt = true, now, e.StopAt
+				p.withdrawAt = now
+				if p.handedOver = e.HandedOver; p.handedOver {
+					p.withdrawAt = math.Inf(1)
+				} else if p.neededByFleet() {
+					p.withdrawAt += min(drainOpenRatio*p.cfg.Rules.DrainGrace, (p.stopAt-now)/2)
+					p.emit(Wake{At: p.withdrawAt})
 				}
-				p.do(Wake{At: p.stopAt - 3*p.s.Tick})
+				p.emit(Wake{At: p.stopAt - 3*p.cfg.Tick})
 			}
 		case Beside:
-			p.beside = e
+			p.otherProcess = e
 		case Drain:
-			p.away = e.On
-			p.do(Health{Cached: true, Healthy: !p.sick && !p.away && !p.closed})
+			p.drained = e.On
+			p.emit(Health{Cached: true, Healthy: !p.unhealthy && !p.drained && !p.withdrawn})
 		case Timer:
-			p.timer(e)
+			p.onTimer(e)
 		}
 	}
-	p.health()
-	p.guard()
-	p.calls()
+	p.updateHealth()
+	p.answerDue()
+	p.makeCalls()
 	p.admit()
 	p.advertise()
 	out := p.actions
@@ -287,724 +349,787 @@
 	return out
 }
 
-func (p *Policy) do(a Action) { p.actions = append(p.actions, a) }
+func (p *Policy) emit(action Action) { p.actions = append(p.actions, action) }
 
-// warm is the share of full speed that a server which started cold has at least.
-func (p *Policy) warm() float64 {
-	if !p.s.Cold || p.s.Rules.RampTime <= 0 {
+// warmupRatio returns the least share of full speed that this server has: below 1 after a cold start.
+func (p *Policy) warmupRatio() float64 {
+	if !p.cfg.Cold || p.cfg.Rules.RampTime <= 0 {
 		return 1
 	}
-	return min(1, p.s.Rules.ColdFrom+(1-p.s.Rules.ColdFrom)*(p.now-p.started)/p.s.Rules.RampTime)
+	return min(1, p.cfg.Rules.ColdFrom+(1-p.cfg.Rules.ColdFrom)*(p.now-p.started)/p.cfg.Rules.RampTime)
 }
 
-// crowd is the most requests that are ever put on the cores: a ceiling, scaled while cold.
-func (p *Policy) crowd() float64 {
-	return max(1, crowdShare*(1+(p.s.Rules.FallMultiple-1)*p.warm())*p.cores)
+// maxRunning returns the ceiling on requests that are in progress. It is lower while the server is cold.
+func (p *Policy) maxRunning() float64 {
+	return max(1, maxRunningRatio*(1+(p.cfg.Rules.FallMultiple-1)*p.warmupRatio())*p.cores)
 }
 
-// move brings a request to a phase, in which it takes so much memory. It is in the hold no more.
-func (p *Policy) move(r *request, to phase, kb float64) {
-	p.count[r.phase]--
-	p.count[to]++
-	p.kb += kb - r.kb
-	r.phase, r.kb = to, kb
-	if r.place.Remove(); to == waiting {
-		p.queue = append(p.queue, r)
+// setPhase moves a request to another phase, in which it takes kb of memory, and removes it from the hold.
+func (p *Policy) setPhase(r *request, to phase, kb float64) {
+	p.phaseCount[r.phase]--
+	p.phaseCount[to]++
+	p.memoryKB += kb - r.countedKB
+	r.phase, r.countedKB = to, kb
+	if r.holdItem.Remove(); to == awaitingCall {
+		p.callQueue = append(p.callQueue, r)
 	}
 }
 
-// live counts those that were started and are not over, here and beside.
-func (p *Policy) live() int {
-	return p.count[running] + p.count[waiting] + p.count[calling] + p.beside.InProgress
+// startedCount returns the number of requests that were started and have not ended, in this process and in
+// the other one.
+func (p *Policy) startedCount() int {
+	return p.phaseCount[running] + p.phaseCount[awaitingCall] + p.phaseCount[calling] +
+		p.otherProcess.InProgress
 }
 
-func (p *Policy) used() float64 { return p.kb + float64(p.keys.Len())*p.s.EntryKB + p.beside.MemoryKB }
+// usedMemory returns the memory of all requests and key entries, and that of the other process.
+func (p *Policy) usedMemory() float64 {
+	return p.memoryKB + float64(p.keyHeap.Len())*p.cfg.EntryKB + p.otherProcess.MemoryKB
+}
 
-// advance moves the integrals up to now. Disk waits show in the gauge only: extra may be negative.
+// advance moves the clock and all integrals over time to now. Runs that wait for the disk are counted as
+// running but do not show in the gauge of runnable work, so otherRunnable may be negative.
 func (p *Policy) advance(now float64) {
-	on := float64(p.count[running])
-	p.period.fullest = max(p.period.fullest, on)
+	runs := float64(p.phaseCount[running])
+	p.period.maxRunning = max(p.period.maxRunning, runs)
 	dt := now - p.now
-	share := dt * min(1, p.cores/max(1, on+p.extra))
-	p.service += share
-	p.period.ran += on * share
-	p.spent += on * share * p.warm()
-	out := float64(len(p.lingers) + p.count[calling])
-	p.callDebt = max(0, p.callDebt+(out-callShare*p.s.CallShare)*dt)
+	coreTime := dt * min(1, p.cores/max(1, runs+p.otherRunnable))
+	p.serviceTime += coreTime
+	p.period.coreTime += runs * coreTime
+	p.recentCoreTime += runs * coreTime * p.warmupRatio()
+	outstandingCalls := float64(len(p.lingerEnds) + p.phaseCount[calling])
+	p.callDebt = max(0, p.callDebt+(outstandingCalls-usableCallRatio*p.cfg.CallShare)*dt)
 	p.now = now
-	for len(p.lingers) > 0 && p.lingers[0] <= now {
-		p.lingers = p.lingers[1:]
+	for len(p.lingerEnds) > 0 && p.lingerEnds[0] <= now {
+		p.lingerEnds = p.lingerEnds[1:]
 	}
-	for r, ok := p.keys.Pop(now); ok; r, ok = p.keys.Pop(now) {
-		p.drop(r)
+	for r, ok := p.keyHeap.Pop(now); ok; r, ok = p.keyHeap.Pop(now) {
+		p.forgetIfDone(r)
 	}
 }
 
-// drop forgets a request about which nothing more can come.
-func (p *Policy) drop(r *request) {
-	if r.phase == over && !r.entry.Queued() {
-		delete(p.reqs, r.ID)
+// forgetIfDone deletes a request that is finished and has no entry in the key table.
+func (p *Policy) forgetIfDone(r *request) {
+	if r.phase == finished && !r.keyEntry.Queued() {
+		delete(p.requests, r.ID)
 	}
 }
 
-func (p *Policy) poll() {
-	p.pollAt = p.now + leasePeriod/pollsALease
-	p.do(Wake{At: p.pollAt, Token: 1})
+// schedulePoll asks for a timer at the next reading of the gauges.
+func (p *Policy) schedulePoll() {
+	p.pollAt = p.now + limitPeriodMs/pollsPerPeriod
+	p.emit(Wake{At: p.pollAt, Token: 1})
 }
 
-func (p *Policy) timer(e Timer) {
+// onTimer reads the gauges and renews the limit when it is time. Only timers with token 1 are for the gauges.
+func (p *Policy) onTimer(e Timer) {
 	if e.Token != 1 {
 		return
 	}
-	if late := p.now - p.pollAt; late > stallTicks*p.s.Tick {
-		// A stall of the process inflates every latency that spans it; it says nothing about crowding.
-		p.stalled += late
-		p.service -= late * min(1, p.cores/max(1, float64(p.count[running])+p.extra))
+	if late := p.now - p.pollAt; late > stallTicks*p.cfg.Tick {
+		// A stall of the process inflates every latency that spans it, but does not mean overload.
+		p.stalledMs += late
+		p.serviceTime -= late * min(1, p.cores/max(1, float64(p.phaseCount[running])+p.otherRunnable))
 	}
 	if g := e.Gauges; g.CPU >= 0 {
-		p.period.busy += g.CPU
+		p.period.utilizationSum += g.CPU
 		p.period.polls++
-		p.extra += (g.Runnable - float64(p.count[running]) - p.extra) / pollsALease * 2
+		p.otherRunnable += (g.Runnable - float64(p.phaseCount[running]) -
+			p.otherRunnable) / pollsPerPeriod * 2
 	}
-	if p.now >= p.leaseAt {
-		p.lease()
+	if p.now >= p.renewAt {
+		p.renewLimit()
 	}
-	p.poll()
+	p.schedulePoll()
 }
 
-// lease renews the limit: the rule of the design, once a period.
-func (p *Policy) lease() {
-	p.leaseAt = p.now + leasePeriod
-	busy := 1.0
+// renewLimit renews the concurrency limit and the statistics behind it, once a period. While cores are idle
+// and the limit was reached, the limit grows. While they are busy it is multiplied by the ratio of base
+// latency to latency, at most 1 and at least minGradient, and its square root is added as headroom; it then
+// grows only if it was reached.
+func (p *Policy) renewLimit() {
+	p.renewAt = p.now + limitPeriodMs
+	utilization := 1.0
 	if p.period.polls > 0 {
-		busy = p.period.busy / p.period.polls
+		utilization = p.period.utilizationSum / p.period.polls
 	}
-	full := p.period.fullest >= math.Floor(p.limit)
+	full := p.period.maxRunning >= math.Floor(p.limit)
 	switch {
-	case busy < idleBelow && full:
-		p.limit *= idleGrowth
-	case busy >= idleBelow && p.period.lat > 0:
-		g := min(1, max(leastGrad, p.period.base/p.period.lat))
-		next := p.limit*g + math.Sqrt(p.limit)
+	case utilization < idleUtilization && full:
+		p.limit *= idleGrowthFactor
+	case utilization >= idleUtilization && p.period.latency > 0:
+		gradient := min(1, max(minGradient, p.period.baseLatency/p.period.latency))
+		next := p.limit*gradient + math.Sqrt(p.limit)
 		if next < p.limit || full {
 			p.limit = next
 		}
 	}
-	if full || busy >= idleBelow && p.period.lat > 0 {
-		p.renewed, p.ruled = p.renewed+1, p.now
+	if full || utilization >= idleUtilization && p.period.latency > 0 {
+		p.renewals, p.renewedAt = p.renewals+1, p.now
 	}
-	p.limit = min(max(p.limit, p.cores), p.crowd())
-	if busy >= 0.5 {
-		p.pace += (min(p.cores, p.period.ran/(leasePeriod*busy)) - p.pace) * leasePeriod / paceSpan
-		p.pace = max(p.pace, p.cores/4)
+	p.limit = min(max(p.limit, p.cores), p.maxRunning())
+	if utilization >= 0.5 {
+		p.effectiveCores += (min(p.cores, p.period.coreTime/(limitPeriodMs*utilization)) -
+			p.effectiveCores) * limitPeriodMs / effectiveCoresSpanMs
+		p.effectiveCores = max(p.effectiveCores, p.cores/4)
 	}
-	// Time spent by all runs over the base cost of those that finished: it sees those that don't end, too.
-	prior := 0.0
+	// The slowdown is the core time of all runs over the base cost of those that finished. It rises also when
+	// runs do not end at all.
+	priorTime := 0.0
 	for _, c := range p.classes {
-		fed := c.prior.N * c.prior.N / max(1, c.prior.N+c.base.N)
-		prior = max(prior, (slowPrior+fed)*c.at(c.base.X, p.speed()))
+		priorRuns := c.priorCost.N * c.priorCost.N / max(1, c.priorCost.N+c.cost.N)
+		priorTime = max(priorTime, (slowdownPriorRuns+priorRuns)*c.predictCost(c.cost.X, p.priorScale()))
 	}
-	if prior > 0 {
-		p.slow = min(max((p.spent+prior)/(p.done+prior), 1.0/slowMost), slowMost)
+	if priorTime > 0 {
+		p.slowdown = min(max((p.recentCoreTime+priorTime)/(p.recentBaseTime+priorTime), 1.0/maxSlowdown),
+			maxSlowdown)
 	}
-	fade := math.Exp(-leasePeriod / slowSpan)
-	p.spent, p.done = p.spent*fade, p.done*fade
-	decay := math.Exp(-leasePeriod / classSpan)
+	slowdownDecay := math.Exp(-limitPeriodMs / slowdownSpanMs)
+	p.recentCoreTime, p.recentBaseTime = p.recentCoreTime*slowdownDecay, p.recentBaseTime*slowdownDecay
+	demandDecay := math.Exp(-limitPeriodMs / classShareSpanMs)
 	for i := range p.classes {
-		p.classes[i].asked *= decay
+		p.classes[i].demand *= demandDecay
 	}
-	if p.period.callN > 0 {
-		g := min(1, max(leastGrad, p.callMin*p.period.callN/p.period.callLat))
-		p.callLimit = p.callLimit*g + math.Sqrt(p.callLimit)
+	if p.period.calls > 0 {
+		gradient := min(1, max(minGradient, p.baseCallLatency*p.period.calls/p.period.callLatency))
+		p.callLimit = p.callLimit*gradient + math.Sqrt(p.callLimit)
 	}
-	p.callLimit = min(max(1, p.callLimit), max(1, p.s.CallShare))
-	p.busy += (busy - p.busy) * leasePeriod / pressSpan
-	p.press += (p.period.offered/leasePeriod/p.pace - p.press) * leasePeriod / pressSpan
+	p.callLimit = min(max(1, p.callLimit), max(1, p.cfg.CallShare))
+	p.utilization += (utilization - p.utilization) * limitPeriodMs / loadSpanMs
+	p.offeredLoad += (p.period.offeredWork/limitPeriodMs/p.effectiveCores -
+		p.offeredLoad) * limitPeriodMs / loadSpanMs
 	p.period = period{}
-	p.connections()
+	p.updateIdleTimeout()
 }
 
+// quotaRate returns this server's part of a tenant's quota, in requests per second.
 func (p *Policy) quotaRate(tenant int) float64 {
-	return p.s.Tenants[tenant].QuotaPerSecond / max(1, float64(p.s.Servers))
+	return p.cfg.Tenants[tenant].QuotaPerSecond / max(1, float64(p.cfg.Servers))
 }
 
-// expect sets what a request is expected to cost here and to earn for it.
-func (p *Policy) expect(r *request) {
-	c := &p.classes[r.Class]
-	cost := c.at(r.Work, p.speed()) * p.slow
-	if c.base.N < fitPull && (c.base.N == 0 || c.prior.N > 0) {
-		// A prior must not keep a class from showing what it takes.
-		usual := cmp.Or(r.Work, p.s.Classes[r.Class].Aim/priorCost)
-		cost = min(cmp.Or(cost, usual), max(usual, c.base.Predict(r.Work, fitPull)*p.slow))
-	}
-	r.cost = max(cost/p.warm(), p.s.Tick, 1e-3)
+// estimateRequest sets the expected cost of a request on this server and its value, the worth per cost.
+func (p *Policy) estimateRequest(r *request) {
+	stats := &p.classes[r.Class]
+	cost := stats.predictCost(r.Work, p.priorScale()) * p.slowdown
+	if stats.cost.N < proportionalRuns && (stats.cost.N == 0 || stats.priorCost.N > 0) {
+		// A prior that overestimates a class must not keep it from running, or its cost is never measured.
+		fallback := cmp.Or(r.Work, p.cfg.Classes[r.Class].Aim/defaultCostDivisor)
+		cost = min(cmp.Or(cost, fallback),
+			max(fallback, stats.cost.Predict(r.Work, proportionalRuns)*p.slowdown))
+	}
+	r.cost = max(cost/p.warmupRatio(), p.cfg.Tick, 1e-3)
 	worth := p.worth(r)
-	if r.Tenant < len(p.quota) && p.quota[r.Tenant] < 1 && p.quotaRate(r.Tenant) > 0 {
-		worth *= p.s.OverShareWorth
+	if r.Tenant < len(p.quotaTokens) && p.quotaTokens[r.Tenant] < 1 && p.quotaRate(r.Tenant) > 0 {
+		worth *= p.cfg.OverShareWorth
 	}
 	r.value = worth / r.cost
 }
 
+// worth returns what a timely answer to the request earns.
 func (p *Policy) worth(r *request) float64 {
-	w := p.s.Classes[r.Class].Worth
-	if p.s.WorthByWork && r.Work > 0 {
+	w := p.cfg.Classes[r.Class].Worth
+	if p.cfg.WorthByWork && r.Work > 0 {
 		w *= r.Work
 	}
 	return w
 }
 
-func (p *Policy) arrive(a Arrival) {
-	if a.Class < 0 || a.Class >= len(p.s.Classes) || p.reqs[a.ID] != nil {
+// onArrival answers the request from the one that it repeats, refuses it, or puts it into the hold.
+func (p *Policy) onArrival(a Arrival) {
+	if a.Class < 0 || a.Class >= len(p.cfg.Classes) || p.requests[a.ID] != nil {
 		return
 	}
-	sc := p.s.Classes[a.Class]
+	class := p.cfg.Classes[a.Class]
 	if !a.WorkKnown {
 		a.Work = 0
 	}
 	p.seq++
 	r := &request{Arrival: a, arrived: p.now - a.ReadDelay, seq: p.seq}
-	r.timer.Value, r.entry.Value, r.place.Value = r, r, r
-	p.reqs[a.ID] = r
-	p.count[held]++
-	p.hear(a.Caller)
-	p.unread += (a.ReadDelay - p.unread) / p.cores
-	r.due = r.arrived + sc.Deadline
-	if p.s.PassesDeadline && a.Due > 0 {
+	r.dueEntry.Value, r.keyEntry.Value, r.holdItem.Value = r, r, r
+	p.requests[a.ID] = r
+	p.phaseCount[held]++
+	p.recordCaller(a.Caller)
+	p.readDelay += (a.ReadDelay - p.readDelay) / p.cores
+	r.due = r.arrived + class.Deadline
+	if p.cfg.PassesDeadline && a.Due > 0 {
 		r.due = a.Due
 	}
-	r.due = max(r.due-2*p.s.Tick, p.now)
-	r.aim = min(p.born(r)+min(sc.Aim+sc.AimStretch*a.Work, sc.Deadline)*(1-aimMargin), r.due)
-	// Well within the aim: the client's clock may have started with an earlier try, and a line lasts.
-	r.soon = p.now + holdShare*sc.Aim
-	r.mem = a.MemoryKB * p.s.RunFactor
-	p.classes[a.Class].asked += p.worth(r)
-	p.period.offered += p.classes[a.Class].at(r.Work, p.speed())
-	p.expect(r)
-	if r.RepeatOf != "" && sc.Repeat != Unsafe {
-		o := p.reqs[r.RepeatOf]
-		if !(o != nil && o.phase == over && !o.ran) && p.used()+r.MemoryKB <= memoryShare*p.s.Memory {
-			p.move(r, sharing, r.MemoryKB)
-			if o != nil {
-				o.sharers++
+	r.due = max(r.due-2*p.cfg.Tick, p.now)
+	r.aimAt = min(p.clientStart(r)+
+		min(class.Aim+class.AimStretch*a.Work, class.Deadline)*(1-returnMarginRatio), r.due)
+	// The start must be well within the aim: the client's clock may have started with an earlier try, and a
+	// queue that has built up lasts.
+	r.latestStart = p.now + maxHoldAimRatio*class.Aim
+	r.runningKB = a.MemoryKB * p.cfg.RunFactor
+	p.classes[a.Class].demand += p.worth(r)
+	p.period.offeredWork += p.classes[a.Class].predictCost(r.Work, p.priorScale())
+	p.estimateRequest(r)
+	if r.RepeatOf != "" && class.Repeat != Unsafe {
+		original := p.requests[r.RepeatOf]
+		if !(original != nil && original.phase == finished && !original.ran) &&
+			p.usedMemory()+r.MemoryKB <= usableMemoryRatio*p.cfg.Memory {
+			p.setPhase(r, reusing, r.MemoryKB)
+			if original != nil {
+				original.reusers++
 			}
-			p.due.Set(&r.timer, r.due)
-			p.do(Reuse{r.ID})
-			p.do(Wake{At: r.due})
+			p.dueHeap.Set(&r.dueEntry, r.due)
+			p.emit(Reuse{r.ID})
+			p.emit(Wake{At: r.due})
 			return
 		}
-		if sc.Repeat == Keyed && (o == nil || o.ran) {
+		if class.Repeat == Keyed && (original == nil || original.ran) {
 			p.answer(r, Fail{r.ID})
 			return
 		}
 	}
-	if p.leaving && r.arrived > p.notice+p.s.Rules.DrainGrace {
+	if p.shuttingDown && r.arrived > p.noticeAt+p.cfg.Rules.DrainGrace {
 		p.refuse(r)
 		return
 	}
-	need := r.MemoryKB
-	if sc.Repeat == Keyed {
-		need += p.s.EntryKB
+	neededKB := r.MemoryKB
+	if class.Repeat == Keyed {
+		neededKB += p.cfg.EntryKB
 	}
-	if p.used()+need > memoryShare*p.s.Memory {
+	if p.usedMemory()+neededKB > usableMemoryRatio*p.cfg.Memory {
 		p.refuse(r)
 		return
 	}
-	// One answer to a read may serve others, if there is room for its entry.
-	reads := sc.Repeat == Safe && p.s.Fresh > 0 && r.Key != "" &&
-		p.used()+need+p.s.EntryKB <= memoryShare*p.s.Memory
-	if sc.Repeat == Keyed || reads {
-		p.keep(r)
-	}
-	p.move(r, held, r.MemoryKB)
-	r.place.Key, r.place.Seq, r.place.Attributes = r.aim, r.seq, [3]float64{r.soon, r.aim, r.mem - r.MemoryKB}
-	p.hold.Add(&r.place)
-	p.due.Set(&r.timer, r.due)
-	p.do(Wake{At: r.due})
+	// The answer to a read can serve other reads of the same key if there is memory for its entry.
+	keepRead := class.Repeat == Safe && p.cfg.Fresh > 0 && r.Key != "" &&
+		p.usedMemory()+neededKB+p.cfg.EntryKB <= usableMemoryRatio*p.cfg.Memory
+	if class.Repeat == Keyed || keepRead {
+		p.keepKey(r)
+	}
+	p.setPhase(r, held, r.MemoryKB)
+	r.holdItem.Key, r.holdItem.Seq, r.holdItem.Attributes = r.aimAt, r.seq,
+		[3]float64{r.latestStart, r.aimAt, r.runningKB - r.MemoryKB}
+	p.hold.Add(&r.holdItem)
+	p.dueHeap.Set(&r.dueEntry, r.due)
+	p.emit(Wake{At: r.due})
 }
 
-// born is when the client's clock started, as far as it can be told. Callers wait a usual time for a try; one
-// that is cut short by the end of the client's patience tells its age. It guards against running what is late
-// already, by retries or slow callers; where waits are all different it may take a first try for a late one.
-func (p *Policy) born(r *request) float64 {
-	if !p.s.PassesDeadline || r.Due <= 0 {
+// clientStart estimates when the client's own clock started. Callers wait the same usual time for each try; a
+// try with an unusual, shorter wait is cut short by the client's deadline, so the client started one deadline
+// before it. This guards against running requests that are already too late because of retries or slow
+// callers. Where all waits differ, a first try can be mistaken for a late one.
+func (p *Policy) clientStart(r *request) float64 {
+	if !p.cfg.PassesDeadline || r.Due <= 0 {
 		return r.arrived
 	}
-	c, deadline := &p.classes[r.Class], p.s.Classes[r.Class].Deadline
-	wait, alike := r.Due-r.arrived, 0
-	for _, w := range c.waits {
-		if math.Abs(w-wait) < waitsAlike*deadline {
-			alike++
+	stats, deadline := &p.classes[r.Class], p.cfg.Classes[r.Class].Deadline
+	wait, equal := r.Due-r.arrived, 0
+	for _, w := range stats.waits {
+		if math.Abs(w-wait) < equalWaitRatio*deadline {
+			equal++
 		}
 	}
-	c.waits[c.seen%waitsKept] = wait
-	c.seen++
-	if alike >= waitsUsual || c.seen <= waitsKept {
+	stats.waits[stats.waitsSeen%waitWindow] = wait
+	stats.waitsSeen++
+	if equal >= usualWaitCount || stats.waitsSeen <= waitWindow {
 		return r.arrived
 	}
 	return min(r.arrived, r.Due-deadline)
 }
 
-// keep enters a request into the table at reading: its window opened when it reached the server. A read is
-// kept while its answer can come and be fresh.
-func (p *Policy) keep(r *request) {
-	end := r.arrived + p.s.Classes[r.Class].Window + 2*p.s.Tick
-	if p.s.Classes[r.Class].Repeat == Safe {
-		end = r.due + p.s.Fresh
+// keepKey enters a request into the key table. The window is counted from the time at which the request
+// reached the server. A read is kept for as long as its answer can still come and be fresh.
+func (p *Policy) keepKey(r *request) {
+	end := r.arrived + p.cfg.Classes[r.Class].Window + 2*p.cfg.Tick
+	if p.cfg.Classes[r.Class].Repeat == Safe {
+		end = r.due + p.cfg.Fresh
 	}
 	if end <= p.now {
 		return
 	}
-	p.keys.Set(&r.entry, end)
-	p.do(Keep{r.ID, end - p.now})
+	p.keyHeap.Set(&r.keyEntry, end)
+	p.emit(Keep{r.ID, end - p.now})
 }
 
-func (p *Policy) hear(id int) {
-	c := p.byID[id]
-	if c == nil && len(p.heard) >= callersMost {
-		return // numbers are the callers' own choice: they must not fill the memory
+// recordCaller notes a request of a caller.
+func (p *Policy) recordCaller(id int) {
+	c := p.callersByID[id]
+	if c == nil && len(p.callers) >= maxTrackedCallers {
+		return // callers choose their own numbers: these must not exhaust the memory
 	}
 	if c == nil {
 		c = &caller{id: id}
-		p.byID[id] = c
-		p.heard = append(p.heard, c)
-	} else if c.open == 0 {
-		p.idle.AddReturn(p.now-c.last, p.s.KeepAlive, connWorth)
-	}
-	p.sum++
-	p.sq += 2*c.count + 1
-	c.last = p.now
-	c.count++
-	c.open++
+		p.callersByID[id] = c
+		p.callers = append(p.callers, c)
+	} else if c.outstanding == 0 {
+		p.idleCost.AddReturn(p.now-c.lastSeen, p.cfg.KeepAlive, connectionCostRatio)
+	}
+	p.callerRequests++
+	p.callerSquares += 2*c.recentRequests + 1
+	c.lastSeen = p.now
+	c.recentRequests++
+	c.outstanding++
 }
 
-// settle notes that nothing is owed for a request any more.
+// settle marks a request as needing no answer any more.
 func (p *Policy) settle(r *request) {
-	if c := p.byID[r.Caller]; c != nil && !r.settled {
-		c.last = p.now
-		c.open--
+	if c := p.callersByID[r.Caller]; c != nil && !r.settled {
+		c.lastSeen = p.now
+		c.outstanding--
 	}
 	r.settled = true
-	p.due.Remove(&r.timer)
-}
-
-// connections closes idle connections where keeping them costs more than opening new ones: many rare callers
-// fill a table that takes a part of the cores and denies the rest. With few busy callers it closes none.
-// It may hurt where new connections cost much more than assumed.
-func (p *Policy) connections() {
-	costs := p.idle
-	p.sum, p.sq = 0, 0
-	p.heard = slices.DeleteFunc(p.heard, func(c *caller) bool {
-		c.count *= math.Exp(-leasePeriod / callerSpan)
-		if c.open > 0 || p.now-c.last <= callerSpan {
-			p.sum += c.count
-			p.sq += c.count * c.count
+	p.dueHeap.Remove(&r.dueEntry)
+}
+
+// updateIdleTimeout decays the statistics of callers and has the host close idle connections where keeping
+// them costs more than opening new ones: many rare callers fill a connection table that uses a part of the
+// cores, and other callers get no connection. With few busy callers it closes none. It can hurt where new
+// connections cost much more than connectionCostRatio assumes.
+func (p *Policy) updateIdleTimeout() {
+	costs := p.idleCost
+	p.callerRequests, p.callerSquares = 0, 0
+	p.callers = slices.DeleteFunc(p.callers, func(c *caller) bool {
+		c.recentRequests *= math.Exp(-limitPeriodMs / activeCallerMs)
+		if c.outstanding > 0 || p.now-c.lastSeen <= activeCallerMs {
+			p.callerRequests += c.recentRequests
+			p.callerSquares += c.recentRequests * c.recentRequests
 		}
-		if c.open > 0 {
+		if c.outstanding > 0 {
 			return false
 		}
-		costs.AddAbsence(p.now-c.last, p.s.KeepAlive)
-		old := p.now-c.last > max(callerSpan, p.s.KeepAlive)
-		if old {
-			p.idle.AddAbsence(p.now-c.last, p.s.KeepAlive)
-			delete(p.byID, c.id)
+		costs.AddAbsence(p.now-c.lastSeen, p.cfg.KeepAlive)
+		expired := p.now-c.lastSeen > max(activeCallerMs, p.cfg.KeepAlive)
+		if expired {
+			p.idleCost.AddAbsence(p.now-c.lastSeen, p.cfg.KeepAlive)
+			delete(p.callersByID, c.id)
 		}
-		return old
+		return expired
 	})
-	p.idle.Decay(math.Exp(-leasePeriod / max(leasePeriod, p.s.KeepAlive)))
-	if at := max(closeLeast, costs.BestTimeout(p.s.KeepAlive)); at != p.trim && p.s.KeepAlive > 0 {
-		p.trim = at
-		p.do(CloseIdle{at})
+	p.idleCost.Decay(math.Exp(-limitPeriodMs / max(limitPeriodMs, p.cfg.KeepAlive)))
+	if timeout := max(minIdleTimeoutMs, costs.BestTimeout(p.cfg.KeepAlive)); timeout != p.idleTimeout &&
+		p.cfg.KeepAlive > 0 {
+		p.idleTimeout = timeout
+		p.emit(CloseIdle{timeout})
 	}
 }
 
-// answer gives the final answer of a request and forgets what can be forgotten.
-func (p *Policy) answer(r *request, a Action) {
+// answer emits the final answer of a request, unless it is settled, and finishes it if nothing of it is in
+// progress.
+func (p *Policy) answer(r *request, action Action) {
 	if r.settled {
 		return
 	}
 	p.settle(r)
-	p.do(a)
-	if r.phase == held || r.phase == sharing {
+	p.emit(action)
+	if r.phase == held || r.phase == reusing {
 		p.finish(r)
 	}
 }
 
-// finish forgets what is known of a request, but for its key entry.
+// finish ends a request. Its key entry stays if it ran.
 func (p *Policy) finish(r *request) {
-	if o := p.reqs[r.RepeatOf]; o != nil && r.phase == sharing {
-		o.sharers--
+	if original := p.requests[r.RepeatOf]; original != nil && r.phase == reusing {
+		original.reusers--
 	}
-	p.move(r, over, 0)
-	if !r.ran && r.entry.Queued() {
-		p.keys.Remove(&r.entry)
-		p.do(Forget{r.ID})
+	p.setPhase(r, finished, 0)
+	if !r.ran && r.keyEntry.Queued() {
+		p.keyHeap.Remove(&r.keyEntry)
+		p.emit(Forget{r.ID})
 	}
-	p.drop(r)
+	p.forgetIfDone(r)
 }
 
-// refuse turns away a request of the hold. Nothing there ever ran: what was started does not come back to it.
-// The advice is when to come back: a server that leaves or is sick wants nothing for as long as is heeded,
-// one that is full says how long its line lasts, the one turned away included. Where the fleet as a whole is
-// overloaded, a server that sends callers away only makes the others fuller: it asks not to be passed over.
+// refuse rejects a request that never ran; a started request does not return to the hold. RetryAfter is the
+// longest advice that callers heed if the server shuts down or is unhealthy, and otherwise the expected time
+// to drain the hold, including the refused request. If this server is overloaded the whole fleet is taken to
+// be: sending callers to other servers only makes those fuller, so the caller is asked not to retry
+// elsewhere.
 func (p *Policy) refuse(r *request) {
-	leaves := p.leaving && !p.succeeded
-	a := Refuse{ID: r.ID, NoRetryElsewhere: p.press > 1 && p.busy >= busyShare && !leaves}
+	leaving := p.shuttingDown && !p.handedOver
+	refusal := Refuse{ID: r.ID,
+		NoRetryElsewhere: p.offeredLoad > 1 && p.utilization >= busyUtilization && !leaving}
 	switch {
-	case leaves || p.sick:
-		a.RetryAfter = p.s.MaxRetryAfter
-	case !a.NoRetryElsewhere:
-		line := p.hold.Sum(func(like *request) float64 { return like.cost })
-		a.RetryAfter = min(line/p.pace, p.s.MaxRetryAfter)
+	case leaving || p.unhealthy:
+		refusal.RetryAfter = p.cfg.MaxRetryAfter
+	case !refusal.NoRetryElsewhere:
+		holdCost := p.hold.Sum(func(representative *request) float64 { return representative.cost })
+		refusal.RetryAfter = min(holdCost/p.effectiveCores, p.cfg.MaxRetryAfter)
 	}
-	p.answer(r, a)
+	p.answer(r, refusal)
 }
 
-// left is the core time that a started request is expected to need still; long ones tend to be longer.
-func (p *Policy) left(r *request) float64 {
-	used := r.used
+// remainingCost returns the core time that a started request is still expected to need. It is at least a
+// third of the expected cost, because runs that take longer than expected tend to take much longer.
+func (p *Policy) remainingCost(r *request) float64 {
+	coreTime := r.coreTime
 	if r.phase == running {
-		used += p.service - r.service
+		coreTime += p.serviceTime - r.serviceAtStart
 	}
-	return max(r.cost-used, r.cost/3)
+	return max(r.cost-coreTime, r.cost/3)
 }
 
-func (p *Policy) gone(r *request) {
-	if r == nil || r.phase == over {
+// onGone handles a caller that gave up.
+func (p *Policy) onGone(r *request) {
+	if r == nil || r.phase == finished {
 		return
 	}
 	p.settle(r)
 	switch r.phase {
-	case held, sharing:
+	case held, reusing:
 		p.finish(r)
 	case running:
-		p.halt(r)
+		p.stopRun(r)
 	}
 }
 
-// halt stops work that nobody awaits. Keyed work runs on: its repeats live on its answer, as do those of a
-// read that others wait for.
-func (p *Policy) halt(r *request) {
-	if r.phase != running || r.stopped || p.s.Halt == StopNone || p.s.Classes[r.Class].Repeat != Safe ||
-		r.sharers > 0 {
+// stopRun stops a run whose answer nobody waits for. Keyed runs go on, because their repeats get the same
+// answer, and so does a read whose answer other requests wait for.
+func (p *Policy) stopRun(r *request) {
+	if r.phase != running || r.stopSent || p.cfg.Halt == StopNone || p.cfg.Classes[r.Class].Repeat != Safe ||
+		r.reusers > 0 {
 		return
 	}
-	r.stopped = true
-	p.do(Stop{r.ID})
+	r.stopSent = true
+	p.emit(Stop{r.ID})
 }
 
-// offCore books the stretch on the cores that ended.
-func (p *Policy) offCore(r *request, to phase) {
-	r.used += p.service - r.service
-	r.lasted += p.now - p.stalled - r.begun
-	p.move(r, to, r.mem)
-	r.calls = 0
+// leaveCores adds the stretch on the cores that ends now to the totals of the request and moves it to a
+// phase.
+func (p *Policy) leaveCores(r *request, to phase) {
+	r.coreTime += p.serviceTime - r.serviceAtStart
+	r.elapsed += p.now - p.stalledMs - r.stretchStart
+	p.setPhase(r, to, r.runningKB)
+	r.callTries = 0
 }
 
-func (p *Policy) onCore(r *request) {
-	p.move(r, running, r.mem)
-	r.service, r.begun = p.service, p.now-p.stalled
+// enterCores begins a stretch of a request on the cores.
+func (p *Policy) enterCores(r *request) {
+	p.setPhase(r, running, r.runningKB)
+	r.serviceAtStart, r.stretchStart = p.serviceTime, p.now-p.stalledMs
 }
 
-func (p *Policy) start(r *request) {
-	if r.Tenant < len(p.quota) {
-		p.quota[r.Tenant]--
+// startRun starts a held request.
+func (p *Policy) startRun(r *request) {
+	if r.Tenant < len(p.quotaTokens) {
+		p.quotaTokens[r.Tenant]--
 	}
 	p.seq++
 	r.ran, r.seq = true, p.seq
-	if sc := p.s.Classes[r.Class]; sc.LateWorth <= 0 && sc.Repeat == Safe {
-		p.due.Set(&r.timer, min(r.due, math.Nextafter(r.aim, math.Inf(1)))) // late answers earn nothing
+	if class := p.cfg.Classes[r.Class]; class.LateWorth <= 0 && class.Repeat == Safe {
+		// Answers after the aim earn nothing: give up right after it.
+		p.dueHeap.Set(&r.dueEntry, min(r.due, math.Nextafter(r.aimAt, math.Inf(1))))
 	}
-	p.onCore(r)
-	p.do(Run{r.ID})
+	p.enterCores(r)
+	p.emit(Run{r.ID})
 }
 
-func (p *Policy) ended(e Ended) {
-	r := p.reqs[e.ID]
-	if r == nil || r.phase == over || r.phase == held {
+// onEnded handles the end of a run or of a reuse.
+func (p *Policy) onEnded(e Ended) {
+	r := p.requests[e.ID]
+	if r == nil || r.phase == finished || r.phase == held {
 		return
 	}
 	if r.phase == running {
-		p.offCore(r, running)
+		p.leaveCores(r, running)
 	}
 	switch {
-	case r.phase != sharing && (e.Code == OK || r.stopped):
-		p.learn(r, e.Code == OK)
+	case r.phase != reusing && (e.Code == OK || r.stopSent):
+		p.recordRun(r, e.Code == OK)
 	case e.Code == Moot:
-		p.unlearn(r)
+		p.undoArrival(r)
 	}
 	p.settle(r)
 	p.finish(r)
 }
 
-// unlearn takes back what an arrival told of the traffic: what the host could not start may be nobody's.
-func (p *Policy) unlearn(r *request) {
-	p.classes[r.Class].asked = max(0, p.classes[r.Class].asked-p.worth(r))
-	p.period.offered = max(0, p.period.offered-p.classes[r.Class].at(r.Work, p.speed()))
-	if c := p.byID[r.Caller]; c != nil {
-		was := c.count
-		c.count = max(0, was-1)
-		p.sum += c.count - was
-		p.sq += c.count*c.count - was*was
+// undoArrival removes an arrival from the traffic statistics. A request that the host could not start may
+// have no real caller behind it.
+func (p *Policy) undoArrival(r *request) {
+	p.classes[r.Class].demand = max(0, p.classes[r.Class].demand-p.worth(r))
+	p.period.offeredWork = max(0, p.period.offeredWork-p.classes[r.Class].predictCost(r.Work, p.priorScale()))
+	if c := p.callersByID[r.Caller]; c != nil {
+		before := c.recentRequests
+		c.recentRequests = max(0, before-1)
+		p.callerRequests += c.recentRequests - before
+		p.callerSquares += c.recentRequests*c.recentRequests - before*before
 	}
 }
 
-// learn takes the figures of a run: whole ones give costs, stopped ones tell of crowding alone.
-func (p *Policy) learn(r *request, whole bool) {
-	c := &p.classes[r.Class]
-	base, used := &c.base, r.used*p.warm()
-	if c.prior.N > 0 && whole {
-		p.own, p.like = p.own+used, p.like+c.prior.Predict(r.Work, fitPull)
-	} else if base.N == 0 && whole {
-		base.Add(r.Work, used, baseMemory)
-	}
-	usual := c.at(r.Work, p.speed())
-	p.period.base += usual / p.warm()
-	p.period.lat += r.lasted
-	if whole {
-		p.done += usual
-		base.Add(r.Work, used, baseMemory)
-		c.learn, c.runs = p.now, c.runs+1
+// recordRun adds a run to the statistics. Only complete runs count for costs; the latency of stopped runs
+// counts for the limit.
+func (p *Policy) recordRun(r *request, complete bool) {
+	stats := &p.classes[r.Class]
+	cost, coreTime := &stats.cost, r.coreTime*p.warmupRatio()
+	if stats.priorCost.N > 0 && complete {
+		p.ownCoreTime, p.priorCoreTime = p.ownCoreTime+coreTime,
+			p.priorCoreTime+stats.priorCost.Predict(r.Work, proportionalRuns)
+	} else if cost.N == 0 && complete {
+		cost.Add(r.Work, coreTime, costMemoryRuns)
+	}
+	expected := stats.predictCost(r.Work, p.priorScale())
+	p.period.baseLatency += expected / p.warmupRatio()
+	p.period.latency += r.elapsed
+	if complete {
+		p.recentBaseTime += expected
+		cost.Add(r.Work, coreTime, costMemoryRuns)
+		stats.learnedAt, stats.runs = p.now, stats.runs+1
 	}
 }
 
-// Adopt takes what other servers learned in place of what was adopted before; none of it is a measurement.
-// Costs count for N own runs and tell the relation of classes; the scale comes from the first own runs. The
-// limit is a mean of own renewals and the N of the prior, under the ceiling; the rest serves meanwhile.
+// Adopt takes over what other servers learned and replaces what was adopted before. Nothing of it counts as a
+// measurement of this server. The costs weigh as much as N own runs and give the relation between classes;
+// their scale comes from this server's first runs. The limit becomes a weighted mean, by the number of
+// renewals, of the own limit and the adopted one, within the usual bounds. Shares, waits and the base latency
+// of calls are used only as long as this server has none of its own.
 func (p *Policy) Adopt(k Knowledge) {
-	p.own, p.like, p.led = 0, 0, 0
+	p.ownCoreTime, p.priorCoreTime, p.priorTrust = 0, 0, 0
 	for i := range min(len(p.classes), len(k.Classes)) {
-		c, l := &p.classes[i], k.Classes[i]
-		f := l.Cost
-		c.prior = estimate.Regression{N: f.N, X: f.Work, Y: f.Time, XX: f.WorkWork, XY: f.WorkTime}
-		p.led = max(p.led, min(1, c.prior.N/ledRuns))
-		if c.asked == 0 {
-			c.asked = l.Share
+		stats, adopted := &p.classes[i], k.Classes[i]
+		fit := adopted.Cost
+		stats.priorCost = estimate.Regression{N: fit.N, X: fit.Work, Y: fit.Time, XX: fit.WorkWork,
+			XY: fit.WorkTime}
+		p.priorTrust = max(p.priorTrust, min(1, stats.priorCost.N/fullTrustRuns))
+		if stats.demand == 0 {
+			stats.demand = adopted.Share
 		}
-		for fresh := c.seen == c.told; fresh && len(l.Waits) > 0 && c.seen < waitsKept; c.told = c.seen {
-			c.waits[c.seen] = l.Waits[c.seen%len(l.Waits)]
-			c.seen++
+		for noOwn := stats.waitsSeen == stats.waitsAdopted; noOwn && len(adopted.Waits) > 0 &&
+			stats.waitsSeen < waitWindow; stats.waitsAdopted = stats.waitsSeen {
+			stats.waits[stats.waitsSeen] = adopted.Waits[stats.waitsSeen%len(adopted.Waits)]
+			stats.waitsSeen++
 		}
 	}
 	if k.Limit.N > 0 {
-		p.limit += (k.Limit.Value*p.cores - p.limit) * k.Limit.N / (k.Limit.N + p.renewed)
-		p.limit = min(max(p.limit, p.cores), p.crowd())
+		p.limit += (k.Limit.Value*p.cores - p.limit) * k.Limit.N / (k.Limit.N + p.renewals)
+		p.limit = min(max(p.limit, p.cores), p.maxRunning())
 	}
-	if k.BaseCallLatency.N > 0 && p.callLat == 0 {
-		p.callLat, p.callMin = k.BaseCallLatency.Value, k.BaseCallLatency.Value
+	if k.BaseCallLatency.N > 0 && p.callLatency == 0 {
+		p.callLatency, p.baseCallLatency = k.BaseCallLatency.Value, k.BaseCallLatency.Value
 	}
 }
 
-// speed is how much longer the runs here take than the prior says, or 0 before any has ended.
-func (p *Policy) speed() float64 { return p.own / max(p.like, 1e-9) }
+// priorScale returns the ratio of the core time of runs on this server to what the prior predicts for them,
+// or 0 before any run has ended.
+func (p *Policy) priorScale() float64 { return p.ownCoreTime / max(p.priorCoreTime, 1e-9) }
 
-// turns orders what falls due at once.
-var turns = [...]int{sharing: 0, held: 1, running: 2, waiting: 2, calling: 2, over: 3}
+// phaseOrder is the order, by phase, in which requests that fall due in the same step are handled.
+var phaseOrder = [...]int{reusing: 0, held: 1, running: 2, awaitingCall: 2, calling: 2, finished: 3}
 
-// guard answers what falls due and gives up what can earn nothing any more.
-func (p *Policy) guard() {
-	by, all := p.now, []*request(nil)
-	if p.stopping() {
-		by = math.Inf(1)
+// answerDue answers the requests that fall due and gives up those whose answers can earn nothing any more.
+func (p *Policy) answerDue() {
+	until, due := p.now, []*request(nil)
+	if p.stopImminent() {
+		until = math.Inf(1)
 	}
-	for r, ok := p.due.Pop(by); ok; r, ok = p.due.Pop(by) {
-		all = append(all, r)
+	for r, ok := p.dueHeap.Pop(until); ok; r, ok = p.dueHeap.Pop(until) {
+		due = append(due, r)
 	}
-	slices.SortFunc(all, func(a, b *request) int {
-		return cmp.Or(turns[a.phase]-turns[b.phase], a.place.Compare(&b.place), cmp.Compare(a.seq, b.seq))
+	slices.SortFunc(due, func(a, b *request) int {
+		return cmp.Or(phaseOrder[a.phase]-phaseOrder[b.phase], a.holdItem.Compare(&b.holdItem),
+			cmp.Compare(a.seq, b.seq))
 	})
-	for _, r := range all {
+	for _, r := range due {
 		if r.phase == held {
 			p.refuse(r)
 			continue
 		}
 		p.answer(r, Fail{r.ID})
-		p.halt(r)
+		p.stopRun(r)
 	}
 }
 
-// health fails checks while requests wait unread for longer than any aim: all that is read is too late then.
-// It guards against a slow or hanging machine that callers go on choosing. A fleet slow as a whole must
-// not fail checks, or its list would empty: its servers still read more than a sick one does.
-func (p *Policy) health() {
-	if p.leaving {
-		if !p.closed && p.now >= p.closeAt {
-			p.closed = true
-			p.do(Health{Cached: true, Healthy: false})
+// updateHealth makes health checks fail while requests wait unread for longer than the longest aim, because
+// whatever is read then is too late. This guards against a slow or hanging machine that callers go on
+// choosing. If the whole fleet is slow, checks must not fail, or the callers' list of servers would empty:
+// such servers still read more work than a single unhealthy one does.
+func (p *Policy) updateHealth() {
+	if p.shuttingDown {
+		if !p.withdrawn && p.now >= p.withdrawAt {
+			p.withdrawn = true
+			p.emit(Health{Cached: true, Healthy: false})
 		}
 		return
 	}
-	if !p.sick && p.unread > p.aimMost && p.press*p.pace < p.cores/sickPart {
-		p.sick, p.sickTo = true, p.now+sickFor
-		p.do(Health{Cached: true, Healthy: false})
+	if !p.unhealthy && p.readDelay > p.maxAim &&
+		p.offeredLoad*p.effectiveCores < p.cores/unhealthyLoadDivisor {
+		p.unhealthy, p.unhealthyUntil = true, p.now+unhealthyMs
+		p.emit(Health{Cached: true, Healthy: false})
 	}
-	if p.sick && p.now > p.sickTo {
-		p.sick = false
-		p.do(Health{Cached: true, Healthy: !p.away})
+	if p.unhealthy && p.now > p.unhealthyUntil {
+		p.unhealthy = false
+		p.emit(Health{Cached: true, Healthy: !p.drained})
 	}
 }
 
-// needed tells whether the other servers would be too full without this one. Callers hear of its successor
-// seconds late, so one that leaves stays open for most of its grace then.
-func (p *Policy) needed() bool {
-	return p.press*float64(p.s.Servers) > busyShare*float64(p.s.Servers-1)
+// neededByFleet reports whether the other servers would be overloaded without this one. Callers learn of its
+// successor only seconds later, so a needed server stays open for most of its grace time.
+func (p *Policy) neededByFleet() bool {
+	return p.offeredLoad*float64(p.cfg.Servers) > busyUtilization*float64(p.cfg.Servers-1)
 }
 
-func (p *Policy) stopping() bool { return p.leaving && p.now >= p.stopAt-3*p.s.Tick }
+// stopImminent reports whether the stop is so near that everything must be answered now.
+func (p *Policy) stopImminent() bool { return p.shuttingDown && p.now >= p.stopAt-3*p.cfg.Tick }
 
-// admit starts the best of the hold within the limit and refuses at once what can't be answered in time.
+// admit starts the most valuable held requests within the limit, and refuses at once those that cannot be
+// answered in time.
 func (p *Policy) admit() {
-	for i := range p.quota {
-		p.quota[i] = min(p.quota[i]+p.quotaRate(i)*(p.now-p.refresh)/1000, quotaBurst*p.quotaRate(i)+1)
-	}
-	p.refresh = p.now
-	p.hold.Sort(func(like *request) float64 {
-		p.expect(like)
-		return like.value
+	for i := range p.quotaTokens {
+		p.quotaTokens[i] = min(p.quotaTokens[i]+p.quotaRate(i)*(p.now-p.quotaRefilledAt)/1000,
+			quotaBurstSeconds*p.quotaRate(i)+1)
+	}
+	p.quotaRefilledAt = p.now
+	p.hold.Sort(func(representative *request) float64 {
+		p.estimateRequest(representative)
+		return representative.value
 	})
-	ahead, stretch, slots := 0.0, max(1, p.limit/p.cores), math.Floor(p.slots())
-	fits := func(kb float64) bool {
-		return float64(p.count[running]+p.beside.InProgress) < slots && float64(p.live()) < p.crowd() &&
-			p.used()+kb <= memoryShare*p.s.Memory
-	}
-	// lasts tells whether the last of n more is started and answered in time.
-	lasts := func(n, cost, soon, aim float64) bool {
-		start, end := p.now+(ahead+(n-1)*cost)/p.pace, p.now+(ahead+n*cost)/p.pace+cost*stretch
-		return start <= soon && end <= aim && !(p.leaving && end > p.stopAt)
-	}
-	p.hold.Walk(func(like *request, n int, low [3]float64) bool {
-		if fits(low[2]) || !lasts(float64(n), like.cost, low[0], low[1]) {
+	aheadCost, stretch, slots := 0.0, max(1, p.limit/p.cores), math.Floor(p.runSlots())
+	canStart := func(kb float64) bool {
+		return float64(p.phaseCount[running]+p.otherProcess.InProgress) < slots &&
+			float64(p.startedCount()) < p.maxRunning() && p.usedMemory()+kb <= usableMemoryRatio*p.cfg.Memory
+	}
+	// inTime reports whether the last of n further requests of this cost is started and answered in time.
+	inTime := func(n, cost, latestStart, aimAt float64) bool {
+		start, end := p.now+(aheadCost+(n-1)*cost)/p.effectiveCores,
+			p.now+(aheadCost+n*cost)/p.effectiveCores+cost*stretch
+		return start <= latestStart && end <= aimAt && !(p.shuttingDown && end > p.stopAt)
+	}
+	p.hold.Walk(func(representative *request, n int, lowerBounds [3]float64) bool {
+		if canStart(lowerBounds[2]) ||
+			!inTime(float64(n), representative.cost, lowerBounds[0], lowerBounds[1]) {
 			return false
 		}
-		ahead += float64(n) * like.cost
+		aheadCost += float64(n) * representative.cost
 		return true
 	}, func(r *request) {
-		r.cost = r.place.Representative().cost
-		on := float64(p.count[running])
-		switch can := fits(r.mem - r.MemoryKB); {
-		case can && p.now+likely*r.cost*max(1, (on+1+p.extra)/p.cores) <= r.aim:
-			p.start(r)
-		case !can && lasts(1, r.cost, r.soon, r.aim):
-			ahead += r.cost
+		r.cost = r.holdItem.Representative().cost
+		runs := float64(p.phaseCount[running])
+		switch startable := canStart(r.runningKB - r.MemoryKB); {
+		case startable && p.now+medianCostRatio*r.cost*max(1, (runs+1+p.otherRunnable)/p.cores) <= r.aimAt:
+			p.startRun(r)
+		case !startable && inTime(1, r.cost, r.latestStart, r.aimAt):
+			aheadCost += r.cost
 		default:
 			p.refuse(r)
 		}
 	})
 }
 
-// slots is the limit, less when requests wait long to be read: reading shares the cores with the runs, and
-// what is read too late can't be served. It is the one case in which fewer run than there are cores.
-func (p *Policy) slots() float64 {
-	return max(1, p.limit*min(1, 1.25-p.unread/(unreadShare*p.aimLeast)))
+// runSlots returns the limit, reduced while requests wait long to be read: reading shares the cores with the
+// runs, and what is read too late cannot be served. This is the only case in which fewer requests run than
+// there are cores.
+func (p *Policy) runSlots() float64 {
+	return max(1, p.limit*min(1, 1.25-p.readDelay/(readDelayAimRatio*p.minAim)))
 }
 
-// calls makes the calls that requests wait for, within the share of the dependency.
-func (p *Policy) calls() {
-	out := float64(len(p.lingers) + p.count[calling])
-	p.queue = slices.DeleteFunc(p.queue, func(r *request) bool { return r.phase != waiting || r.settled })
-	slices.SortFunc(p.queue, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(a.aim, b.aim), cmp.Compare(a.seq, b.seq))
+// makeCalls makes the calls that requests wait for, within this server's share of the dependency.
+func (p *Policy) makeCalls() {
+	outstanding := float64(len(p.lingerEnds) + p.phaseCount[calling])
+	p.callQueue = slices.DeleteFunc(p.callQueue, func(r *request) bool {
+		return r.phase != awaitingCall || r.settled
+	})
+	slices.SortFunc(p.callQueue, func(a, b *request) int {
+		return cmp.Or(cmp.Compare(a.aimAt, b.aimAt), cmp.Compare(a.seq, b.seq))
 	})
-	p.queue = slices.Compact(p.queue) // one may have come back since the last step
-	for _, r := range p.queue {
-		sc := p.s.Classes[r.Class]
-		usual := p.callLat
-		can := p.s.CallShare <= 0 ||
-			out < max(1, math.Floor(p.callLimit)) && p.callDebt <= 0
-		hopeless := p.now+usual+p.left(r) > r.aim
+	p.callQueue = slices.Compact(p.callQueue) // a request that came back since the last step is in it twice
+	for _, r := range p.callQueue {
+		class := p.cfg.Classes[r.Class]
+		usual := p.callLatency
+		allowed := p.cfg.CallShare <= 0 ||
+			outstanding < max(1, math.Floor(p.callLimit)) && p.callDebt <= 0
+		hopeless := p.now+usual+p.remainingCost(r) > r.aimAt
 		switch {
-		case r.calls >= callTries || (hopeless && sc.SkipWorth > 0):
-			if sc.SkipWorth > 0 {
-				p.do(Skip{r.ID})
-				p.onCore(r)
-			} else if r.calls >= callTries {
+		case r.callTries >= maxCallTries || (hopeless && class.SkipWorth > 0):
+			if class.SkipWorth > 0 {
+				p.emit(Skip{r.ID})
+				p.enterCores(r)
+			} else if r.callTries >= maxCallTries {
 				p.answer(r, Fail{r.ID})
 			}
-		case can:
-			p.move(r, calling, r.mem)
-			r.calls++
-			out++
-			limit := r.due - p.now
+		case allowed:
+			p.setPhase(r, calling, r.runningKB)
+			r.callTries++
+			outstanding++
+			timeout := r.due - p.now
 			if usual > 0 {
-				limit = min(limit, max(callPatience*usual, 10*p.s.Tick))
+				timeout = min(timeout, max(callTimeoutFactor*usual, 10*p.cfg.Tick))
 			}
-			p.do(Call{r.ID, max(limit, p.s.Tick)})
+			p.emit(Call{r.ID, max(timeout, p.cfg.Tick)})
 		}
 	}
 }
 
-func (p *Policy) called(e Called) {
-	r := p.reqs[e.ID]
+// onCalled handles the end of a call.
+func (p *Policy) onCalled(e Called) {
+	r := p.requests[e.ID]
 	if r == nil || r.phase != calling {
 		return
 	}
 	if e.Code == Timeout {
-		p.lingers = append(p.lingers, p.now+p.s.CallLinger)
+		p.lingerEnds = append(p.lingerEnds, p.now+p.cfg.CallLinger)
 	}
 	if e.Code == OK {
-		if p.callLat == 0 {
-			p.callLat, p.callMin = e.Latency, e.Latency
+		if p.callLatency == 0 {
+			p.callLatency, p.baseCallLatency = e.Latency, e.Latency
 		}
-		p.callLat += (e.Latency - p.callLat) / 10
-		p.callMin = min(p.callMin, e.Latency) + (e.Latency-min(p.callMin, e.Latency))/callBase
-		p.period.callLat += e.Latency
-		p.period.callN++
-		p.onCore(r)
+		p.callLatency += (e.Latency - p.callLatency) / 10
+		p.baseCallLatency = min(p.baseCallLatency, e.Latency) +
+			(e.Latency-min(p.baseCallLatency, e.Latency))/baseCallMemory
+		p.period.callLatency += e.Latency
+		p.period.calls++
+		p.enterCores(r)
 		return
 	}
-	p.move(r, waiting, r.mem)
+	p.setPhase(r, awaitingCall, r.runningKB)
 	proven := e.Code == Rejected || e.Code == ConnectFailed || e.Code == Moot
-	if p.s.Classes[r.Class].Repeat != Safe && !proven {
-		r.calls = callTries // it may have taken effect: never call again
+	if p.cfg.Classes[r.Class].Repeat != Safe && !proven {
+		r.callTries = maxCallTries // the call may have taken effect: never repeat it
 	}
 }
 
-// advertise tells callers the credit: the limit over the callers heard lately, by their traffic.
+// advertise tells callers the credit if it changed noticeably.
 func (p *Policy) advertise() {
-	if p.s.CreditMode == CreditNone {
+	if p.cfg.CreditMode == CreditNone {
 		return
 	}
-	v := 0.0
-	if !p.closed {
-		v = p.credit()
+	credit := 0.0
+	if !p.withdrawn {
+		credit = p.credit()
 	}
-	if math.Abs(v-p.said) > 0.05*max(p.said, 0.5) || (v == 0) != (p.said == 0) {
-		p.said = v
-		p.do(Advertise{v})
+	if math.Abs(credit-p.advertised) > 0.05*max(p.advertised, 0.5) || (credit == 0) != (p.advertised == 0) {
+		p.advertised = credit
+		p.emit(Advertise{credit})
 	}
 }
 
-// credit is a caller's share of the room and a part of what is free of it: the demands of few callers come
-// unevenly, and shares alone would turn away at the callers what idle cores could do. Of a full server only
-// the share is left; it falls with the square of what is in hand over the room, so that a line soon goes.
+// credit returns the free value. In window mode it is a caller's share of the room plus a part of the free
+// room: the demand of few callers is uneven, and shares alone would make them withhold requests that idle
+// cores could serve. On a full server only the share is left, and it falls with the square of the requests in
+// hand over the room, so that a queue drains soon.
 func (p *Policy) credit() float64 {
-	callers := max(1, float64(p.s.Callers)/2)
-	if p.sq > 0 {
-		callers = p.sum * p.sum / p.sq
-	}
-	room := min(p.limit*max(p.led, p.warm()), p.feasible()) // a prior knows what is feasible
-	inHand := float64(p.live() + p.count[held])
+	callers := max(1, float64(p.cfg.Callers)/2)
+	if p.callerSquares > 0 {
+		// The effective number of active callers, weighted by their traffic.
+		callers = p.callerRequests * p.callerRequests / p.callerSquares
+	}
+	// With a trusted prior the limit need not be reduced while cold: feasibleRequests bounds the room.
+	room := min(p.limit*max(p.priorTrust, p.warmupRatio()), p.feasibleRequests())
+	inHand := float64(p.startedCount() + p.phaseCount[held])
 	fullness := inHand / max(1, room)
-	switch p.s.CreditMode {
+	switch p.cfg.CreditMode {
 	case CreditShare:
 		return min(1, 1/max(1, fullness))
 	case CreditThreshold:
 		return max(0, 1-1/max(1, fullness))
 	}
-	return min(room, room/callers+freeShare*max(0, room-inHand)) / max(1, fullness*fullness)
+	return min(room, room/callers+freeRoomRatio*max(0, room-inHand)) / max(1, fullness*fullness)
 }
 
-// feasible is how many requests of usual cost can be in hand and still be answered within half of their aim.
-func (p *Policy) feasible() float64 {
-	cost, aim, asked := 0.0, 0.0, 0.0
+// feasibleRequests returns how many requests of usual cost can be in hand and still be answered within half
+// of their aim.
+func (p *Policy) feasibleRequests() float64 {
+	cost, aim, demand := 0.0, 0.0, 0.0
 	for i, c := range p.classes {
-		if base := c.at(max(c.base.X, c.prior.X), p.speed()); base > 0 {
-			cost += c.asked * base * p.slow / p.warm()
-			aim += c.asked * p.s.Classes[i].Aim
-			asked += c.asked
+		if base := c.predictCost(max(c.cost.X, c.priorCost.X), p.priorScale()); base > 0 {
+			cost += c.demand * base * p.slowdown / p.warmupRatio()
+			aim += c.demand * p.cfg.Classes[i].Aim
+			demand += c.demand
 		}
 	}
-	if cost <= 0 || asked <= 0 {
+	if cost <= 0 || demand <= 0 {
 		return p.limit
 	}
-	return max(0.25, (aim/2-asked*p.unread)/cost*p.pace)
+	return max(0.25, (aim/2-demand*p.readDelay)/cost*p.effectiveCores)
 }
--- a/policy_test.go
+++ b/policy_test.go
@@ -160,13 +160,13 @@
 
 func TestLimitFallsWithCrowdedLatencyToTheCores(t *testing.T) {
 	s := newServer(t, nil)
-	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
+	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
 	s.p.limit = 12
 	for range 5 {
 		for n := range 10 {
-			a := arrival(s.p.s.Cores*1000+int(s.now)*20+n, 0, s.now)
+			a := arrival(s.p.cfg.Cores*1000+int(s.now)*20+n, 0, s.now)
 			s.step(a)
-			s.p.reqs[a.ID].begun -= 900 // it took nine times its base
+			s.p.requests[a.ID].stretchStart -= 900 // it took nine times its base
 			s.step(Ended{ID: a.ID, Code: OK})
 		}
 		s.after(500, gauges(1, 12))
@@ -183,34 +183,34 @@
 	s.after(100, gauges(1, 1))
 	s.after(2050, gauges(1, 1)) // a timer due after 50 ms came two seconds late
 	s.step(Ended{ID: id(1), Code: OK})
-	if s.p.period.lat > 200 {
-		t.Fatalf("latency %v counts the stall", s.p.period.lat)
+	if s.p.period.latency > 200 {
+		t.Fatalf("latency %v counts the stall", s.p.period.latency)
 	}
 }
 
 func TestSlownessSeesRunsThatNeverEnd(t *testing.T) {
 	// Incident id1e05b: a server ten times slower kept its old costs, since nothing ended to learn from.
 	s := newServer(t, nil)
-	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
+	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
 	s.busy(4)
 	for range 60 {
 		s.after(50, gauges(1, 4))
 	}
-	if s.p.slow < 5 {
-		t.Fatalf("slowness %v after three seconds without an end", s.p.slow)
+	if s.p.slowdown < 5 {
+		t.Fatalf("slowness %v after three seconds without an end", s.p.slowdown)
 	}
 }
 
 func TestLoneSlowServerFailsChecks(t *testing.T) {
 	// Incident id1e05b: ten times slower, a server did nothing but read what was too late already.
 	s := newServer(t, nil)
-	s.p.classes[0] = class{base: estimate.Regression{N: 100, Y: 100}, asked: 10}
-	s.p.unread, s.p.press = 1500, 0.1
+	s.p.classes[0] = classStats{cost: estimate.Regression{N: 100, Y: 100}, demand: 10}
+	s.p.readDelay, s.p.offeredLoad = 1500, 0.1
 	if got := find[Health](s.after(4)); len(got) != 1 || got[0].Healthy {
 		t.Fatalf("want checks to fail, got %v", got)
 	}
-	s.p.unread = 0
-	if got := find[Health](s.after(sickFor + 1)); len(got) != 1 || !got[0].Healthy {
+	s.p.readDelay = 0
+	if got := find[Health](s.after(unhealthyMs + 1)); len(got) != 1 || !got[0].Healthy {
 		t.Fatalf("want checks to pass again, got %v", got)
 	}
 }
@@ -218,12 +218,12 @@
 func TestOverloadedFleetStaysHealthyAndKeepsRetriesHome(t *testing.T) {
 	// Incident ib8aaf1: refused requests went down the whole list and were read by every server.
 	s := newServer(t, nil)
-	s.p.classes[0] = class{base: estimate.Regression{N: 100, Y: 100}, asked: 10}
-	s.p.slow, s.p.press, s.p.busy = 15, 1.5, 1
+	s.p.classes[0] = classStats{cost: estimate.Regression{N: 100, Y: 100}, demand: 10}
+	s.p.slowdown, s.p.offeredLoad, s.p.utilization = 15, 1.5, 1
 	if got := find[Health](s.after(4)); len(got) != 0 {
 		t.Fatalf("want health unchanged, got %v", got)
 	}
-	s.p.slow = 1
+	s.p.slowdown = 1
 	s.busy(4)
 	for n := range 50 {
 		for _, r := range find[Refuse](s.step(arrival(n, 0, s.now))) {
@@ -238,11 +238,11 @@
 	// cordoba-main big-1: six readers and six runs on six cores, and all that was read was too late.
 	s := newServer(t, nil)
 	s.p.limit = 8
-	if got := s.p.slots(); got != 8 {
+	if got := s.p.runSlots(); got != 8 {
 		t.Fatalf("slots %v with nothing unread", got)
 	}
-	s.p.unread = 600
-	if got := s.p.slots(); got >= 1.5 {
+	s.p.readDelay = 600
+	if got := s.p.runSlots(); got >= 1.5 {
 		t.Fatalf("slots %v with most of the aim spent unread", got)
 	}
 }
@@ -250,12 +250,12 @@
 func TestHoldsOnlyWhatIsAnsweredSoon(t *testing.T) {
 	// Incident ic8b790: a line of three seconds stood for good, though all in it kept their aim by our clock.
 	s := newServer(t, nil)
-	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
+	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
 	s.busy(4)
 	for n := range 40 {
 		s.step(arrival(n, 0, s.now))
 	}
-	if n := s.p.count[held]; n == 0 || float64(n-1)*100/s.p.pace > holdShare*1000 {
+	if n := s.p.phaseCount[held]; n == 0 || float64(n-1)*100/s.p.effectiveCores > maxHoldAimRatio*1000 {
 		t.Fatalf("%d held", n)
 	}
 }
@@ -276,7 +276,7 @@
 		s.Tenants, s.OverShareWorth = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 100}}, 0.1
 	})
 	s.busy(4)
-	s.p.quota[0] = 0
+	s.p.quotaTokens[0] = 0
 	over, in := arrival(1, 0, s.now), arrival(2, 0, s.now)
 	in.Tenant = 1
 	s.step(over, in)
@@ -328,7 +328,7 @@
 
 func TestCallIsSkippedInTimeWhereWorthRemains(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Classes[0].CallsDependency, s.Classes[0].SkipWorth = true, 0.3 })
-	s.p.callLat = 2000 // no call would be back within the aim
+	s.p.callLatency = 2000 // no call would be back within the aim
 	s.step(arrival(1, 0, s.now))
 	if got := find[Skip](s.after(10, AtCall{id(1)})); len(got) != 1 {
 		t.Fatal("want the call skipped")
@@ -370,12 +370,12 @@
 // Without it the other servers would be too full, and callers hear of its successor seconds late.
 func TestLeavingServerThatIsNeededStaysOpen(t *testing.T) {
 	s := newServer(t, nil)
-	s.p.press = 0.7 // of four servers: 0.93 of what the other three can do
+	s.p.offeredLoad = 0.7 // of four servers: 0.93 of what the other three can do
 	if got := s.step(Notice{StopAt: s.now + 3500}); len(find[Health](got))+len(find[Advertise](got)) != 0 {
 		t.Fatalf("want no word at the notice, got %v", got)
 	}
 	s.after(1400, arrival(1, 0, s.now+1400))
-	if v := s.p.said; v <= 0 {
+	if v := s.p.advertised; v <= 0 {
 		t.Fatalf("credit %v within the grace, want some", v)
 	}
 	got := s.after(350) // half of the time to the stop: sooner than nine tenths of the grace
@@ -417,7 +417,7 @@
 	if got := s.p.credit(); got != 1 {
 		t.Fatalf("credit %v, want the limit of 4 over 4 callers", got)
 	}
-	s.p.count[held] += s.p.live() // as many held as run
+	s.p.phaseCount[held] += s.p.startedCount() // as many held as run
 	if got := s.p.credit(); got != 0.25 {
 		t.Fatalf("credit %v with twice the room in hand, want a quarter", got)
 	}
@@ -425,7 +425,7 @@
 
 // Shares alone would turn away at the callers what idle cores could do: demands of few callers come unevenly.
 func TestCreditOffersAPartOfTheFreeRoom(t *testing.T) {
-	for callers, want := range map[int]float64{1: 4, 2: 4.0/2 + freeShare*2} {
+	for callers, want := range map[int]float64{1: 4, 2: 4.0/2 + freeRoomRatio*2} {
 		s := newServer(t, nil)
 		for n := range 2 {
 			a := arrival(n, 0, s.now)
@@ -443,7 +443,7 @@
 	s := newServer(t, nil)
 	s.step(arrival(0, 0, s.now))
 	credit := s.p.credit()
-	for n := range 2 * callersMost {
+	for n := range 2 * maxTrackedCallers {
 		a := arrival(n+1, 0, s.now)
 		a.Caller = n + 1
 		s.step(a)
@@ -452,8 +452,8 @@
 	if got := s.p.credit(); got != credit {
 		t.Errorf("credit %v, %v before", got, credit)
 	}
-	if len(s.p.heard) > callersMost || s.p.period.offered != 0 || len(s.p.reqs) != 1 {
-		t.Errorf("%d callers, %v offered, %d requests", len(s.p.heard), s.p.period.offered, len(s.p.reqs))
+	if len(s.p.callers) > maxTrackedCallers || s.p.period.offeredWork != 0 || len(s.p.requests) != 1 {
+		t.Errorf("%d callers, %v offered, %d requests", len(s.p.callers), s.p.period.offeredWork, len(s.p.requests))
 	}
 }
 
@@ -462,7 +462,7 @@
 		s := newServer(t, func(s *Settings) { s.CreditMode = say })
 		idle := s.p.credit()
 		s.busy(4)
-		s.p.count[held] += s.p.live() // twice the room in hand
+		s.p.phaseCount[held] += s.p.startedCount() // twice the room in hand
 		if full := s.p.credit(); idle != want[0] || full != want[1] {
 			t.Errorf("%s: %v idle and %v full, want %v", say, idle, full, want)
 		}
@@ -475,12 +475,12 @@
 
 func TestColdServerStaysUnderItsLowerCrowd(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Cold = true })
-	cold := s.p.crowd()
+	cold := s.p.maxRunning()
 	if bound := (1 + 5*0.2) * 4; cold >= bound {
 		t.Fatalf("crowd %v when cold, the server dies over %v", cold, bound)
 	}
 	s.after(10000)
-	if warm := s.p.crowd(); warm <= cold || warm >= 24 {
+	if warm := s.p.maxRunning(); warm <= cold || warm >= 24 {
 		t.Fatalf("crowd %v when warm", warm)
 	}
 }
@@ -523,8 +523,8 @@
 			s.after(100, a, gauges(0.5, 1))
 			s.step(Ended{ID: a.ID, Code: OK})
 		}
-		if closed := s.p.trim < 3000; closed != want {
-			t.Errorf("%d callers: idle connections closed after %v ms", callers, s.p.trim)
+		if closed := s.p.idleTimeout < 3000; closed != want {
+			t.Errorf("%d callers: idle connections closed after %v ms", callers, s.p.idleTimeout)
 		}
 	}
 }
@@ -532,8 +532,8 @@
 func TestOverloadDoesNotMakeAServerSick(t *testing.T) {
 	// cordoba-later big-1: unread time under a shared slowness made all servers fail checks, and the list emptied.
 	s := newServer(t, nil)
-	s.p.classes[0] = class{base: estimate.Regression{N: 100, Y: 100}, asked: 10}
-	s.p.unread, s.p.press = 1500, 0.9
+	s.p.classes[0] = classStats{cost: estimate.Regression{N: 100, Y: 100}, demand: 10}
+	s.p.readDelay, s.p.offeredLoad = 1500, 0.9
 	if got := find[Health](s.after(4)); len(got) != 0 {
 		t.Fatalf("want health unchanged, got %v", got)
 	}
@@ -571,7 +571,7 @@
 	// cordoba-later quiet: the mean of long-tailed costs had large writes refused by idle slow machines.
 	for cost, want := range map[float64]int{1200: 1, 1500: 0} {
 		s := newServer(t, nil)
-		s.p.classes[0].base = estimate.Regression{N: 100, Y: cost}
+		s.p.classes[0].cost = estimate.Regression{N: 100, Y: cost}
 		if got := find[Run](s.step(arrival(1, 0, s.now))); len(got) != want {
 			t.Errorf("cost %v within an aim of 1000: %d started, want %d", cost, len(got), want)
 		}
@@ -581,11 +581,11 @@
 func TestSlowReadingLeavesTimeToWait(t *testing.T) {
 	// calc-later: reading alone took an eighth of the aim on slow machines, so nothing was ever held there.
 	s := newServer(t, nil)
-	s.p.classes[0].base = estimate.Regression{N: 100, Y: 100}
+	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
 	s.busy(4)
 	a := arrival(1, 0, s.now)
 	a.ReadDelay = 200
-	if got := find[Refuse](s.step(a)); len(got) != 0 || s.p.count[held] != 1 {
+	if got := find[Refuse](s.step(a)); len(got) != 0 || s.p.phaseCount[held] != 1 {
 		t.Fatalf("want it held, got %v", got)
 	}
 }
@@ -594,7 +594,7 @@
 	// bp-later big-1: disk waits count as cost and kept refusals home with cores half idle.
 	s := newServer(t, nil)
 	s.busy(4)
-	s.p.press, s.p.busy = 1.5, 0.6
+	s.p.offeredLoad, s.p.utilization = 1.5, 0.6
 	for n := range 50 {
 		for _, r := range find[Refuse](s.step(arrival(n, 0, s.now))) {
 			if r.NoRetryElsewhere {
--- a/recorded_test.go
+++ b/recorded_test.go
@@ -117,7 +117,7 @@
 		events = append(events, a)
 	}
 	p.Step(now, events, nil)
-	if got := len(p.reqs); got != n {
+	if got := len(p.requests); got != n {
 		tb.Fatalf("%d in hand, want %d", got, n)
 	}
 	return p, now
@@ -145,7 +145,7 @@
 			buf := []Action(nil)
 			var runs []RequestID
 			for i := range n {
-				if r := p.reqs[id(i)]; r.phase == running {
+				if r := p.requests[id(i)]; r.phase == running {
 					runs = append(runs, r.ID)
 				}
 			}
@@ -195,7 +195,7 @@
 			for refused == 0 {
 				arrive()
 			}
-			b.ReportMetric(float64(len(p.reqs)), "in-hand")
+			b.ReportMetric(float64(len(p.requests)), "in-hand")
 			for b.Loop() {
 				arrive()
 			}
--- a/rules_test.go
+++ b/rules_test.go
@@ -310,10 +310,10 @@
 				h.step(h.events(rate)...)
 			}
 			h.drain(rate)
-			if len(p.heard) > s.Callers || len(p.heard) != len(p.byID) {
-				t.Fatalf("state grows: %d callers of %d", len(p.heard), s.Callers)
+			if len(p.callers) > s.Callers || len(p.callers) != len(p.callersByID) {
+				t.Fatalf("state grows: %d callers of %d", len(p.callers), s.Callers)
 			}
-			if v := p.credit(); math.IsNaN(v) || math.IsInf(v, 0) || math.IsNaN(p.limit+p.slow+p.pace+p.press) {
+			if v := p.credit(); math.IsNaN(v) || math.IsInf(v, 0) || math.IsNaN(p.limit+p.slowdown+p.effectiveCores+p.offeredLoad) {
 				t.Fatalf("credit %v, limit %v", v, p.limit)
 			}
 			for _, q := range h.order {
