--- a/internal/estimate/idle.go
+++ b/internal/estimate/idle.go
@@ -2,40 +2,41 @@
 
 import "math"
 
-// idleSteps is how many idle times are weighed, each half of the one before.
-const idleSteps = 12
+// idleTimeouts is the number of idle timeouts that are compared; each is half of the one before.
+const idleTimeouts = 12
 
-// IdleCost holds what closing idle connections would have cost under each choice of an idle time: keep, keep/2, keep/4
-// and so on, in the time that connections are kept.
-type IdleCost [idleSteps]float64
+// IdleCost holds the cost that each choice of an idle timeout would have had: keep, keep/2, keep/4 and so on. The unit
+// is the time for which an idle connection is kept.
+type IdleCost [idleTimeouts]float64
 
-// AddReturn takes in that a caller came back after a gap. A connection that was closed by then costs worth times keep.
+// AddReturn records that a caller came back after a gap. Reopening a connection that was closed by then costs worth
+// times keep.
 func (c *IdleCost) AddReturn(gap, keep, worth float64) {
-	c.add(gap, keep, worth*keep)
+	c.addGap(gap, keep, worth*keep)
 }
 
-// AddAbsence takes in that a caller has been away for a gap so far.
-func (c *IdleCost) AddAbsence(gap, keep float64) { c.add(gap, keep, 0) }
+// AddAbsence records that a caller has sent nothing for a gap so far.
+func (c *IdleCost) AddAbsence(gap, keep float64) { c.addGap(gap, keep, 0) }
 
-func (c *IdleCost) add(gap, keep, again float64) {
-	at := keep
+func (c *IdleCost) addGap(gap, keep, reopenCost float64) {
+	timeout := keep
 	for i := range c {
-		c[i] += min(gap, at)
-		if gap > at {
-			c[i] += again
+		c[i] += min(gap, timeout)
+		if gap > timeout {
+			c[i] += reopenCost
 		}
-		at /= 2
+		timeout /= 2
 	}
 }
 
-// Decay makes what was taken in count for a part of it.
-func (c *IdleCost) Decay(part float64) {
+// Decay multiplies all recorded costs by a factor.
+func (c *IdleCost) Decay(factor float64) {
 	for i := range c {
-		c[i] *= part
+		c[i] *= factor
 	}
 }
 
-// BestTimeout returns the idle time that costs least, the longest of equals.
+// BestTimeout returns the idle timeout with the lowest cost, the longest one if several are equal.
 func (c *IdleCost) BestTimeout(keep float64) float64 {
 	best := 0
 	for i := range c {
--- a/internal/estimate/regression.go
+++ b/internal/estimate/regression.go
@@ -1,29 +1,30 @@
-// Package estimate holds the statistics that the decision module learns costs with. It decides nothing.
+// Package estimate provides the statistics with which the decision module learns costs: an aging linear regression and
+// the cost of idle timeouts. It contains no policy of its own.
 package estimate
 
-// Regression is an aging straight fit of y by x, kept as the moments of both: N observations, means of x, y, x*x and
-// x*y. Without hints every x is 0 and it is a mean. It is not a mean of ratios: part of the time does not grow with the
-// work, and small hints would make huge ratios.
+// Regression is an aging linear regression of y on x. N is the number of observations; the other fields are the means
+// of x, y, x*x and x*y. Without work hints every x is 0 and the prediction is the mean of y. It is not a mean of the
+// ratios y/x: part of the time does not grow with the work, so small hints would produce huge ratios.
 type Regression struct{ N, X, Y, XX, XY float64 }
 
-// Add takes an observation in; the fit forgets what lies further back than so many observations.
-func (l *Regression) Add(x, y, memory float64) {
-	l.N++
-	w := 1 / min(l.N, memory)
-	l.X += (x - l.X) * w
-	l.Y += (y - l.Y) * w
-	l.XX += (x*x - l.XX) * w
-	l.XY += (x*y - l.XY) * w
+// Add adds an observation. Each observation has a weight of at least 1/memory, so that older ones decay.
+func (r *Regression) Add(x, y, memory float64) {
+	r.N++
+	weight := 1 / min(r.N, memory)
+	r.X += (x - r.X) * weight
+	r.Y += (y - r.Y) * weight
+	r.XX += (x*x - r.XX) * weight
+	r.XY += (x*y - r.XY) * weight
 }
 
-// Predict returns the fit at x, drawn towards proportion while few have been seen: that assumption counts for pull
-// observations.
-func (l *Regression) Predict(x, pull float64) float64 {
-	if l.X <= 0 || x <= 0 {
-		return l.Y
+// Predict returns the expected y at x. The assumption that y is proportional to x counts for pull observations, so that
+// it prevails while there are few real ones.
+func (r *Regression) Predict(x, pull float64) float64 {
+	if r.X <= 0 || x <= 0 {
+		return r.Y
 	}
-	pull /= l.N
-	slope := (l.XY - l.X*l.Y + pull*l.X*l.Y) / (l.XX - l.X*l.X + pull*l.X*l.X)
-	slope = min(max(slope, 0), l.Y/l.X)
-	return l.Y + slope*(x-l.X)
+	pull /= r.N
+	slope := (r.XY - r.X*r.Y + pull*r.X*r.Y) / (r.XX - r.X*r.X + pull*r.X*r.X)
+	slope = min(max(slope, 0), r.Y/r.X)
+	return r.Y + slope*(x-r.X)
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue holds the plain data structures of the decision module: a heap of timed entries and a priority
-// queue of items in groups. They decide nothing. They are not safe for concurrent use.
+// Package queue provides the data structures of the decision module: a heap of timed entries and a priority queue
+// of items in groups. They contain no policy of their own and are not safe for concurrent use.
 package queue
 
 import (
@@ -10,86 +10,89 @@
 	"sort"
 )
 
-// HeapEntry is a place in a Heap; the zero value is in none. It lies inside of what it stands for.
+// HeapEntry is an element of a Heap; the zero value is in no heap. It is usually a field of the struct that Value
+// refers to.
 type HeapEntry[T any] struct {
 	Value T
-	at    float64
-	seq   uint64 // of its setting
-	pos   int    // from 1; 0: in no heap
+	time  float64
+	seq   uint64 // order of the calls of Set
+	pos   int    // index in the heap plus 1; 0: in no heap
 }
 
-// Queued tells whether it is in a heap.
-func (d *HeapEntry[T]) Queued() bool { return d.pos > 0 }
+// Queued reports whether the entry is in a heap.
+func (e *HeapEntry[T]) Queued() bool { return e.pos > 0 }
 
-// Heap holds what falls due, the soonest first, those of one time in the order in which they were set. All but Len and First take time in the logarithm of its size.
+// Heap is a priority queue of entries by time, the earliest first. Entries with the same time are in the order in which
+// they were set. Set, Remove and Pop take time logarithmic in the number of entries.
 type Heap[T any] struct {
-	all entries[T]
-	seq uint64
+	entries entryHeap[T]
+	seq     uint64
 }
 
-// Len returns how many there are.
-func (h *Heap[T]) Len() int { return len(h.all) }
+// Len returns the number of entries.
+func (h *Heap[T]) Len() int { return len(h.entries) }
 
-// First returns the time of the first entry; ok is false if there is none.
-func (h *Heap[T]) First() (at float64, ok bool) {
-	if len(h.all) == 0 {
+// First returns the time of the first entry; ok is false if the heap is empty.
+func (h *Heap[T]) First() (time float64, ok bool) {
+	if len(h.entries) == 0 {
 		return 0, false
 	}
-	return h.all[0].at, true
+	return h.entries[0].time, true
 }
 
-// Set puts an entry in, or moves it to another time.
-func (h *Heap[T]) Set(d *HeapEntry[T], at float64) {
+// Set adds an entry, or moves it to another time if it is in the heap.
+func (h *Heap[T]) Set(e *HeapEntry[T], time float64) {
 	h.seq++
-	d.at, d.seq = at, h.seq
-	if d.Queued() {
-		heap.Fix(&h.all, d.pos-1)
+	e.time, e.seq = time, h.seq
+	if e.Queued() {
+		heap.Fix(&h.entries, e.pos-1)
 	} else {
-		heap.Push(&h.all, d)
+		heap.Push(&h.entries, e)
 	}
 }
 
-// Remove takes an entry out, if it is in.
-func (h *Heap[T]) Remove(d *HeapEntry[T]) {
-	if d.Queued() {
-		heap.Remove(&h.all, d.pos-1)
+// Remove removes an entry if it is in the heap.
+func (h *Heap[T]) Remove(e *HeapEntry[T]) {
+	if e.Queued() {
+		heap.Remove(&h.entries, e.pos-1)
 	}
 }
 
-// Pop takes out the first entry if it falls due by a time.
-func (h *Heap[T]) Pop(by float64) (what T, ok bool) {
-	if len(h.all) == 0 || h.all[0].at > by {
-		return what, false
+// Pop removes the first entry and returns its value if its time is not after until; ok is false otherwise.
+func (h *Heap[T]) Pop(until float64) (value T, ok bool) {
+	if len(h.entries) == 0 || h.entries[0].time > until {
+		return value, false
 	}
-	return heap.Pop(&h.all).(*HeapEntry[T]).Value, true
+	return heap.Pop(&h.entries).(*HeapEntry[T]).Value, true
 }
 
-type entries[T any] []*HeapEntry[T]
+// entryHeap implements heap.Interface and keeps the positions of the entries.
+type entryHeap[T any] []*HeapEntry[T]
 
-func (e entries[T]) Len() int { return len(e) }
-func (e entries[T]) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (e entryHeap[T]) Len() int { return len(e) }
+func (e entryHeap[T]) Less(i, j int) bool {
+	return e[i].time < e[j].time || e[i].time == e[j].time && e[i].seq < e[j].seq
 }
-func (e entries[T]) Swap(i, j int) {
+func (e entryHeap[T]) Swap(i, j int) {
 	e[i], e[j] = e[j], e[i]
 	e[i].pos, e[j].pos = i+1, j+1
 }
-func (e *entries[T]) Push(x any) {
-	d := x.(*HeapEntry[T])
-	*e = append(*e, d)
-	d.pos = len(*e)
+func (e *entryHeap[T]) Push(x any) {
+	entry := x.(*HeapEntry[T])
+	*e = append(*e, entry)
+	entry.pos = len(*e)
 }
-func (e *entries[T]) Pop() any {
+func (e *entryHeap[T]) Pop() any {
 	last := len(*e) - 1
-	d := (*e)[last]
-	(*e)[last] = nil // it must not be kept from the collector
+	entry := (*e)[last]
+	(*e)[last] = nil // allow the entry to be garbage collected
 	*e = (*e)[:last]
-	d.pos = 0
-	return d
+	entry.pos = 0
+	return entry
 }
 
-// Item is a place in a line; the zero value is in none. Key orders a line, Seq those of one key; a line knows
-// lower bounds of the Attributes.
+// Item is an element of a group of a Grouped queue; the zero value is in no group. Items of a group are ordered by Key,
+// and by Seq where the keys are equal. The group keeps lower bounds of the Attributes.
 type Item[T any] struct {
 	Value      T
 	Key        float64
@@ -99,218 +102,226 @@
 	block *block[T]
 }
 
-// Queued tells whether it is in a line.
-func (p *Item[T]) Queued() bool { return p.block != nil }
+// Queued reports whether the item is in a group.
+func (i *Item[T]) Queued() bool { return i.block != nil }
 
-// Representative returns the one that stands for its line.
-func (p *Item[T]) Representative() T { return p.block.line.like }
+// Representative returns the value that represents the group of the item, which must be in one.
+func (i *Item[T]) Representative() T { return i.block.group.representative }
 
-// Compare orders places by their lines in a hold, and within a line; those in no line come last and are all alike.
-func (p *Item[T]) Compare(o *Item[T]) int {
-	if p.block == nil || o.block == nil {
-		return cmp.Compare(rank(p), rank(o))
+// Compare orders items by the rank of their groups as of the last Sort, then by Key and Seq. Items in no group come
+// last and are equal to each other.
+func (i *Item[T]) Compare(other *Item[T]) int {
+	if i.block == nil || other.block == nil {
+		return cmp.Compare(rank(i), rank(other))
 	}
-	return cmp.Or(cmp.Compare(rank(p), rank(o)), p.compare(o))
+	return cmp.Or(cmp.Compare(rank(i), rank(other)), i.compare(other))
 }
 
-func rank[T any](p *Item[T]) int {
-	if p.block == nil {
+// rank returns the rank of the item's group, or the highest number if it is in none.
+func rank[T any](i *Item[T]) int {
+	if i.block == nil {
 		return math.MaxInt
 	}
-	return p.block.line.rank
+	return i.block.group.rank
 }
 
-// Remove takes it out of its line, if it is in one.
-func (p *Item[T]) Remove() {
-	if p.block != nil {
-		p.block.line.remove(p)
+// Remove removes the item from its group, if it is in one.
+func (i *Item[T]) Remove() {
+	if i.block != nil {
+		i.block.group.remove(i)
 	}
 }
 
-func (p *Item[T]) compare(o *Item[T]) int {
-	return cmp.Or(cmp.Compare(p.Key, o.Key), cmp.Compare(p.Seq, o.Seq))
+func (i *Item[T]) compare(other *Item[T]) int {
+	return cmp.Or(cmp.Compare(i.Key, other.Key), cmp.Compare(i.Seq, other.Seq))
 }
 
-// blockMost bounds the places of a block: few enough to walk, many enough to skip.
-const blockMost = 64
+// maxBlockItems is the maximal number of items in a block: small enough to search a block item by item, large enough
+// that skipping a whole block saves time.
+const maxBlockItems = 64
 
+// block is a run of consecutive items of a group that a walk can skip as a whole.
 type block[T any] struct {
-	line   *line[T]
-	places []*Item[T]
-	low    [3]float64
+	group       *group[T]
+	items       []*Item[T]
+	lowerBounds [3]float64 // of each of the Attributes of the items
 }
 
-func (b *block[T]) first() *Item[T] { return b.places[0] }
+func (b *block[T]) first() *Item[T] { return b.items[0] }
 
-// measure sets the lower bounds.
-func (b *block[T]) measure() {
-	b.low = b.first().Attributes
-	for _, p := range b.places[1:] {
-		b.lower(p)
+// computeBounds sets the lower bounds from all items.
+func (b *block[T]) computeBounds() {
+	b.lowerBounds = b.first().Attributes
+	for _, item := range b.items[1:] {
+		b.updateBounds(item)
 	}
 }
 
-func (b *block[T]) lower(p *Item[T]) {
-	for i, v := range p.Attributes {
-		b.low[i] = min(b.low[i], v)
+// updateBounds includes an added item in the lower bounds.
+func (b *block[T]) updateBounds(item *Item[T]) {
+	for i, v := range item.Attributes {
+		b.lowerBounds[i] = min(b.lowerBounds[i], v)
 	}
 }
 
-// line keeps places in order, in blocks that can be passed over as a whole. like is one like them.
-type line[T any] struct {
-	like T
+// group keeps the items of one key in order, in blocks.
+type group[T any] struct {
+	representative T // a value with the same key as the items
 
-	value  float64
-	rank   int
-	n      int
+	value  float64 // as of the last Sort
+	rank   int     // index of the first group of the same value, as of the last Sort
+	size   int     // number of items
 	blocks []*block[T]
 }
 
-// at returns the index of the last block that does not begin after p, or 0.
-func (l *line[T]) at(p *Item[T]) int {
-	return max(0, sort.Search(len(l.blocks), func(i int) bool { return l.blocks[i].first().compare(p) > 0 })-1)
+// blockIndex returns the index of the last block that does not begin after item, or 0.
+func (g *group[T]) blockIndex(item *Item[T]) int {
+	return max(0, sort.Search(len(g.blocks), func(i int) bool { return g.blocks[i].first().compare(item) > 0 })-1)
 }
 
-// add puts in a place that is in no line.
-func (l *line[T]) add(p *Item[T]) {
-	l.n++
-	if len(l.blocks) == 0 {
-		p.block = &block[T]{line: l, places: []*Item[T]{p}, low: p.Attributes}
-		l.blocks = append(l.blocks, p.block)
+// add adds an item that is in no group.
+func (g *group[T]) add(item *Item[T]) {
+	g.size++
+	if len(g.blocks) == 0 {
+		item.block = &block[T]{group: g, items: []*Item[T]{item}, lowerBounds: item.Attributes}
+		g.blocks = append(g.blocks, item.block)
 		return
 	}
-	i := l.at(p)
-	b := l.blocks[i]
-	j, _ := slices.BinarySearchFunc(b.places, p, (*Item[T]).compare)
-	b.places = slices.Insert(b.places, j, p)
-	b.lower(p)
-	p.block = b
-	if len(b.places) <= blockMost {
+	i := g.blockIndex(item)
+	b := g.blocks[i]
+	j, _ := slices.BinarySearchFunc(b.items, item, (*Item[T]).compare)
+	b.items = slices.Insert(b.items, j, item)
+	b.updateBounds(item)
+	item.block = b
+	if len(b.items) <= maxBlockItems {
 		return
 	}
-	half := len(b.places) / 2
-	if i == len(l.blocks)-1 && j == len(b.places)-1 {
-		half = j // most come in order: blocks stay full
+	half := len(b.items) / 2
+	if i == len(g.blocks)-1 && j == len(b.items)-1 {
+		half = j // most items arrive in order: leave the block full
 	}
-	next := &block[T]{line: l, places: slices.Clone(b.places[half:])}
-	clear(b.places[half:])
-	b.places = b.places[:half]
-	for _, o := range next.places {
-		o.block = next
+	next := &block[T]{group: g, items: slices.Clone(b.items[half:])}
+	clear(b.items[half:])
+	b.items = b.items[:half]
+	for _, moved := range next.items {
+		moved.block = next
 	}
-	b.measure()
-	next.measure()
-	l.blocks = slices.Insert(l.blocks, i+1, next)
+	b.computeBounds()
+	next.computeBounds()
+	g.blocks = slices.Insert(g.blocks, i+1, next)
 }
 
-func (l *line[T]) remove(p *Item[T]) {
-	l.n--
-	b := p.block
-	p.block = nil
-	j, _ := slices.BinarySearchFunc(b.places, p, (*Item[T]).compare)
-	i := l.at(p)
-	b.places = slices.Delete(b.places, j, j+1)
-	if len(b.places) == 0 {
-		l.blocks = slices.Delete(l.blocks, i, i+1)
+// remove removes an item of this group.
+func (g *group[T]) remove(item *Item[T]) {
+	g.size--
+	b := item.block
+	item.block = nil
+	j, _ := slices.BinarySearchFunc(b.items, item, (*Item[T]).compare)
+	i := g.blockIndex(item)
+	b.items = slices.Delete(b.items, j, j+1)
+	if len(b.items) == 0 {
+		g.blocks = slices.Delete(g.blocks, i, i+1)
 		return
 	}
-	for k, v := range p.Attributes {
-		if v <= b.low[k] {
-			b.measure()
+	for k, v := range item.Attributes {
+		if v <= b.lowerBounds[k] {
+			b.computeBounds()
 			break
 		}
 	}
 }
 
-// walk visits the places in order. A block is left out if skip says so. A visit may remove the place that it is at, and
-// no other.
-func (l *line[T]) walk(skip func(like T, n int, low [3]float64) bool, visit func(T)) {
-	var buf [blockMost]*Item[T]
-	for i := 0; i < len(l.blocks); {
-		b := l.blocks[i]
-		if !skip(l.like, len(b.places), b.low) {
-			for _, p := range buf[:copy(buf[:], b.places)] {
-				visit(p.Value)
+// walk visits the items in order. It leaves out a block for which skip returns true. The visit of an item may remove
+// that item, but no other.
+func (g *group[T]) walk(skip func(representative T, n int, lowerBounds [3]float64) bool, visit func(T)) {
+	var buf [maxBlockItems]*Item[T]
+	for i := 0; i < len(g.blocks); {
+		b := g.blocks[i]
+		if !skip(g.representative, len(b.items), b.lowerBounds) {
+			for _, item := range buf[:copy(buf[:], b.items)] {
+				visit(item.Value)
 			}
 		}
-		if i < len(l.blocks) && l.blocks[i] == b { // it was not emptied
+		if i < len(g.blocks) && g.blocks[i] == b { // it still has items
 			i++
 		}
 	}
 }
 
-// Grouped keeps what waits in lines: all of a line have the same key, and with it the same value. K tells what they
-// have in common.
+// Grouped is a priority queue of items in groups. All items of a group have the same group key K and therefore the same
+// value, so that it is computed once for each group.
 type Grouped[K comparable, T any] struct {
-	lines []*line[T] // the best first, as of the last Sort
-	byKey map[K]*line[T]
-	key   func(T) K
-	like  func(T) T
+	groups    []*group[T] // by descending value, as of the last Sort
+	byKey     map[K]*group[T]
+	key       func(T) K
+	represent func(T) T
 }
 
-// NewGrouped returns a queue whose items have keys by key; like makes the one that stands for a line from its first.
-func NewGrouped[K comparable, T any](key func(T) K, like func(T) T) *Grouped[K, T] {
-	return &Grouped[K, T]{byKey: map[K]*line[T]{}, key: key, like: like}
+// NewGrouped returns an empty queue. The function key returns the group key of a value; represent makes the
+// representative of a group from the value of its first item.
+func NewGrouped[K comparable, T any](key func(T) K, represent func(T) T) *Grouped[K, T] {
+	return &Grouped[K, T]{byKey: map[K]*group[T]{}, key: key, represent: represent}
 }
 
-// Add puts a place that is in no line into its line. Where that is new it stands last until the next Sort.
-func (h *Grouped[K, T]) Add(p *Item[T]) {
-	k := h.key(p.Value)
-	l := h.byKey[k]
-	if l == nil {
-		l = &line[T]{like: h.like(p.Value), rank: len(h.lines)}
-		h.byKey[k] = l
-		h.lines = append(h.lines, l)
+// Add adds an item that is in no group to the group of its key. A new group comes last until the next Sort.
+func (q *Grouped[K, T]) Add(item *Item[T]) {
+	k := q.key(item.Value)
+	g := q.byKey[k]
+	if g == nil {
+		g = &group[T]{representative: q.represent(item.Value), rank: len(q.groups)}
+		q.byKey[k] = g
+		q.groups = append(q.groups, g)
 	}
-	l.add(p)
+	g.add(item)
 }
 
-// Sort drops lines that are empty and orders the others by their value, the highest first.
-func (h *Grouped[K, T]) Sort(value func(like T) float64) {
-	h.lines = slices.DeleteFunc(h.lines, func(l *line[T]) bool {
-		if l.n == 0 {
-			delete(h.byKey, h.key(l.like))
+// Sort deletes empty groups and orders the others by value, the highest first.
+func (q *Grouped[K, T]) Sort(value func(representative T) float64) {
+	q.groups = slices.DeleteFunc(q.groups, func(g *group[T]) bool {
+		if g.size == 0 {
+			delete(q.byKey, q.key(g.representative))
 			return true
 		}
-		l.value = value(l.like)
+		g.value = value(g.representative)
 		return false
 	})
-	slices.SortStableFunc(h.lines, func(a, b *line[T]) int { return cmp.Compare(b.value, a.value) })
-	for i, l := range h.lines {
-		if l.rank = i; i > 0 && l.value == h.lines[i-1].value {
-			l.rank = h.lines[i-1].rank
+	slices.SortStableFunc(q.groups, func(a, b *group[T]) int { return cmp.Compare(b.value, a.value) })
+	for i, g := range q.groups {
+		if g.rank = i; i > 0 && g.value == q.groups[i-1].value {
+			g.rank = q.groups[i-1].rank
 		}
 	}
 }
 
-// Walk visits all places, line by line as of the last Sort, those of lines of one value by key and number. A block of a
-// line that is alone in its value is left out if skip, which hears what the line is like, how many places the block has
-// and their lower bounds, says so. A visit may remove the place that it is at, and no other.
-func (h *Grouped[K, T]) Walk(skip func(like T, n int, low [3]float64) bool, visit func(T)) {
-	for i, j := 0, 0; i < len(h.lines); i = j {
-		for j = i + 1; j < len(h.lines) && h.lines[j].rank == i; j++ {
+// Walk visits all items, group by group in the order of the last Sort. The items of groups with equal values are merged
+// in the order of Key and Seq. If no other group has the same value, Walk leaves out each block of the group for which
+// skip returns true; skip gets the group's representative, the number of items in the block and their lower bounds. The
+// visit of an item may remove that item, but no other.
+func (q *Grouped[K, T]) Walk(skip func(representative T, n int, lowerBounds [3]float64) bool, visit func(T)) {
+	for i, j := 0, 0; i < len(q.groups); i = j {
+		for j = i + 1; j < len(q.groups) && q.groups[j].rank == i; j++ {
 		}
 		if j == i+1 {
-			h.lines[i].walk(skip, visit)
+			q.groups[i].walk(skip, visit)
 			continue
 		}
 		var all []*Item[T]
-		for _, l := range h.lines[i:j] {
-			for _, b := range l.blocks {
-				all = append(all, b.places...)
+		for _, g := range q.groups[i:j] {
+			for _, b := range g.blocks {
+				all = append(all, b.items...)
 			}
 		}
 		slices.SortStableFunc(all, (*Item[T]).compare)
-		for _, p := range all {
-			visit(p.Value)
+		for _, item := range all {
+			visit(item.Value)
 		}
 	}
 }
 
-// Sum adds up a figure of all that waits.
-func (h *Grouped[K, T]) Sum(of func(like T) float64) (sum float64) {
-	for _, l := range h.lines {
-		sum += float64(l.n) * of(l.like)
+// Sum returns the sum of a quantity over all items; each group's representative stands for its items.
+func (q *Grouped[K, T]) Sum(quantity func(representative T) float64) (sum float64) {
+	for _, g := range q.groups {
+		sum += float64(g.size) * quantity(g.representative)
 	}
 	return sum
 }
