--- a/example_test.go
+++ b/example_test.go
@@ -6,7 +6,7 @@
 	"whinrudder"
 )
 
-// A host drives one request through its life: it is read, started, ends, and the answer goes out.
+// A host passes one request to the policy when it was read, starts it, and reports its end.
 func Example() {
 	policy, err := whinrudder.New(whinrudder.Settings{
 		Servers: 3, Callers: 2, Cores: 4, Memory: 1 << 20, RunFactor: 8, Tick: 4,
@@ -19,7 +19,7 @@
 		return
 	}
 	var actions []whinrudder.Action
-	do := func(now float64, events ...whinrudder.Event) {
+	step := func(now float64, events ...whinrudder.Event) {
 		actions = policy.Step(now, events, actions[:0])
 		for _, a := range actions {
 			switch a := a.(type) {
@@ -32,9 +32,9 @@
 			}
 		}
 	}
-	do(0)
-	do(10, whinrudder.Arrival{ID: "a", Due: 2010, MemoryKB: 20})
-	do(95, whinrudder.Ended{ID: "a", Code: whinrudder.OK, Latency: 85})
+	step(0)
+	step(10, whinrudder.Arrival{ID: "a", Due: 2010, MemoryKB: 20})
+	step(95, whinrudder.Ended{ID: "a", Code: whinrudder.OK, Latency: 85})
 	// Output:
 	// each caller may have 4 out
 	// run a
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -28,7 +28,8 @@
 				h.Remove(&all[i])
 			}
 			if _, queued := times[i]; all[i].Queued() != queued || h.Len() != len(times) {
-				t.Fatalf("entry %d: got Queued %v, want %v; got %d entries, want %d", i, all[i].Queued(), queued, h.Len(), len(times))
+				t.Fatalf("entry %d: got Queued %v, want %v; got %d entries, want %d", i, all[i].Queued(), queued,
+					h.Len(), len(times))
 			}
 		}
 		until := float64(rapid.IntRange(0, 30).Draw(t, "until"))
--- a/ops_test.go
+++ b/ops_test.go
@@ -15,58 +15,58 @@
 	return p
 }
 
-// A drain by call makes checks bad and nothing else: what comes is run with the same credit. A leave on top of it stays
-// bad though operators take the clients back.
-func TestDrainByCallChangesChecksAlone(t *testing.T) {
+// A drain by an operator makes health checks fail and changes nothing else: arriving requests run, and the credit
+// stays. After a Notice the checks stay failing even if the operator ends the drain.
+func TestOperatorDrainChangesOnlyHealthChecks(t *testing.T) {
 	p := newTestPolicy(t)
 	p.Step(0, nil, nil)
-	if diff := cmp.Diff([]Health{{true, false}}, find[Health](p.Step(10, []Event{Drain{true}}, nil))); diff != "" {
+	if diff := cmp.Diff([]Health{{true, false}}, actionsOf[Health](p.Step(10, []Event{Drain{true}}, nil))); diff != "" {
 		t.Error(diff)
 	}
 	a := p.Step(20, []Event{Arrival{ID: "a", Caller: 1, MemoryKB: 10, Due: 5000}}, nil)
-	if len(find[Run](a)) != 1 || len(find[Refuse](a))+len(find[Health](a)) > 0 {
-		t.Error(a)
+	if len(actionsOf[Run](a)) != 1 || len(actionsOf[Refuse](a))+len(actionsOf[Health](a)) > 0 {
+		t.Errorf("got %v, want one Run, no Refuse and no Health", a)
 	}
-	if diff := cmp.Diff([]Health{{true, true}}, find[Health](p.Step(30, []Event{Drain{false}}, nil))); diff != "" {
+	if diff := cmp.Diff([]Health{{true, true}}, actionsOf[Health](p.Step(30, []Event{Drain{false}}, nil))); diff != "" {
 		t.Error(diff)
 	}
 	p.Step(40, []Event{Notice{StopAt: 3000}}, nil)
-	for _, h := range find[Health](p.Step(50, []Event{Drain{true}, Drain{false}}, nil)) {
+	for _, h := range actionsOf[Health](p.Step(50, []Event{Drain{true}, Drain{false}}, nil)) {
 		if h.Healthy && p.withdrawn {
-			t.Error("checks are good though the server leaves")
+			t.Error("got passing health checks while the server shuts down")
 		}
 	}
 }
 
-// Where another process takes over, no caller is sent away: the credit stays, checks are good, refusals carry no advice
-// for a leave, and work whose end is not in sight before the stop is refused.
-func TestSucceededServerSendsNobodyAway(t *testing.T) {
+// If another process takes over, no caller is sent away: the credit stays, health checks pass, refusals carry no
+// RetryAfter, and only work that would not end before the stop is refused.
+func TestHandedOverServerSendsNoCallerAway(t *testing.T) {
 	p := newTestPolicy(t)
 	p.Step(0, nil, nil)
 	a := p.Step(10, []Event{Notice{StopAt: 3000, HandedOver: true}}, nil)
 	for at := 20.0; at < 1500; at += 100 {
 		a = append(a, p.Step(at, nil, nil)...)
 	}
-	if len(find[Health](a)) > 0 {
-		t.Error(find[Health](a))
+	if len(actionsOf[Health](a)) > 0 {
+		t.Error(actionsOf[Health](a))
 	}
-	for _, v := range find[Advertise](a) {
+	for _, v := range actionsOf[Advertise](a) {
 		if v.Credit <= 0 {
-			t.Error("the credit is told as", v.Credit)
+			t.Errorf("got credit %v, want more than 0", v.Credit)
 		}
 	}
 	a = p.Step(1500, []Event{Arrival{ID: "a", Caller: 1, MemoryKB: 10, Due: 9000}}, nil)
-	if len(find[Run](a)) != 1 {
-		t.Error(a)
+	if len(actionsOf[Run](a)) != 1 {
+		t.Errorf("got %v, want one Run", a)
 	}
 	a = p.Step(2980, []Event{Arrival{ID: "b", Caller: 1, MemoryKB: 10, Due: 9000}}, nil)
-	if diff := cmp.Diff([]Refuse{{ID: "b"}}, find[Refuse](a)); diff != "" {
+	if diff := cmp.Diff([]Refuse{{ID: "b"}}, actionsOf[Refuse](a)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Two processes on the same cores run together what one may.
-func TestBesideCountsAgainstTheLimit(t *testing.T) {
+// Two processes on the same cores together run as many requests as one alone may.
+func TestLoadOfTheOtherProcessCountsAgainstTheLimit(t *testing.T) {
 	runs := func(beside Beside) int {
 		p := newTestPolicy(t)
 		p.Step(0, nil, nil)
@@ -75,24 +75,25 @@
 		for _, id := range []RequestID{"a", "b", "c", "d", "e", "f"} {
 			events = append(events, Arrival{ID: id, Caller: 1, MemoryKB: 10, Due: 9000})
 		}
-		n := len(find[Run](p.Step(10, events, nil)))
+		n := len(actionsOf[Run](p.Step(10, events, nil)))
 		if got := p.CurrentLoad(); got.InProgress != n {
-			t.Errorf("%d live are told, %d run here", got.InProgress, n)
+			t.Errorf("got %d requests in progress, want %d", got.InProgress, n)
 		}
 		return n
 	}
 	alone := runs(Beside{})
 	if got := runs(Beside{InProgress: 1}); alone < 2 || got != alone-1 {
-		t.Errorf("%d run beside one, %d alone", got, alone)
+		t.Errorf("got %d runs beside one of the other process and %d alone; want one fewer, and at least 2 alone",
+			got, alone)
 	}
 	if got := runs(Beside{MemoryKB: newTestPolicy(t).cfg.Memory}); got != 0 {
-		t.Errorf("%d run where the memory is full beside", got)
+		t.Errorf("got %d runs while the other process uses all memory, want 0", got)
 	}
 }
 
-// New settings add a class, which is served, and keep what was learned of the others; a place that begins anew knows
-// nothing of the class that had it.
-func TestRetune(t *testing.T) {
+// Reconfigure can add a class, which is then served, and keeps what was learned about the others. An index that is
+// listed as fresh loses what was learned about its previous class.
+func TestReconfigure(t *testing.T) {
 	p := newTestPolicy(t)
 	p.Step(0, nil, nil)
 	p.Step(10, []Event{Arrival{ID: "a", Caller: 1, MemoryKB: 10, Due: 9000}}, nil)
@@ -101,14 +102,14 @@
 	s.Classes = append(append([]Class{}, s.Classes...), s.Classes[0])
 	p.Reconfigure(s, len(s.Classes)-1)
 	a := p.Step(200, []Event{Arrival{ID: "b", Caller: 1, MemoryKB: 10, Due: 9000, Class: len(s.Classes) - 1}}, nil)
-	if len(find[Run](a)) != 1 {
-		t.Error(a)
+	if len(actionsOf[Run](a)) != 1 {
+		t.Errorf("got %v, want one Run", a)
 	}
 	if k := p.Knowledge().Classes; k[0].Cost.N == 0 || k[len(s.Classes)-1].Cost.N != 0 {
-		t.Error(k)
+		t.Errorf("got %v, want runs of the first class and none of the last", k)
 	}
 	p.Reconfigure(s, 0)
 	if k := p.Knowledge().Classes; k[0].Cost.N != 0 {
-		t.Error(k)
+		t.Errorf("got %v, want no runs of the first class", k)
 	}
 }
--- a/policy_test.go
+++ b/policy_test.go
@@ -11,7 +11,7 @@
 	"whinrudder/internal/estimate"
 )
 
-// settings returns a plain server: four cores, one safe class and one keyed class.
+// settings returns the settings of a simple server: four cores, one safe class and one keyed class.
 func settings() Settings {
 	return Settings{
 		Servers: 4, Callers: 2, Cores: 4, Memory: 1 << 20, RunFactor: 8, EntryKB: 16,
@@ -27,9 +27,9 @@
 	}
 }
 
-func id(n int) RequestID { return RequestID(fmt.Sprintf("%016x", n)) }
+func requestID(n int) RequestID { return RequestID(fmt.Sprintf("%016x", n)) }
 
-// server is a Policy with its clock.
+// server is a Policy with a clock.
 type server struct {
 	t   *testing.T
 	p   *Policy
@@ -53,26 +53,27 @@
 
 func (s *server) step(events ...Event) []Action { return s.p.Step(s.now, events, nil) }
 
-func (s *server) after(ms float64, events ...Event) []Action {
+// stepAfter advances the clock and passes events to the policy.
+func (s *server) stepAfter(ms float64, events ...Event) []Action {
 	s.now += ms
 	return s.step(events...)
 }
 
-func arrival(n, class int, now float64) Arrival {
-	return Arrival{ID: id(n), Due: now + 3000, MemoryKB: 20, Class: class}
+func newArrival(n, class int, now float64) Arrival {
+	return Arrival{ID: requestID(n), Due: now + 3000, MemoryKB: 20, Class: class}
 }
 
-// find returns the actions of type T.
-func find[T Action](actions []Action) (out []T) {
+// actionsOf returns the actions of type T.
+func actionsOf[T Action](actions []Action) (found []T) {
 	for _, a := range actions {
 		if v, ok := a.(T); ok {
-			out = append(out, v)
+			found = append(found, v)
 		}
 	}
-	return out
+	return found
 }
 
-func TestNewRefusesSettingsThatMakeNoSense(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Cores":        func(s *Settings) { s.Cores = 0 },
 		"Classes is":   func(s *Settings) { s.Classes = nil },
@@ -89,15 +90,15 @@
 		s := settings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want an error naming %q, got %v", want, err)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
 func TestStartsAnArrivalAtOnce(t *testing.T) {
 	s := newServer(t, nil)
-	if got := find[Run](s.step(arrival(1, 0, s.now))); len(got) != 1 || got[0].ID != id(1) {
-		t.Fatalf("want request 1 started, got %v", got)
+	if got := actionsOf[Run](s.step(newArrival(1, 0, s.now))); len(got) != 1 || got[0].ID != requestID(1) {
+		t.Fatalf("got runs %v, want one of request 1", got)
 	}
 }
 
@@ -106,29 +107,29 @@
 		s := newServer(t, nil)
 		rng := rand.New(rand.NewPCG(7, 7))
 		for n := range 300 {
-			all = append(all, s.after(rng.Float64()*50, arrival(n, n%2, s.now))...)
+			all = append(all, s.stepAfter(rng.Float64()*50, newArrival(n, n%2, s.now))...)
 			if n > 20 {
-				all = append(all, s.step(Ended{ID: id(n - 20), Code: OK})...)
+				all = append(all, s.step(Ended{ID: requestID(n - 20), Code: OK})...)
 			}
 		}
 		return all
 	}
 	if !slices.Equal(run(), run()) {
-		t.Fatal("two lives with the same events and seed differ")
+		t.Fatal("two policies with the same events and seed gave different actions")
 	}
 }
 
-// busy fills the server with n runs that do not end.
-func (s *server) busy(n int) {
+// startRunning starts n requests that do not end.
+func (s *server) startRunning(n int) {
 	s.t.Helper()
 	for i := range n {
-		a := arrival(9000+i, 0, s.now)
+		a := newArrival(9000+i, 0, s.now)
 		a.Due = s.now + 1e6
 		s.step(a)
 	}
 }
 
-func gauges(cpu, runnable float64) Timer {
+func gaugeTimer(cpu, runnable float64) Timer {
 	return Timer{Token: 1, Gauges: Gauges{CPU: cpu, Runnable: runnable}}
 }
 
@@ -136,138 +137,140 @@
 	s := newServer(t, nil)
 	refused, ran := 0, 0
 	for n := range 60 {
-		got := s.step(arrival(n, 0, s.now))
-		refused += len(find[Refuse](got))
-		ran += len(find[Run](got))
+		got := s.step(newArrival(n, 0, s.now))
+		refused += len(actionsOf[Refuse](got))
+		ran += len(actionsOf[Run](got))
 	}
 	if ran != 4 || refused == 0 {
-		t.Fatalf("want 4 runs on 4 cores and refusals in the same instant, got %d and %d", ran, refused)
+		t.Fatalf("got %d runs and %d refusals, want 4 runs on 4 cores and refusals in the same step", ran, refused)
 	}
 }
 
 func TestLimitGrowsOnlyWithIdleCores(t *testing.T) {
 	for cpu, want := range map[float64]bool{0.5: true, 1: false} {
 		s := newServer(t, nil)
-		s.busy(4)
+		s.startRunning(4)
 		for range 30 {
-			s.after(50, gauges(cpu, 4))
+			s.stepAfter(50, gaugeTimer(cpu, 4))
 		}
 		if got := s.p.limit > 4; got != want {
-			t.Errorf("cores busy %v: limit %v, want growth %v", cpu, s.p.limit, want)
+			t.Errorf("utilization %v: limit %v, want growth %v", cpu, s.p.limit, want)
 		}
 	}
 }
 
-func TestLimitFallsWithCrowdedLatencyToTheCores(t *testing.T) {
+func TestLimitFallsToTheCoresWhenLatencyRises(t *testing.T) {
 	s := newServer(t, nil)
 	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
 	s.p.limit = 12
 	for range 5 {
 		for n := range 10 {
-			a := arrival(s.p.cfg.Cores*1000+int(s.now)*20+n, 0, s.now)
+			a := newArrival(s.p.cfg.Cores*1000+int(s.now)*20+n, 0, s.now)
 			s.step(a)
-			s.p.requests[a.ID].stretchStart -= 900 // it took nine times its base
+			s.p.requests[a.ID].stretchStart -= 900 // the run seems to have taken 900 ms longer
 			s.step(Ended{ID: a.ID, Code: OK})
 		}
-		s.after(500, gauges(1, 12))
-		s.after(50, gauges(1, 12))
+		s.stepAfter(500, gaugeTimer(1, 12))
+		s.stepAfter(50, gaugeTimer(1, 12))
 	}
 	if s.p.limit < 4 || s.p.limit > 6 {
-		t.Fatalf("limit %v, want near the 4 cores and never below", s.p.limit)
+		t.Fatalf("got limit %v, want 4 (the cores) to 6", s.p.limit)
 	}
 }
 
-func TestStallOfTheProcessIsNotCrowding(t *testing.T) {
+func TestProcessStallDoesNotCountAsLatency(t *testing.T) {
 	s := newServer(t, nil)
-	s.step(arrival(1, 0, s.now))
-	s.after(100, gauges(1, 1))
-	s.after(2050, gauges(1, 1)) // a timer due after 50 ms came two seconds late
-	s.step(Ended{ID: id(1), Code: OK})
+	s.step(newArrival(1, 0, s.now))
+	s.stepAfter(100, gaugeTimer(1, 1))
+	s.stepAfter(2050, gaugeTimer(1, 1)) // a timer that was due after 50 ms comes two seconds late
+	s.step(Ended{ID: requestID(1), Code: OK})
 	if s.p.period.latency > 200 {
-		t.Fatalf("latency %v counts the stall", s.p.period.latency)
+		t.Fatalf("got latency %v, want at most 200 without the stall", s.p.period.latency)
 	}
 }
 
-func TestSlownessSeesRunsThatNeverEnd(t *testing.T) {
-	// Incident id1e05b: a server ten times slower kept its old costs, since nothing ended to learn from.
+func TestSlowdownCountsRunsThatNeverEnd(t *testing.T) {
+	// A server that becomes ten times slower must notice although no run ends from which it could learn new costs.
 	s := newServer(t, nil)
 	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
-	s.busy(4)
+	s.startRunning(4)
 	for range 60 {
-		s.after(50, gauges(1, 4))
+		s.stepAfter(50, gaugeTimer(1, 4))
 	}
 	if s.p.slowdown < 5 {
-		t.Fatalf("slowness %v after three seconds without an end", s.p.slowdown)
+		t.Fatalf("got slowdown %v after three seconds without an end, want at least 5", s.p.slowdown)
 	}
 }
 
-func TestLoneSlowServerFailsChecks(t *testing.T) {
-	// Incident id1e05b: ten times slower, a server did nothing but read what was too late already.
+func TestSingleSlowServerFailsHealthChecks(t *testing.T) {
+	// A server that is ten times slower than the others does nothing but read requests that are already too late.
 	s := newServer(t, nil)
 	s.p.classes[0] = classStats{cost: estimate.Regression{N: 100, Y: 100}, demand: 10}
 	s.p.readDelay, s.p.offeredLoad = 1500, 0.1
-	if got := find[Health](s.after(4)); len(got) != 1 || got[0].Healthy {
-		t.Fatalf("want checks to fail, got %v", got)
+	if got := actionsOf[Health](s.stepAfter(4)); len(got) != 1 || got[0].Healthy {
+		t.Fatalf("got %v, want failing health checks", got)
 	}
 	s.p.readDelay = 0
-	if got := find[Health](s.after(unhealthyMs + 1)); len(got) != 1 || !got[0].Healthy {
-		t.Fatalf("want checks to pass again, got %v", got)
+	if got := actionsOf[Health](s.stepAfter(unhealthyMs + 1)); len(got) != 1 || !got[0].Healthy {
+		t.Fatalf("got %v, want passing health checks again", got)
 	}
 }
 
-func TestOverloadedFleetStaysHealthyAndKeepsRetriesHome(t *testing.T) {
-	// Incident ib8aaf1: refused requests went down the whole list and were read by every server.
+func TestOverloadedFleetStaysHealthyAndAdvisesAgainstRetryElsewhere(t *testing.T) {
+	// Refused requests must not be retried at every server of an overloaded fleet: each of them would have to read
+	// them.
 	s := newServer(t, nil)
 	s.p.classes[0] = classStats{cost: estimate.Regression{N: 100, Y: 100}, demand: 10}
 	s.p.slowdown, s.p.offeredLoad, s.p.utilization = 15, 1.5, 1
-	if got := find[Health](s.after(4)); len(got) != 0 {
-		t.Fatalf("want health unchanged, got %v", got)
+	if got := actionsOf[Health](s.stepAfter(4)); len(got) != 0 {
+		t.Fatalf("got %v, want no change of health", got)
 	}
 	s.p.slowdown = 1
-	s.busy(4)
+	s.startRunning(4)
 	for n := range 50 {
-		for _, r := range find[Refuse](s.step(arrival(n, 0, s.now))) {
+		for _, r := range actionsOf[Refuse](s.step(newArrival(n, 0, s.now))) {
 			if !r.NoRetryElsewhere || r.RetryAfter > 0 {
-				t.Fatalf("want advice not to go elsewhere and none to wait, got %+v", r)
+				t.Fatalf("got %+v, want NoRetryElsewhere and no RetryAfter", r)
 			}
 		}
 	}
 }
 
-func TestRunsGiveWayToReading(t *testing.T) {
-	// cordoba-main big-1: six readers and six runs on six cores, and all that was read was too late.
+func TestReadDelayReducesRunSlots(t *testing.T) {
+	// Six readers and six runs shared six cores, and every request was too late by the time it was read.
 	s := newServer(t, nil)
 	s.p.limit = 8
 	if got := s.p.runSlots(); got != 8 {
-		t.Fatalf("slots %v with nothing unread", got)
+		t.Fatalf("got %v slots without read delay, want 8", got)
 	}
 	s.p.readDelay = 600
 	if got := s.p.runSlots(); got >= 1.5 {
-		t.Fatalf("slots %v with most of the aim spent unread", got)
+		t.Fatalf("got %v slots with a read delay of most of the aim, want below 1.5", got)
 	}
 }
 
-func TestHoldsOnlyWhatIsAnsweredSoon(t *testing.T) {
-	// Incident ic8b790: a line of three seconds stood for good, though all in it kept their aim by our clock.
+func TestHoldsOnlyRequestsThatCanStartSoon(t *testing.T) {
+	// A queue of three seconds must not become permanent even if all requests in it meet their aim by the server's
+	// clock.
 	s := newServer(t, nil)
 	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
-	s.busy(4)
+	s.startRunning(4)
 	for n := range 40 {
-		s.step(arrival(n, 0, s.now))
+		s.step(newArrival(n, 0, s.now))
 	}
 	if n := s.p.phaseCount[held]; n == 0 || float64(n-1)*100/s.p.effectiveCores > maxHoldAimRatio*1000 {
-		t.Fatalf("%d held", n)
+		t.Fatalf("got %d held requests, want at least 1 and at most %v ms of work", n, maxHoldAimRatio*1000)
 	}
 }
 
-func TestWorthierArrivalGoesFirst(t *testing.T) {
+func TestMoreValuableRequestStartsFirst(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Classes[1].Repeat = Safe; s.Classes[1].Worth = 5 })
-	s.busy(4)
-	s.step(arrival(1, 0, s.now))
-	s.step(arrival(2, 1, s.now))
-	got := find[Run](s.after(100, Ended{ID: id(9000), Code: OK}))
-	if len(got) != 1 || got[0].ID != id(2) {
-		t.Fatalf("want the worthier request 2 started, got %v", got)
+	s.startRunning(4)
+	s.step(newArrival(1, 0, s.now))
+	s.step(newArrival(2, 1, s.now))
+	got := actionsOf[Run](s.stepAfter(100, Ended{ID: requestID(9000), Code: OK}))
+	if len(got) != 1 || got[0].ID != requestID(2) {
+		t.Fatalf("got runs %v, want one of the more valuable request 2", got)
 	}
 }
 
@@ -275,40 +278,40 @@
 	s := newServer(t, func(s *Settings) {
 		s.Tenants, s.OverShareWorth = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 100}}, 0.1
 	})
-	s.busy(4)
+	s.startRunning(4)
 	s.p.quotaTokens[0] = 0
-	over, in := arrival(1, 0, s.now), arrival(2, 0, s.now)
-	in.Tenant = 1
-	s.step(over, in)
-	got := find[Run](s.step(Ended{ID: id(9000), Code: OK}))
-	if len(got) != 1 || got[0].ID != id(2) {
-		t.Fatalf("want the request inside its share, got %v", got)
+	overQuota, withinQuota := newArrival(1, 0, s.now), newArrival(2, 0, s.now)
+	withinQuota.Tenant = 1
+	s.step(overQuota, withinQuota)
+	got := actionsOf[Run](s.step(Ended{ID: requestID(9000), Code: OK}))
+	if len(got) != 1 || got[0].ID != requestID(2) {
+		t.Fatalf("got runs %v, want one of request 2, within its quota", got)
 	}
 }
 
 func TestKeyedRepeatsShareTheFirstAnswer(t *testing.T) {
 	s := newServer(t, nil)
-	first, again := arrival(1, 1, s.now), arrival(2, 1, s.now)
-	again.RepeatOf = id(1)
-	got := s.step(first, again) // in one batch
-	if len(find[Keep](got)) != 1 || len(find[Run](got)) != 1 || len(find[Reuse](got)) != 1 {
-		t.Fatalf("want one kept, one run, one reuse, got %v", got)
+	first, repeat := newArrival(1, 1, s.now), newArrival(2, 1, s.now)
+	repeat.RepeatOf = requestID(1)
+	got := s.step(first, repeat) // in one step
+	if len(actionsOf[Keep](got)) != 1 || len(actionsOf[Run](got)) != 1 || len(actionsOf[Reuse](got)) != 1 {
+		t.Fatalf("got %v, want one Keep, one Run and one Reuse", got)
 	}
-	s.after(100, Ended{ID: id(1), Code: Error}, Ended{ID: id(2), Code: Error})
-	late := arrival(3, 1, s.now)
-	late.RepeatOf = id(1)
-	if got := s.after(100, late); len(find[Run](got)) != 0 || len(find[Refuse](got)) != 0 {
-		t.Fatalf("a repeat of a failed original ran or was refused: %v", got)
+	s.stepAfter(100, Ended{ID: requestID(1), Code: Error}, Ended{ID: requestID(2), Code: Error})
+	late := newArrival(3, 1, s.now)
+	late.RepeatOf = requestID(1)
+	if got := s.stepAfter(100, late); len(actionsOf[Run](got)) != 0 || len(actionsOf[Refuse](got)) != 0 {
+		t.Fatalf("got %v for a repeat of a failed original, want neither Run nor Refuse", got)
 	}
 }
 
 func TestKeyOfARefusedRequestIsForgotten(t *testing.T) {
 	s := newServer(t, nil)
-	s.busy(4)
+	s.startRunning(4)
 	for n := range 60 {
-		got := s.step(arrival(n, 1, s.now))
-		if len(find[Refuse](got)) != len(find[Forget](got)) {
-			t.Fatalf("want the key dropped with the refusal, got %v", got)
+		got := s.step(newArrival(n, 1, s.now))
+		if len(actionsOf[Refuse](got)) != len(actionsOf[Forget](got)) {
+			t.Fatalf("got %v, want one Forget for each Refuse", got)
 		}
 	}
 }
@@ -316,22 +319,22 @@
 func TestCallsAreNotRepeatedUnlessProvenUnrun(t *testing.T) {
 	for code, want := range map[Code]int{Rejected: 1, ConnectFailed: 1, Timeout: 0, Reset: 0} {
 		s := newServer(t, func(s *Settings) { s.Classes[1].CallsDependency = true })
-		s.step(arrival(1, 1, s.now))
-		if got := find[Call](s.after(10, AtCall{id(1)})); len(got) != 1 {
-			t.Fatalf("want a call, got %v", got)
+		s.step(newArrival(1, 1, s.now))
+		if got := actionsOf[Call](s.stepAfter(10, AtCall{requestID(1)})); len(got) != 1 {
+			t.Fatalf("got calls %v, want one", got)
 		}
-		if got := find[Call](s.after(10, Called{id(1), code, 10})); len(got) != want {
-			t.Errorf("after %s: %d calls, want %d", code, len(got), want)
+		if got := actionsOf[Call](s.stepAfter(10, Called{requestID(1), code, 10})); len(got) != want {
+			t.Errorf("after %s: got %d calls, want %d", code, len(got), want)
 		}
 	}
 }
 
 func TestCallIsSkippedInTimeWhereWorthRemains(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Classes[0].CallsDependency, s.Classes[0].SkipWorth = true, 0.3 })
-	s.p.callLatency = 2000 // no call would be back within the aim
-	s.step(arrival(1, 0, s.now))
-	if got := find[Skip](s.after(10, AtCall{id(1)})); len(got) != 1 {
-		t.Fatal("want the call skipped")
+	s.p.callLatency = 2000 // no call would end within the aim
+	s.step(newArrival(1, 0, s.now))
+	if got := actionsOf[Skip](s.stepAfter(10, AtCall{requestID(1)})); len(got) != 1 {
+		t.Fatalf("got skips %v, want one", got)
 	}
 }
 
@@ -339,297 +342,301 @@
 	s := newServer(t, func(s *Settings) {
 		s.Classes[0].CallsDependency, s.CallShare, s.CallShareWindow = true, 2, 5000
 	})
-	out := 0
+	calls := 0
 	for n := range 4 {
-		s.step(arrival(n, 0, s.now))
-		out += len(find[Call](s.step(AtCall{id(n)})))
+		s.step(newArrival(n, 0, s.now))
+		calls += len(actionsOf[Call](s.step(AtCall{requestID(n)})))
 	}
-	if out < 1 || out > 2 {
-		t.Fatalf("%d calls out with a share of 2", out)
+	if calls < 1 || calls > 2 {
+		t.Fatalf("got %d outstanding calls with a share of 2, want 1 or 2", calls)
 	}
 }
 
 func TestDrain(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Classes[0].Aim = 3000 })
-	s.busy(4)
+	s.startRunning(4)
 	got := s.step(Notice{StopAt: s.now + 3000})
-	if h := find[Health](got); len(h) != 1 || h[0].Healthy {
-		t.Fatalf("want health bad, got %v", got)
+	if h := actionsOf[Health](got); len(h) != 1 || h[0].Healthy {
+		t.Fatalf("got %v, want failing health checks", got)
 	}
-	if v := find[Advertise](got); len(v) != 1 || v[0].Credit != 0 {
-		t.Fatalf("want the credit at zero, got %v", got)
+	if v := actionsOf[Advertise](got); len(v) != 1 || v[0].Credit != 0 {
+		t.Fatalf("got %v, want a credit of 0", got)
 	}
-	if got := s.after(2500, arrival(2, 0, s.now+2500)); len(find[Refuse](got)) != 1 {
-		t.Fatalf("want the late arrival refused, got %v", got)
+	if got := s.stepAfter(2500, newArrival(2, 0, s.now+2500)); len(actionsOf[Refuse](got)) != 1 {
+		t.Fatalf("got %v, want the late arrival refused", got)
 	}
-	if got := s.after(490, Timer{}); len(find[Fail](got)) != 4 {
-		t.Fatalf("want all that runs answered before the stop, got %v", got)
+	if got := s.stepAfter(490, Timer{}); len(actionsOf[Fail](got)) != 4 {
+		t.Fatalf("got %v, want all 4 runs answered before the stop", got)
 	}
 }
 
-// Without it the other servers would be too full, and callers hear of its successor seconds late.
-func TestLeavingServerThatIsNeededStaysOpen(t *testing.T) {
+// Without this server the others would be overloaded, and callers learn of its successor seconds later.
+func TestNeededServerStaysOpenDuringShutdown(t *testing.T) {
 	s := newServer(t, nil)
-	s.p.offeredLoad = 0.7 // of four servers: 0.93 of what the other three can do
-	if got := s.step(Notice{StopAt: s.now + 3500}); len(find[Health](got))+len(find[Advertise](got)) != 0 {
-		t.Fatalf("want no word at the notice, got %v", got)
+	s.p.offeredLoad = 0.7 // of four servers: 0.93 of the capacity of the other three
+	if got := s.step(Notice{StopAt: s.now + 3500}); len(actionsOf[Health](got))+len(actionsOf[Advertise](got)) != 0 {
+		t.Fatalf("got %v at the notice, want no change of health or credit", got)
 	}
-	s.after(1400, arrival(1, 0, s.now+1400))
+	s.stepAfter(1400, newArrival(1, 0, s.now+1400))
 	if v := s.p.advertised; v <= 0 {
-		t.Fatalf("credit %v within the grace, want some", v)
+		t.Fatalf("got credit %v within the grace time, want more than 0", v)
 	}
-	got := s.after(350) // half of the time to the stop: sooner than nine tenths of the grace
-	h, v := find[Health](got), find[Advertise](got)
+	got := s.stepAfter(350) // half of the time to the stop, which is earlier than 0.9 of the grace time
+	h, v := actionsOf[Health](got), actionsOf[Advertise](got)
 	if len(h) != 1 || h[0].Healthy || len(v) != 1 || v[0].Credit != 0 {
-		t.Fatalf("want health bad and no credit near the end of the grace, got %v", got)
+		t.Fatalf("got %v near the end of the grace time, want failing health checks and a credit of 0", got)
 	}
 }
 
-func TestMemoryIsCheckedBeforeTaking(t *testing.T) {
+func TestMemoryIsCheckedBeforeStarting(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Memory = 400 }) // two running requests of 160 KB fit
 	ran := 0
 	for n := range 10 {
-		ran += len(find[Run](s.step(arrival(n, 0, s.now))))
+		ran += len(actionsOf[Run](s.step(newArrival(n, 0, s.now))))
 	}
 	if ran != 2 {
-		t.Fatalf("%d runs", ran)
+		t.Fatalf("got %d runs, want 2", ran)
 	}
 }
 
 func TestUnknownAndFinishedRequestsAreIgnored(t *testing.T) {
 	s := newServer(t, nil)
-	s.step(arrival(1, 0, s.now))
-	s.step(Ended{ID: id(1), Code: OK})
-	got := s.after(4, Ended{ID: id(1), Code: OK}, Gone{id(1)}, AtCall{id(7)}, Called{ID: id(8), Code: OK},
-		Ended{ID: id(9), Code: Moot}, Timer{Token: 99})
+	s.step(newArrival(1, 0, s.now))
+	s.step(Ended{ID: requestID(1), Code: OK})
+	got := s.stepAfter(4, Ended{ID: requestID(1), Code: OK}, Gone{requestID(1)}, AtCall{requestID(7)},
+		Called{ID: requestID(8), Code: OK},
+		Ended{ID: requestID(9), Code: Moot}, Timer{Token: 99})
 	if len(got) != 0 {
-		t.Fatalf("want nothing done, got %v", got)
+		t.Fatalf("got %v, want no action", got)
 	}
 }
 
 func TestCreditIsTheLimitOverTheCallers(t *testing.T) {
 	s := newServer(t, nil)
 	for n := range 4 {
-		a := arrival(n, 0, s.now)
+		a := newArrival(n, 0, s.now)
 		a.Caller = n % 4
 		s.step(a)
 	}
 	if got := s.p.credit(); got != 1 {
-		t.Fatalf("credit %v, want the limit of 4 over 4 callers", got)
+		t.Fatalf("got credit %v, want the limit of 4 over 4 callers", got)
 	}
-	s.p.phaseCount[held] += s.p.startedCount() // as many held as run
+	s.p.phaseCount[held] += s.p.startedCount() // as many held as running
 	if got := s.p.credit(); got != 0.25 {
-		t.Fatalf("credit %v with twice the room in hand, want a quarter", got)
+		t.Fatalf("got credit %v with twice the room in hand, want 0.25", got)
 	}
 }
 
-// Shares alone would turn away at the callers what idle cores could do: demands of few callers come unevenly.
-func TestCreditOffersAPartOfTheFreeRoom(t *testing.T) {
+// The demand of few callers is uneven: with shares alone they would withhold requests that idle cores could serve.
+func TestCreditIncludesAShareOfTheFreeRoom(t *testing.T) {
 	for callers, want := range map[int]float64{1: 4, 2: 4.0/2 + freeRoomRatio*2} {
 		s := newServer(t, nil)
 		for n := range 2 {
-			a := arrival(n, 0, s.now)
+			a := newArrival(n, 0, s.now)
 			a.Caller = n % callers
 			s.step(a)
 		}
 		if got := s.p.credit(); got != want {
-			t.Errorf("credit %v with a limit of 4 and 2 of %d callers running, want %v", got, callers, want)
+			t.Errorf("got credit %v with a limit of 4 and 2 runs of %d callers, want %v", got, callers, want)
 		}
 	}
 }
 
-// Whoever invents callers and requests must not shrink the credit of the others, nor fill the memory.
-func TestWhatCouldNotBeStartedTeachesNothing(t *testing.T) {
+// A client that invents callers and requests must neither reduce the credit of the others nor exhaust the memory.
+func TestMootRequestsDoNotChangeTheStatistics(t *testing.T) {
 	s := newServer(t, nil)
-	s.step(arrival(0, 0, s.now))
+	s.step(newArrival(0, 0, s.now))
 	credit := s.p.credit()
 	for n := range 2 * maxTrackedCallers {
-		a := arrival(n+1, 0, s.now)
+		a := newArrival(n+1, 0, s.now)
 		a.Caller = n + 1
 		s.step(a)
-		s.step(Ended{ID: id(n + 1), Code: Moot})
+		s.step(Ended{ID: requestID(n + 1), Code: Moot})
 	}
 	if got := s.p.credit(); got != credit {
-		t.Errorf("credit %v, %v before", got, credit)
+		t.Errorf("got credit %v, want %v as before", got, credit)
 	}
 	if len(s.p.callers) > maxTrackedCallers || s.p.period.offeredWork != 0 || len(s.p.requests) != 1 {
-		t.Errorf("%d callers, %v offered, %d requests", len(s.p.callers), s.p.period.offeredWork, len(s.p.requests))
+		t.Errorf("got %d callers, %v offered work and %d requests, want at most %d, 0 and 1", len(s.p.callers),
+			s.p.period.offeredWork, len(s.p.requests), maxTrackedCallers)
 	}
 }
 
-func TestOtherReadingsOfTheFreeValue(t *testing.T) {
-	for say, want := range map[CreditMode][2]float64{CreditShare: {1, 0.5}, CreditThreshold: {0, 0.5}} {
-		s := newServer(t, func(s *Settings) { s.CreditMode = say })
+func TestCreditInTheOtherModes(t *testing.T) {
+	for mode, want := range map[CreditMode][2]float64{CreditShare: {1, 0.5}, CreditThreshold: {0, 0.5}} {
+		s := newServer(t, func(s *Settings) { s.CreditMode = mode })
 		idle := s.p.credit()
-		s.busy(4)
+		s.startRunning(4)
 		s.p.phaseCount[held] += s.p.startedCount() // twice the room in hand
 		if full := s.p.credit(); idle != want[0] || full != want[1] {
-			t.Errorf("%s: %v idle and %v full, want %v", say, idle, full, want)
+			t.Errorf("%s: got credit %v when idle and %v when full, want %v", mode, idle, full, want)
 		}
 	}
 	s := newServer(t, func(s *Settings) { s.CreditMode = CreditNone })
-	if got := find[Advertise](s.after(50, gauges(1, 4))); len(got) != 0 {
-		t.Errorf("a value is said where none may be: %v", got)
+	if got := actionsOf[Advertise](s.stepAfter(50, gaugeTimer(1, 4))); len(got) != 0 {
+		t.Errorf("got %v in mode none, want no Advertise", got)
 	}
 }
 
-func TestColdServerStaysUnderItsLowerCrowd(t *testing.T) {
+func TestColdServerHasALowerCeiling(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Cold = true })
 	cold := s.p.maxRunning()
 	if bound := (1 + 5*0.2) * 4; cold >= bound {
-		t.Fatalf("crowd %v when cold, the server dies over %v", cold, bound)
+		t.Fatalf("got a ceiling of %v when cold, want below %v, the most that the server survives", cold, bound)
 	}
-	s.after(10000)
+	s.stepAfter(10000)
 	if warm := s.p.maxRunning(); warm <= cold || warm >= 24 {
-		t.Fatalf("crowd %v when warm", warm)
+		t.Fatalf("got a ceiling of %v when warm, want above %v and below 24", warm, cold)
 	}
 }
 
 func TestKeyedRequestIsRefusedIfItsEntryDoesNotFit(t *testing.T) {
 	s := newServer(t, func(s *Settings) { s.Memory, s.EntryKB = 200, 190 })
-	if got := s.step(arrival(1, 1, s.now)); len(find[Refuse](got)) != 1 || len(find[Keep](got)) != 0 {
-		t.Fatalf("want it refused and not kept, got %v", got)
+	if got := s.step(newArrival(1, 1, s.now)); len(actionsOf[Refuse](got)) != 1 || len(actionsOf[Keep](got)) != 0 {
+		t.Fatalf("got %v, want one Refuse and no Keep", got)
 	}
 }
 
-func TestCutShortWaitTellsTheAgeOfATry(t *testing.T) {
-	// calc-later big-2: a third of the retries could not be in time any more, and ran all the same.
+func TestShortWaitRevealsTheAgeOfARetry(t *testing.T) {
+	// Retries that cannot be answered in time any more must not run. Their wait is shorter than the usual one, because
+	// it is cut short by the client's deadline.
 	s := newServer(t, nil)
 	for n := range 20 {
-		a := arrival(n, 0, s.now)
+		a := newArrival(n, 0, s.now)
 		a.Due = s.now + 1200 // the usual wait of a try
 		s.step(a)
 		s.step(Ended{ID: a.ID, Code: OK})
 	}
-	late := arrival(100, 0, s.now)
-	late.Due = s.now + 1500 // what is left of 3000: the client has waited for longer than the aim
-	if got := find[Refuse](s.step(late)); len(got) != 1 {
-		t.Fatal("want the late try refused")
+	late := newArrival(100, 0, s.now)
+	late.Due = s.now + 1500 // the rest of 3000: the client has already waited for longer than the aim
+	if got := actionsOf[Refuse](s.step(late)); len(got) != 1 {
+		t.Fatalf("got refusals %v, want one of the late try", got)
 	}
-	usual := arrival(101, 0, s.now)
+	usual := newArrival(101, 0, s.now)
 	usual.Due = s.now + 1201
-	if got := find[Run](s.step(usual)); len(got) != 1 {
-		t.Fatal("want the usual try started")
+	if got := actionsOf[Run](s.step(usual)); len(got) != 1 {
+		t.Fatalf("got runs %v, want one of the usual try", got)
 	}
 }
 
-func TestRareCallersConnectionsAreClosed(t *testing.T) {
-	// calc-later big-2: a thousand callers, each back after minutes, filled the table and denied the rest.
+func TestIdleConnectionsOfRareCallersAreClosed(t *testing.T) {
+	// A thousand callers that each come back after minutes fill the connection table and keep others from connecting.
 	for callers, want := range map[int]bool{1000: true, 3: false} {
 		s := newServer(t, func(s *Settings) { s.KeepAlive, s.Callers = 30000, callers })
 		for n := range 400 {
-			a := arrival(n, 0, s.now)
+			a := newArrival(n, 0, s.now)
 			a.Caller = n % callers
-			s.after(100, a, gauges(0.5, 1))
+			s.stepAfter(100, a, gaugeTimer(0.5, 1))
 			s.step(Ended{ID: a.ID, Code: OK})
 		}
 		if closed := s.p.idleTimeout < 3000; closed != want {
-			t.Errorf("%d callers: idle connections closed after %v ms", callers, s.p.idleTimeout)
+			t.Errorf("%d callers: got an idle timeout of %v ms, want below 3000: %v", callers, s.p.idleTimeout, want)
 		}
 	}
 }
 
-func TestOverloadDoesNotMakeAServerSick(t *testing.T) {
-	// cordoba-later big-1: unread time under a shared slowness made all servers fail checks, and the list emptied.
+func TestOverloadedServerStaysHealthy(t *testing.T) {
+	// If the whole fleet is slow, long read delays must not make all servers fail their checks: the list would empty.
 	s := newServer(t, nil)
 	s.p.classes[0] = classStats{cost: estimate.Regression{N: 100, Y: 100}, demand: 10}
 	s.p.readDelay, s.p.offeredLoad = 1500, 0.9
-	if got := find[Health](s.after(4)); len(got) != 0 {
-		t.Fatalf("want health unchanged, got %v", got)
+	if got := actionsOf[Health](s.stepAfter(4)); len(got) != 0 {
+		t.Fatalf("got %v, want no change of health", got)
 	}
 }
 
 func TestCallsStayWithinTheShareFromTheStart(t *testing.T) {
-	// cordoba-later, drawn day 2699626243: a mean over the whole window starts at none and let a full start pass.
+	// A mean over the whole window starts at 0 and would allow too many calls in the first seconds.
 	s := newServer(t, func(s *Settings) {
 		s.Classes[0].CallsDependency, s.CallShare, s.CallShareWindow = true, 0.47, 5000
 		s.Classes[0].Aim, s.Classes[0].Deadline = 1e5, 1e5
 	})
-	inHand, out, last := 0.0, RequestID(""), 0.0
+	outstandingSum, outstanding, callStart := 0.0, RequestID(""), 0.0
 	for n := range 1250 {
-		a := arrival(n, 0, s.now)
+		a := newArrival(n, 0, s.now)
 		a.Due = s.now + 1e5
 		s.step(a)
 		events := []Event{AtCall{a.ID}}
-		if out != "" {
-			inHand += 4
-			if s.now-last > 200 {
-				events = append(events, Called{ID: out, Code: OK, Latency: 200}, Ended{ID: out, Code: OK})
-				out = ""
+		if outstanding != "" {
+			outstandingSum += 4
+			if s.now-callStart > 200 {
+				events = append(events, Called{ID: outstanding, Code: OK, Latency: 200},
+					Ended{ID: outstanding, Code: OK})
+				outstanding = ""
 			}
 		}
-		if got := find[Call](s.after(4, events...)); len(got) > 0 {
-			out, last = got[0].ID, s.now
+		if got := actionsOf[Call](s.stepAfter(4, events...)); len(got) > 0 {
+			outstanding, callStart = got[0].ID, s.now
 		}
 	}
-	if mean := inHand / 5000; mean > 0.47 || mean < 0.2 {
-		t.Fatalf("%.2f calls in hand in the mean of the first five seconds, the share is 0.47", mean)
+	if mean := outstandingSum / 5000; mean > 0.47 || mean < 0.2 {
+		t.Fatalf("got a mean of %.2f outstanding calls in the first five seconds, want 0.2 to 0.47 (the share)", mean)
 	}
 }
 
-func TestStartsWhatCanLikelyBeInTime(t *testing.T) {
-	// cordoba-later quiet: the mean of long-tailed costs had large writes refused by idle slow machines.
+func TestStartsRequestsWhoseMedianCostFitsTheAim(t *testing.T) {
+	// Costs are long-tailed: by their mean instead of their median, idle slow machines would refuse large writes.
 	for cost, want := range map[float64]int{1200: 1, 1500: 0} {
 		s := newServer(t, nil)
 		s.p.classes[0].cost = estimate.Regression{N: 100, Y: cost}
-		if got := find[Run](s.step(arrival(1, 0, s.now))); len(got) != want {
-			t.Errorf("cost %v within an aim of 1000: %d started, want %d", cost, len(got), want)
+		if got := actionsOf[Run](s.step(newArrival(1, 0, s.now))); len(got) != want {
+			t.Errorf("cost %v with an aim of 1000: got %d runs, want %d", cost, len(got), want)
 		}
 	}
 }
 
-func TestSlowReadingLeavesTimeToWait(t *testing.T) {
-	// calc-later: reading alone took an eighth of the aim on slow machines, so nothing was ever held there.
+func TestReadDelayDoesNotShortenTheHold(t *testing.T) {
+	// On slow machines reading alone takes an eighth of the aim; requests must still be held there.
 	s := newServer(t, nil)
 	s.p.classes[0].cost = estimate.Regression{N: 100, Y: 100}
-	s.busy(4)
-	a := arrival(1, 0, s.now)
+	s.startRunning(4)
+	a := newArrival(1, 0, s.now)
 	a.ReadDelay = 200
-	if got := find[Refuse](s.step(a)); len(got) != 0 || s.p.phaseCount[held] != 1 {
-		t.Fatalf("want it held, got %v", got)
+	if got := actionsOf[Refuse](s.step(a)); len(got) != 0 || s.p.phaseCount[held] != 1 {
+		t.Fatalf("got refusals %v and %d held requests, want none and 1", got, s.p.phaseCount[held])
 	}
 }
 
-func TestRefusalsMayWalkWhileCoresAreIdle(t *testing.T) {
-	// bp-later big-1: disk waits count as cost and kept refusals home with cores half idle.
+func TestRefusalsAllowRetryElsewhereWhileCoresAreIdle(t *testing.T) {
+	// Waits for the disk count as cost and raise the offered load, but half of the cores are idle.
 	s := newServer(t, nil)
-	s.busy(4)
+	s.startRunning(4)
 	s.p.offeredLoad, s.p.utilization = 1.5, 0.6
 	for n := range 50 {
-		for _, r := range find[Refuse](s.step(arrival(n, 0, s.now))) {
+		for _, r := range actionsOf[Refuse](s.step(newArrival(n, 0, s.now))) {
 			if r.NoRetryElsewhere {
-				t.Fatal("want the caller free to try elsewhere")
+				t.Fatalf("got %+v, want a refusal that allows a retry elsewhere", r)
 			}
 		}
 	}
 }
 
-// A run that others wait for goes on when its own caller gives up, and is stopped when nobody waits any more.
-func TestRunThatIsSharedIsNotStopped(t *testing.T) {
-	for _, c := range []struct {
+// A run whose answer others wait for goes on when its own caller gives up. It is stopped when nobody waits any more.
+func TestRunWithReusersIsNotStopped(t *testing.T) {
+	for _, test := range []struct {
 		name  string
 		gone  []int
 		stops int
 	}{
-		{"its caller left", []int{0}, 0},
-		{"the one that shares left, then its caller", []int{1, 0}, 1},
+		{"its caller gave up", []int{0}, 0},
+		{"the reusing caller gave up, then its own", []int{1, 0}, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s := newServer(t, func(s *Settings) { s.Fresh = 1000 })
-			a, b := arrival(0, 0, s.now), arrival(1, 0, s.now)
-			a.Key, b.Key, b.RepeatOf = "k", "k", a.ID
-			if got := find[Run](s.step(a)); len(got) != 1 {
-				t.Fatalf("%v runs", got)
+			original, repeat := newArrival(0, 0, s.now), newArrival(1, 0, s.now)
+			original.Key, repeat.Key, repeat.RepeatOf = "k", "k", original.ID
+			if got := actionsOf[Run](s.step(original)); len(got) != 1 {
+				t.Fatalf("got runs %v, want one", got)
 			}
-			if got := find[Reuse](s.step(b)); len(got) != 1 {
-				t.Fatalf("%v shares", got)
+			if got := actionsOf[Reuse](s.step(repeat)); len(got) != 1 {
+				t.Fatalf("got reuses %v, want one", got)
 			}
 			var stops []Stop
-			for _, n := range c.gone {
-				stops = append(stops, find[Stop](s.step(Gone{id(n)}))...)
+			for _, n := range test.gone {
+				stops = append(stops, actionsOf[Stop](s.step(Gone{requestID(n)}))...)
 			}
-			if len(stops) != c.stops {
-				t.Errorf("%v stopped, want %d", stops, c.stops)
+			if len(stops) != test.stops {
+				t.Errorf("got stops %v, want %d", stops, test.stops)
 			}
 		})
 	}
--- a/recorded_test.go
+++ b/recorded_test.go
@@ -12,10 +12,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var record = flag.Bool("record", false, "write the recorded days anew: only where decisions are meant to change")
+var record = flag.Bool("record", false, "rewrite the recorded days; only for intended changes of decisions")
 
-// told is an action as a day records it. Figures have a millionth's place: the order of a sum may change their last one.
-func told(a Action) string {
+// actionLine formats an action as a recorded day has it. Numbers have six decimal places, because the order of a sum
+// may change the last digits.
+func actionLine(a Action) string {
 	switch a := a.(type) {
 	case Refuse:
 		return fmt.Sprintf("refuse %s %.6f %t", a.ID, a.RetryAfter, a.NoRetryElsewhere)
@@ -33,35 +34,36 @@
 	return fmt.Sprintf("%T %v", a, a)
 }
 
-// day plays a day of legal events by chance and returns all actions, a line each, with their time.
-func day(t *testing.T, seed uint64, ticks int, rate float64, change func(*Settings)) (lines []string) {
+// recordDay plays a day of random legal events and returns all actions with their time, one per line.
+func recordDay(t *testing.T, seed uint64, ticks int, rate float64, change func(*Settings)) (lines []string) {
 	s := settings()
 	change(&s)
 	p, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{t: t, s: s, p: p, rng: rand.New(rand.NewPCG(seed, 99)), now: 1000, reqs: map[RequestID]*try{},
-		ranKeys: map[string]float64{}, keyIDs: map[string]*try{}}
-	h.seen = func(a Action) { lines = append(lines, fmt.Sprintf("%.0f %s", h.now, told(a))) }
+	h := &host{t: t, settings: s, policy: p, rng: rand.New(rand.NewPCG(seed, 99)), now: 1000,
+		tries:    map[RequestID]*try{},
+		keyRanAt: map[string]float64{}, keyHolder: map[string]*try{}}
+	h.onAction = func(a Action) { lines = append(lines, fmt.Sprintf("%.0f %s", h.now, actionLine(a))) }
 	h.step()
 	for range ticks {
 		h.now += s.Tick
-		h.step(h.events(rate)...)
+		h.step(h.randomEvents(rate)...)
 	}
-	h.drain(rate / 4)
+	h.shutDown(rate / 4)
 	return lines
 }
 
-// chunk is how many lines one hash of a recorded day stands for.
-const chunk = 2000
+// chunkLines is the number of lines of a recorded day that one hash covers.
+const chunkLines = 2000
 
-// The decisions of recorded days stay the same, line by line: whatever makes a step cheaper must not change them.
-// A change of decisions that is meant is recorded anew with -record, and its commit says why.
+// The actions of recorded days must stay the same, line by line, so that an optimization changes no decision. After an
+// intended change of decisions the file is rewritten with -record, and the commit says why.
 func TestRecordedDaysGiveTheSameActions(t *testing.T) {
 	var got []string
 	for seed := range uint64(24) {
-		lines := day(t, seed, 900, 0.1+0.03*float64(seed), func(s *Settings) {
+		lines := recordDay(t, seed, 900, 0.1+0.03*float64(seed), func(s *Settings) {
 			s.Halt = []StopMode{StopAbort, StopPause, StopNone}[seed%3]
 			s.CreditMode = []CreditMode{CreditWindow, CreditThreshold, CreditShare, CreditWindow}[seed%4]
 			s.PassesDeadline, s.ReportsCancellation, s.Cold = seed%5 != 0, seed%7 != 0, seed%6 == 0
@@ -69,7 +71,8 @@
 			s.Memory = []float64{3000, 8000, 200000}[seed%3]
 			s.Cores = []int{1, 2, 4, 16}[seed%4]
 			s.Callers, s.KeepAlive = []int{3, 200}[seed%2], 30000
-			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe, CallsDependency: true},
+			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe,
+				CallsDependency: true},
 				Class{Aim: 900, Deadline: 2500, Worth: 1, Repeat: Safe, CallsDependency: true, SkipWorth: 0.3},
 				Class{Aim: 2500, Deadline: 6000, Worth: 4, LateWorth: 0.2, Repeat: Safe})
 			s.Classes[0].LateWorth = []float64{0, 0.2}[seed%2]
@@ -78,9 +81,9 @@
 				s.Tenants = []Tenant{{QuotaPerSecond: 20}, {}}
 			}
 		})
-		for i := 0; i < len(lines); i += chunk {
-			part := strings.Join(lines[i:min(len(lines), i+chunk)], "\n")
-			got = append(got, fmt.Sprintf("seed %d line %d %016x", seed, i, xxhash.Sum64String(part)))
+		for i := 0; i < len(lines); i += chunkLines {
+			chunk := strings.Join(lines[i:min(len(lines), i+chunkLines)], "\n")
+			got = append(got, fmt.Sprintf("seed %d line %d %016x", seed, i, xxhash.Sum64String(chunk)))
 		}
 	}
 	const file = "testdata/recorded-days.txt"
@@ -99,11 +102,12 @@
 	}
 }
 
-// inHand returns a policy with so many requests in hand, a quarter of them running, at a time.
-func inHand(tb testing.TB, n int) (*Policy, float64) {
+// policyWithRequests returns a policy with n requests, a quarter of them running, and its time.
+func policyWithRequests(tb testing.TB, n int) (*Policy, float64) {
 	s := settings()
 	s.Cores, s.Memory, s.Rules.FallMultiple = max(1, n/4), 1e9, 6
-	s.Classes = []Class{{Aim: 1e6, Deadline: 3e6, Worth: 1, Repeat: Safe}, {Aim: 2e6, Deadline: 3e6, Worth: 2, Repeat: Unsafe}}
+	s.Classes = []Class{{Aim: 1e6, Deadline: 3e6, Worth: 1, Repeat: Safe},
+		{Aim: 2e6, Deadline: 3e6, Worth: 2, Repeat: Unsafe}}
 	p, err := New(s, 1)
 	if err != nil {
 		tb.Fatal(err)
@@ -112,22 +116,22 @@
 	p.Step(now, nil, nil)
 	var events []Event
 	for i := range n {
-		a := arrival(i, i%2, now)
+		a := newArrival(i, i%2, now)
 		a.Due, a.WorkKnown, a.Work = now+3e6, true, 1
 		events = append(events, a)
 	}
 	p.Step(now, events, nil)
 	if got := len(p.requests); got != n {
-		tb.Fatalf("%d in hand, want %d", got, n)
+		tb.Fatalf("got %d requests, want %d", got, n)
 	}
 	return p, now
 }
 
-// BenchmarkIdleStep is a step in which nothing happens, with so many requests in hand.
+// BenchmarkIdleStep measures a step without events, with 10 to 10000 requests in hand.
 func BenchmarkIdleStep(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, now := inHand(b, n)
+			p, now := policyWithRequests(b, n)
 			buf := []Action(nil)
 			for b.Loop() {
 				now += 0.001
@@ -137,22 +141,22 @@
 	}
 }
 
-// BenchmarkBusyStep is an end and an arrival, with so many requests in hand.
+// BenchmarkBusyStep measures the end of a run and an arrival, with 10 to 10000 requests in hand.
 func BenchmarkBusyStep(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, now := inHand(b, n)
+			p, now := policyWithRequests(b, n)
 			buf := []Action(nil)
 			var runs []RequestID
 			for i := range n {
-				if r := p.requests[id(i)]; r.phase == running {
+				if r := p.requests[requestID(i)]; r.phase == running {
 					runs = append(runs, r.ID)
 				}
 			}
 			next := n
 			for b.Loop() {
 				now += 0.001
-				a := arrival(next, next%2, now)
+				a := newArrival(next, next%2, now)
 				a.Due, a.WorkKnown, a.Work = now+3e6, true, 1
 				next++
 				end := Ended{ID: runs[0], Code: OK, Latency: 1}
@@ -168,7 +172,7 @@
 	}
 }
 
-// BenchmarkFullStep is an arrival that is refused at the end of a line as long as it may be.
+// BenchmarkFullStep measures an arrival that is refused because the hold is as long as it may be.
 func BenchmarkFullStep(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -182,7 +186,7 @@
 			now, next, refused := 1000.0, 0, 0
 			buf := p.Step(now, nil, nil)
 			arrive := func() {
-				a := arrival(next, 0, now)
+				a := newArrival(next, 0, now)
 				a.Due, a.WorkKnown, a.Work = now+3000, true, 100
 				next++
 				buf = p.Step(now, []Event{a}, buf[:0])
--- a/rules_test.go
+++ b/rules_test.go
@@ -8,241 +8,252 @@
 	"testing"
 )
 
-// host plays a server around a Policy: it carries out actions, makes up legal events by chance and checks the
-// four rules on every action.
+// host simulates a server around a Policy: it carries out actions, generates random legal events and checks the
+// four rules in every step: no request is lost without an answer, none takes effect twice, none that arrives too
+// late after a Notice runs, and the server does not fall over from too much memory or too many running requests.
 type host struct {
-	t        *testing.T
-	s        Settings
-	p        *Policy
-	rng      *rand.Rand
-	now      float64
-	n        int
-	reqs     map[RequestID]*try
-	order    []*try
-	wakes    []float64
-	ranKeys  map[string]float64 // arrival of the try that ran
-	keyIDs   map[string]*try    // try that has the entry
-	noticeAt float64
-	stopAt   float64
-	seen     func(Action) // is told of each action, if it is not nil
+	t         *testing.T
+	settings  Settings
+	policy    *Policy
+	rng       *rand.Rand
+	now       float64
+	lastID    int
+	tries     map[RequestID]*try
+	order     []*try             // in order of arrival; dropped when nothing can happen to them any more
+	wakes     []float64          // times of the timers that the policy asked for
+	keyRanAt  map[string]float64 // by idempotency key, the arrival of the try that ran
+	keyHolder map[string]*try    // by idempotency key, the try that has the entry in the key table
+	noticeAt  float64
+	stopAt    float64
+	onAction  func(Action) // if not nil, called with each action
 }
 
+// try is a request as the host sees it.
 type try struct {
 	Arrival
-	arrived, due  float64
-	answered      bool
-	gone          bool
-	ran           bool
-	running, over bool
-	atCall, out   bool
-	unproven      bool // a call was made that may have taken effect
-	sharing       bool
-	stopped       bool
-	keptTo        float64
+	arrived, due      float64 // due: when an answer is due at the latest
+	answered          bool
+	abandoned         bool // its caller gave up
+	ran               bool
+	running, finished bool
+	atCall, calling   bool // waits for its call; its call was made
+	mayHaveCalled     bool // a call was made that may have taken effect
+	reusing           bool
+	stopSent          bool
+	keptUntil         float64 // end of its entry in the key table
 }
 
-func (h *host) memory() (kb float64) {
+// usedMemory returns the memory that all requests and key entries take.
+func (h *host) usedMemory() (kb float64) {
 	for _, q := range h.order {
-		if !q.over {
-			if q.running || q.atCall || q.out {
-				kb += q.MemoryKB * h.s.RunFactor
+		if !q.finished {
+			if q.running || q.atCall || q.calling {
+				kb += q.MemoryKB * h.settings.RunFactor
 			} else {
 				kb += q.MemoryKB
 			}
 		}
-		if q.keptTo > h.now {
-			kb += h.s.EntryKB
+		if q.keptUntil > h.now {
+			kb += h.settings.EntryKB
 		}
 	}
 	return kb
 }
 
-func (h *host) get(id RequestID) *try {
-	q := h.reqs[id]
+// find returns the try with this ID and fails the test if there is none.
+func (h *host) find(id RequestID) *try {
+	q := h.tries[id]
 	if q == nil {
-		h.t.Fatalf("%v: an action names %s, which was never read", h.now, id)
+		h.t.Fatalf("%v: an action names request %s, which never arrived", h.now, id)
 	}
 	return q
 }
 
-func (h *host) answer(q *try, what string) {
+// recordAnswer notes the final answer of a try and fails the test on a second one.
+func (h *host) recordAnswer(q *try, action string) {
 	if q.answered {
-		h.t.Fatalf("%v: second answer (%s) for %s", h.now, what, q.ID)
+		h.t.Fatalf("%v: second answer (%s) for %s", h.now, action, q.ID)
 	}
 	q.answered = true
-	if !q.running && !q.out && !q.atCall {
-		q.over = true
+	if !q.running && !q.calling && !q.atCall {
+		q.finished = true
 	}
 }
 
+// step passes events to the policy, carries out its actions and checks the rules.
 func (h *host) step(events ...Event) {
-	for _, a := range h.p.Step(h.now, events, nil) {
-		if h.seen != nil {
-			h.seen(a)
+	for _, a := range h.policy.Step(h.now, events, nil) {
+		if h.onAction != nil {
+			h.onAction(a)
 		}
 		switch a := a.(type) {
 		case Run:
-			q := h.get(a.ID)
-			sc := h.s.Classes[q.Class]
+			q := h.find(a.ID)
+			class := h.settings.Classes[q.Class]
 			switch {
-			case q.over || q.running || q.answered:
-				h.t.Fatalf("%v: %s is started but over or running", h.now, q.ID)
-			case h.noticeAt > 0 && q.arrived > h.noticeAt+h.s.Rules.DrainGrace:
+			case q.finished || q.running || q.answered:
+				h.t.Fatalf("%v: %s is started although it is finished, running or answered", h.now, q.ID)
+			case h.noticeAt > 0 && q.arrived > h.noticeAt+h.settings.Rules.DrainGrace:
 				h.t.Fatalf("%v: drain: %s arrived too late to run", h.now, q.ID)
-			case q.ran && sc.Repeat != Safe:
+			case q.ran && class.Repeat != Safe:
 				h.t.Fatalf("%v: duplicate: %s runs again", h.now, q.ID)
 			}
-			if sc.Repeat == Keyed {
-				if at, ok := h.ranKeys[q.Key]; ok && q.arrived <= at+sc.Window {
+			if class.Repeat == Keyed {
+				if at, ok := h.keyRanAt[q.Key]; ok && q.arrived <= at+class.Window {
 					h.t.Fatalf("%v: duplicate: key %s runs again", h.now, q.Key)
 				}
-				h.ranKeys[q.Key] = q.arrived
+				h.keyRanAt[q.Key] = q.arrived
 			}
 			q.ran, q.running = true, true
 		case Refuse:
-			q := h.get(a.ID)
-			if q.ran && h.s.Classes[q.Class].Repeat != Safe {
-				h.t.Fatalf("%v: %s is refused after it ran", h.now, q.ID)
+			q := h.find(a.ID)
+			if q.ran && h.settings.Classes[q.Class].Repeat != Safe {
+				h.t.Fatalf("%v: %s is refused although it ran", h.now, q.ID)
 			}
-			if a.RetryAfter < 0 || a.RetryAfter > h.s.MaxRetryAfter {
-				h.t.Fatalf("advice of %v", a.RetryAfter)
+			if a.RetryAfter < 0 || a.RetryAfter > h.settings.MaxRetryAfter {
+				h.t.Fatalf("got RetryAfter %v, want 0 to %v", a.RetryAfter, h.settings.MaxRetryAfter)
 			}
-			h.answer(q, "refuse")
+			h.recordAnswer(q, "refuse")
 		case Fail:
-			q := h.get(a.ID)
-			h.answer(q, "fail")
+			q := h.find(a.ID)
+			h.recordAnswer(q, "fail")
 			if q.atCall {
-				q.atCall, q.over = false, true
+				q.atCall, q.finished = false, true
 			}
 		case Stop:
-			if h.s.Halt == StopNone {
-				h.t.Fatal("work is stopped where it can't be")
+			if h.settings.Halt == StopNone {
+				h.t.Fatal("got a Stop although Halt is none")
 			}
-			h.get(a.ID).stopped = true
+			h.find(a.ID).stopSent = true
 		case Call:
-			q := h.get(a.ID)
+			q := h.find(a.ID)
 			if !q.atCall {
-				h.t.Fatalf("%s is not at a call", q.ID)
+				h.t.Fatalf("got a Call for %s, which does not wait for one", q.ID)
 			}
-			if q.unproven && h.s.Classes[q.Class].Repeat != Safe {
-				h.t.Fatalf("%v: duplicate: %s repeats a call that may have run", h.now, q.ID)
+			if q.mayHaveCalled && h.settings.Classes[q.Class].Repeat != Safe {
+				h.t.Fatalf("%v: duplicate: %s repeats a call that may have taken effect", h.now, q.ID)
 			}
-			q.atCall, q.out = false, true
+			q.atCall, q.calling = false, true
 		case Skip:
-			q := h.get(a.ID)
-			if h.s.Classes[q.Class].SkipWorth <= 0 {
-				h.t.Fatal("a call is skipped where nothing is left")
+			q := h.find(a.ID)
+			if h.settings.Classes[q.Class].SkipWorth <= 0 {
+				h.t.Fatal("got a Skip although the answer would keep no worth")
 			}
 			q.atCall, q.running = false, true
 		case Keep:
-			q := h.get(a.ID)
-			q.keptTo = h.now + a.TTL
-			h.keyIDs[q.Key] = q
+			q := h.find(a.ID)
+			q.keptUntil = h.now + a.TTL
+			h.keyHolder[q.Key] = q
 		case Forget:
-			h.get(a.ID).keptTo = 0
+			h.find(a.ID).keptUntil = 0
 		case Reuse:
-			q := h.get(a.ID)
+			q := h.find(a.ID)
 			if q.RepeatOf == "" {
-				h.t.Fatal("reuse without an original")
+				h.t.Fatal("got a Reuse for a request that repeats none")
 			}
-			q.sharing = true
+			q.reusing = true
 		case Advertise:
-			if h.s.CreditMode == CreditNone || a.Credit < 0 {
-				h.t.Fatalf("value %v said where %s", a.Credit, h.s.CreditMode)
+			if h.settings.CreditMode == CreditNone || a.Credit < 0 {
+				h.t.Fatalf("got credit %v in mode %s", a.Credit, h.settings.CreditMode)
 			}
 		case CloseIdle:
-			if a.After < 10 || a.After > max(10, h.s.KeepAlive) {
-				h.t.Fatalf("idle connections closed after %v", a.After)
+			if a.After < 10 || a.After > max(10, h.settings.KeepAlive) {
+				h.t.Fatalf("got an idle timeout of %v, want 10 to %v", a.After, max(10, h.settings.KeepAlive))
 			}
 		case Wake:
 			h.wakes = append(h.wakes, a.At)
 		}
 	}
-	if kb := h.memory(); kb > h.s.Memory {
-		h.t.Fatalf("%v: fall-over: %.0f KB of %.0f", h.now, kb, h.s.Memory)
+	if kb := h.usedMemory(); kb > h.settings.Memory {
+		h.t.Fatalf("%v: fall-over: %.0f KB used of %.0f", h.now, kb, h.settings.Memory)
 	}
-	on, w := 0, 1.0
+	running, warmupRatio := 0, 1.0
 	for _, q := range h.order {
-		if q.running && !q.over {
-			on++
+		if q.running && !q.finished {
+			running++
 		}
-		if !q.answered && !q.gone && h.now > q.due+h.s.Rules.AnswerGrace {
-			h.t.Fatalf("%v: lost: %s was due at %v", h.now, q.ID, q.due)
+		if !q.answered && !q.abandoned && h.now > q.due+h.settings.Rules.AnswerGrace {
+			h.t.Fatalf("%v: lost: %s was due at %v and has no answer", h.now, q.ID, q.due)
 		}
 	}
-	if h.s.Cold {
-		w = min(1, h.s.Rules.ColdFrom+(1-h.s.Rules.ColdFrom)*(h.now-1000)/h.s.Rules.RampTime)
+	if h.settings.Cold {
+		warmupRatio = min(1, h.settings.Rules.ColdFrom+
+			(1-h.settings.Rules.ColdFrom)*(h.now-1000)/h.settings.Rules.RampTime)
 	}
-	if float64(on) > (1+(h.s.Rules.FallMultiple-1)*w)*float64(h.s.Cores) {
-		h.t.Fatalf("%v: fall-over: %d on the cores", h.now, on)
+	if float64(running) > (1+(h.settings.Rules.FallMultiple-1)*warmupRatio)*float64(h.settings.Cores) {
+		h.t.Fatalf("%v: fall-over: %d requests running", h.now, running)
 	}
 }
 
-func (h *host) end(q *try, code Code) Event {
-	q.running, q.out, q.atCall, q.over = false, false, false, true
+// endTry ends a run or a reuse and returns the event.
+func (h *host) endTry(q *try, code Code) Event {
+	q.running, q.calling, q.atCall, q.finished = false, false, false, true
 	if code == OK || code == Error {
 		q.answered = true
 	}
 	return Ended{ID: q.ID, Code: code, Latency: 10}
 }
 
-// events makes up what may happen in the tick.
-func (h *host) events(rate float64) (out []Event) {
+// randomEvents returns random legal events of one tick. Arrivals are passed to the policy at once.
+func (h *host) randomEvents(rate float64) (events []Event) {
 	for h.rng.Float64() < rate {
-		h.n++
-		q := &try{Arrival: Arrival{ID: id(h.n), Caller: h.rng.IntN(h.s.Callers), ReadDelay: h.rng.Float64() * 100,
-			MemoryKB: 5 + 40*h.rng.Float64(), Class: h.rng.IntN(len(h.s.Classes)), WorkKnown: h.rng.IntN(2) == 0,
-			Work: 400 * h.rng.Float64(), Tenant: h.rng.IntN(2)}}
-		sc := h.s.Classes[q.Class]
+		h.lastID++
+		q := &try{Arrival: Arrival{ID: requestID(h.lastID), Caller: h.rng.IntN(h.settings.Callers),
+			ReadDelay: h.rng.Float64() * 100,
+			MemoryKB:  5 + 40*h.rng.Float64(), Class: h.rng.IntN(len(h.settings.Classes)),
+			WorkKnown: h.rng.IntN(2) == 0,
+			Work:      400 * h.rng.Float64(), Tenant: h.rng.IntN(2)}}
+		class := h.settings.Classes[q.Class]
 		q.arrived = h.now - q.ReadDelay
-		q.due = q.arrived + sc.Deadline
-		if h.s.PassesDeadline {
-			q.Due = h.now + h.rng.Float64()*sc.Deadline
+		q.due = q.arrived + class.Deadline
+		if h.settings.PassesDeadline {
+			q.Due = h.now + h.rng.Float64()*class.Deadline
 			q.due = q.Due
 		}
 		if h.stopAt > 0 {
 			q.due = min(q.due, h.stopAt)
 		}
 		q.due = max(q.due, h.now)
-		if sc.Repeat == Keyed {
+		if class.Repeat == Keyed {
 			q.Key = fmt.Sprint("k", h.rng.IntN(40))
-			if o := h.keyIDs[q.Key]; o != nil && o.keptTo >= q.arrived && (!o.over || o.ran) {
-				q.RepeatOf = o.ID
+			if original := h.keyHolder[q.Key]; original != nil && original.keptUntil >= q.arrived &&
+				(!original.finished || original.ran) {
+				q.RepeatOf = original.ID
 			}
 		}
-		h.reqs[q.ID] = q
+		h.tries[q.ID] = q
 		h.order = append(h.order, q)
-		h.step(q.Arrival) // one by one: a repeat in the same instant sees what was kept
+		h.step(q.Arrival) // one by one, so that a repeat in the same instant sees the kept request
 	}
 	for _, q := range h.order {
 		switch {
-		case q.over:
-		case q.sharing && h.rng.IntN(40) == 0:
-			out = append(out, h.end(q, OK))
-		case q.stopped && q.running:
-			out = append(out, h.end(q, Cancelled))
+		case q.finished:
+		case q.reusing && h.rng.IntN(40) == 0:
+			events = append(events, h.endTry(q, OK))
+		case q.stopSent && q.running:
+			events = append(events, h.endTry(q, Cancelled))
 		case q.running && h.rng.IntN(60) == 0:
 			code := OK
 			if h.rng.IntN(10) == 0 {
 				code = Error
 			}
-			out = append(out, h.end(q, code))
-		case q.running && h.s.Classes[q.Class].CallsDependency && h.rng.IntN(60) == 0:
+			events = append(events, h.endTry(q, code))
+		case q.running && h.settings.Classes[q.Class].CallsDependency && h.rng.IntN(60) == 0:
 			q.running, q.atCall = false, true
-			out = append(out, AtCall{q.ID})
-		case q.out && h.rng.IntN(10) == 0:
+			events = append(events, AtCall{q.ID})
+		case q.calling && h.rng.IntN(10) == 0:
 			code := []Code{OK, OK, Rejected, Timeout, Reset, ConnectFailed}[h.rng.IntN(6)]
-			q.out, q.atCall, q.running = false, code != OK, code == OK
-			q.unproven = q.unproven || code == Timeout || code == Reset
-			out = append(out, Called{q.ID, code, 30})
-		case !q.gone && h.s.ReportsCancellation && h.rng.IntN(300) == 0:
-			q.gone = true
-			q.over = !q.running && !q.out && !q.atCall
-			out = append(out, Gone{q.ID})
+			q.calling, q.atCall, q.running = false, code != OK, code == OK
+			q.mayHaveCalled = q.mayHaveCalled || code == Timeout || code == Reset
+			events = append(events, Called{q.ID, code, 30})
+		case !q.abandoned && h.settings.ReportsCancellation && h.rng.IntN(300) == 0:
+			q.abandoned = true
+			q.finished = !q.running && !q.calling && !q.atCall
+			events = append(events, Gone{q.ID})
 		}
 	}
 	h.order = slices.DeleteFunc(h.order, func(q *try) bool {
-		return q.over && q.keptTo <= h.now && (q.answered || q.gone)
+		return q.finished && q.keptUntil <= h.now && (q.answered || q.abandoned)
 	})
 	rest := h.wakes[:0]
 	for _, at := range h.wakes {
@@ -254,29 +265,29 @@
 			case 2:
 				g = Gauges{CPU: -1}
 			}
-			out = append(out, Timer{Token: 1, Gauges: g}, Timer{Gauges: g})
+			events = append(events, Timer{Token: 1, Gauges: g}, Timer{Gauges: g})
 		} else {
 			rest = append(rest, at)
 		}
 	}
 	h.wakes = rest
-	return out
+	return events
 }
 
-// drain plays the notice to leave and the time to the stop.
-func (h *host) drain(rate float64) {
+// shutDown passes a Notice to the policy and plays the time until the stop.
+func (h *host) shutDown(rate float64) {
 	h.noticeAt, h.stopAt = h.now, h.now+4000
 	for _, q := range h.order {
 		q.due = min(q.due, max(h.stopAt, h.now))
 	}
 	h.step(Notice{StopAt: h.stopAt})
-	for h.now < h.stopAt-h.s.Tick {
-		h.now += h.s.Tick
-		h.step(h.events(rate)...)
+	for h.now < h.stopAt-h.settings.Tick {
+		h.now += h.settings.Tick
+		h.step(h.randomEvents(rate)...)
 	}
 }
 
-func TestRulesHoldOnAnyLegalEvents(t *testing.T) {
+func TestRulesHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
@@ -286,7 +297,8 @@
 			s.PassesDeadline, s.ReportsCancellation, s.Cold = seed%5 != 0, seed%7 != 0, seed%6 == 0
 			s.WorthByWork = seed%2 == 0
 			s.Memory = 2000 + 8000*rng.Float64()
-			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe, CallsDependency: true},
+			s.Classes = append(s.Classes, Class{Aim: 800, Deadline: 2000, Worth: 1, Repeat: Unsafe,
+				CallsDependency: true},
 				Class{Aim: 900, Deadline: 2500, Worth: 1, Repeat: Safe, CallsDependency: true, SkipWorth: 0.3})
 			s.Classes[1].CallsDependency = true
 			if seed%2 == 0 {
@@ -301,23 +313,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			h := &host{t: t, s: s, p: p, rng: rng, now: 1000, reqs: map[RequestID]*try{},
-				ranKeys: map[string]float64{}, keyIDs: map[string]*try{}}
+			h := &host{t: t, settings: s, policy: p, rng: rng, now: 1000, tries: map[RequestID]*try{},
+				keyRanAt: map[string]float64{}, keyHolder: map[string]*try{}}
 			h.step()
 			rate := 0.05 + 0.4*rng.Float64()
 			for range 3000 {
 				h.now += s.Tick
-				h.step(h.events(rate)...)
+				h.step(h.randomEvents(rate)...)
 			}
-			h.drain(rate)
+			h.shutDown(rate)
 			if len(p.callers) > s.Callers || len(p.callers) != len(p.callersByID) {
-				t.Fatalf("state grows: %d callers of %d", len(p.callers), s.Callers)
+				t.Fatalf("got %d tracked callers and %d by ID, want equal numbers and at most %d", len(p.callers),
+					len(p.callersByID), s.Callers)
 			}
-			if v := p.credit(); math.IsNaN(v) || math.IsInf(v, 0) || math.IsNaN(p.limit+p.slowdown+p.effectiveCores+p.offeredLoad) {
-				t.Fatalf("credit %v, limit %v", v, p.limit)
+			if v := p.credit(); math.IsNaN(v) || math.IsInf(v, 0) ||
+				math.IsNaN(p.limit+p.slowdown+p.effectiveCores+p.offeredLoad) {
+				t.Fatalf("got credit %v, limit %v, slowdown %v, effective cores %v and load %v, want numbers", v,
+					p.limit, p.slowdown, p.effectiveCores, p.offeredLoad)
 			}
 			for _, q := range h.order {
-				if !q.answered && !q.gone && q.arrived < h.stopAt-2*s.Tick {
+				if !q.answered && !q.abandoned && q.arrived < h.stopAt-2*s.Tick {
 					t.Fatalf("lost: %s has no answer when the server stops", q.ID)
 				}
 			}
@@ -325,7 +340,7 @@
 	}
 }
 
-// BenchmarkStep takes an arrival and its end on a server that heard of a thousand callers.
+// BenchmarkStep measures an arrival and its end on a server that tracks a thousand callers.
 func BenchmarkStep(b *testing.B) {
 	s := settings()
 	s.Callers, s.KeepAlive = 1000, 30000
@@ -336,9 +351,9 @@
 	now, buf := 1000.0, []Action(nil)
 	for n := 0; b.Loop(); n++ {
 		now += 20
-		a := arrival(n, 0, now)
+		a := newArrival(n, 0, now)
 		a.Caller = n % 1000
 		buf = p.Step(now, []Event{a}, buf[:0])
-		buf = p.Step(now, []Event{Ended{ID: a.ID, Code: OK}, gauges(0.5, 1)}, buf[:0])
+		buf = p.Step(now, []Event{Ended{ID: a.ID, Code: OK}, gaugeTimer(0.5, 1)}, buf[:0])
 	}
 }
