--- a/api.go
+++ b/api.go
@@ -73,9 +73,9 @@
 	OK            Code = "ok"
 	Error         Code = "error"
 	Rejected      Code = "rejected"       // * the call was refused before it was processed
-	Timeout       Code = "timeout"        // the call was abandoned after its timeout
+	Timeout       Code = "timeout"        // the caller abandoned the call
 	ConnectFailed Code = "connect_failed" // * no connection could be made
-	Reset         Code = "reset"          // the connection of the call was reset
+	Reset         Code = "reset"          // the call was interrupted
 	Cancelled     Code = "cancelled"      // the run was stopped
 	Moot          Code = "moot"           // * nothing was started, because the request had ended
 )
@@ -264,7 +264,7 @@
 	Retry     bool    // marked as a retry or a second copy
 	Write     bool
 	RepeatOf  RequestID // the kept or unfinished request that this one repeats, or empty
-	Key       string    // identifies its subject: the idempotency key, or what a read asks for
+	Key       string    // what the request is about; reads with the same key can share an answer
 	MemoryKB  float64   // memory it takes while held
 	Work      float64   // expected work
 	Rank      float64   // rank by worth, from 0 to below 1
--- a/internal/estimate/regression.go
+++ b/internal/estimate/regression.go
@@ -7,7 +7,7 @@
 // ratios y/x: part of the time does not grow with the work, so small hints would produce huge ratios.
 type Regression struct{ N, X, Y, XX, XY float64 }
 
-// Add adds an observation. Each observation has a weight of at least 1/memory, so that older ones decay.
+// Add adds an observation. A new observation gets a weight of at least 1/memory, so that older ones decay.
 func (r *Regression) Add(x, y, memory float64) {
 	r.N++
 	weight := 1 / min(r.N, memory)
--- a/policy.go
+++ b/policy.go
@@ -48,6 +48,7 @@
 	// Upper bound of the slowdown; its inverse is the lower bound.
 	maxSlowdown = 20.0
 	// Cores that are less busy than this have room, whatever the load: the load includes waits for the disk.
+	// It is also the load beyond which the other servers count as overloaded.
 	busyUtilization = 0.8
 	// A server counts as unhealthy only while the work offered to it is below its cores divided by this.
 	unhealthyLoadDivisor = 3.0
@@ -97,7 +98,7 @@
 	maxCallTries = 3
 )
 
-// phase is the stage that a request is in.
+// phase is a stage in the life of a request.
 type phase uint8
 
 const (
@@ -211,7 +212,7 @@
 	pollAt         float64 // time of the next reading of the gauges
 	renewAt        float64 // time of the next renewal of the limit
 
-	callers        []*caller // tracked callers
+	callers        []*caller // callers whose connection may still be open
 	callersByID    map[int]*caller
 	callerRequests float64           // sum of recentRequests over the active callers
 	callerSquares  float64           // sum of the squares of recentRequests
--- a/rules_test.go
+++ b/rules_test.go
@@ -21,8 +21,8 @@
 	tries     map[RequestID]*try
 	order     []*try             // in order of arrival; dropped when nothing can happen to them any more
 	wakes     []float64          // times of the timers that the policy asked for
-	keyRanAt  map[string]float64 // by idempotency key, the arrival of the try that ran
-	keyHolder map[string]*try    // by idempotency key, the try that has the entry in the key table
+	keyRanAt  map[string]float64 // by Key, the arrival of the try that ran
+	keyHolder map[string]*try    // by Key, the try that has the entry in the key table
 	noticeAt  float64
 	stopAt    float64
 	onAction  func(Action) // if not nil, called with each action
