--- a/cmd/whinrudder-kit/faults_test.go
+++ b/cmd/whinrudder-kit/faults_test.go
@@ -26,7 +26,7 @@
 	}{
 		{"drain", []change{{"policy.go", "if p.leaving && r.arrived > p.notice+p.s.Rules.DrainGrace {", "if p.leaving && r.arrived > p.notice+3*p.s.Rules.DrainGrace {"}}},
 		{"lost", []change{{"policy.go", "	r.due = max(r.due-2*p.s.Tick, p.now)\n", "	r.due = max(r.due-2*p.s.Tick, p.now) + 800\n"},
-			{"internal/core/core.go", "	backstop  = 30 ", "	backstop  = 800 "}}}, // the core would answer in the module's place
+			{"internal/core/core.go", "	unansweredGraceMs  = 30 ", "	unansweredGraceMs  = 800 "}}}, // the core would answer in the module's place
 	} {
 		t.Run(f.rule, func(t *testing.T) {
 			t.Parallel()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,8 @@
-// Package core is the payout node without its wires: requests, attempts and outcomes. It knows no protocol and
-// no socket. Core is the sole owner of the decision module and of the table of requests; it is used from one
-// goroutine. Inputs and an absolute now go into Step, which makes one step of the module for all that is ready,
-// and outputs come out. Core decides nothing: it keeps the books, and it sees to it that each request gets one
-// final answer.
+// Package core tracks the requests, runs and outcomes of a payout node without doing any I/O. It contains no
+// protocol and no socket code. Core is the only owner of the decision module and of the request table, and it must be
+// used from one goroutine. Callers pass inputs and the current absolute time to Step, which makes one step of the
+// decision module for all pending inputs and returns the outputs to carry out. Core makes no admission decision
+// itself: it keeps the state of each request and guarantees that each one gets exactly one final answer.
 //
 // All times are Unix milliseconds.
 package core
@@ -18,134 +18,136 @@
 	"whinrudder/internal/ops"
 )
 
-// Outcome says how a request ended for its caller.
+// Outcome is how a request ended for its caller.
 type Outcome uint8
 
-// The outcomes.
+// The possible outcomes of a request.
 const (
-	Served       Outcome = iota // with the result of its run
-	Refused                     // this try never ran
-	Failed                      // no promise
-	Duplicate                   // its id is that of an earlier request: nothing was done for it
-	BodyMismatch                // its operation is that of an earlier request with another body: nothing was done for it
+	Served       Outcome = iota // answered with the result of its run
+	Refused                     // this attempt never ran
+	Failed                      // no result; the attempt may have run
+	Duplicate                   // an earlier request has the same id; nothing was done for this one
+	BodyMismatch                // an earlier request of the same operation has another body; nothing was done for this one
 )
 
-// Request is one try of a request, as a front read it.
+// Request is one attempt of a request, as a front read it.
 type Request struct {
 	ID             string
 	Class          int
 	Caller         int
-	ArrivedAt, Due float64 // when it reached the machine, and when its caller stops waiting
+	ArrivedAt, Due float64 // when it reached the machine, and when its caller stops waiting for the answer
 	KB, Rank       float64
 	Key            string
-	Token          string // names the operation that the request is a try of; empty: none
+	Token          string // identifies the operation that the request is an attempt of; empty: none
 	Body           []byte
 	ReplyTo        Sink
 }
 
-// Answer is the final answer to a request, or to a health check (Served is good, Failed is bad).
+// Answer is the final answer to a request or to a health check (Served means healthy, Failed means unhealthy).
 type Answer struct {
-	ID            string // of the request; empty for a check
+	ID            string // of the request; empty for a health check
 	Outcome       Outcome
 	Result        []byte
-	Credit        float64 // the free value; negative: none is said
-	RetryAfter    float64 // how long the caller should keep away; 0: no advice
-	NotElsewhere  bool    // wish that no other node be tried
-	Kept          string  // what is known of the operation; empty: nothing special
-	Close         bool    // this node leaves: no further request is wanted on the connection
-	WriteDeadline float64 // a peer that has not taken the answer by then is cut
+	Credit        float64 // the credit to report to the caller; negative: none
+	RetryAfter    float64 // how long the caller should wait before it retries, in milliseconds; 0: not specified
+	NotElsewhere  bool    // asks the caller not to retry at another node
+	Kept          string  // state of the kept operation; empty: nothing to report
+	Close         bool    // this node is draining: the caller should send no further request on the connection
+	WriteDeadline float64 // the connection is cut if the peer has not read the answer by then
 }
 
-// Sink takes the answers of one connection. Deliver must not block.
+// Sink receives the answers of one connection. Deliver must not block.
 type Sink interface{ Deliver(Answer) }
 
 // RunEnd is how a run ended.
 type RunEnd uint8
 
-// The ends of runs.
+// The ways in which a run ends.
 const (
-	RunOK RunEnd = iota
-	RunError
-	RunStopped
-	RunMoot
+	RunOK      RunEnd = iota // with a result
+	RunError                 // with an error
+	RunStopped               // stopped by Suspend
+	RunMoot                  // it provably did not run
 )
 
 var endCodes = [...]whinrudder.Code{RunOK: whinrudder.OK, RunError: whinrudder.Error,
 	RunStopped: whinrudder.Cancelled, RunMoot: whinrudder.Moot}
 
-// An Input is something that happened outside.
+// An Input is an external event for Step.
 type Input interface{ input() }
 
 type (
-	// RequestArrived is a request that a front has read whole.
+	// RequestArrived reports a request that a front has read completely.
 	RequestArrived struct{ *Request }
-	// CallerGone tells that the caller of a request closed its connection.
+	// CallerGone reports that the caller of a request closed its connection.
 	CallerGone struct{ ID string }
-	// HealthCheck is a health check; a deep one wants to know whether work gets done.
+	// HealthCheck is a health check; a deep one tests whether the worker pool completes work.
 	HealthCheck struct {
 		Deep    bool
 		ReplyTo Sink
 	}
-	// StopNotice is the notice to drain: the process is stopped at the given time. Where another process has taken over,
-	// nobody is to be sent away.
+	// StopNotice starts the drain: the process stops at the given time. If another process of this node has taken
+	// over (HasSuccessor), clients need not move to other nodes.
 	StopNotice struct {
 		StopAt       float64
 		HasSuccessor bool
 	}
-	// PoolReady tells that the worker pool is up, and since when and how it started.
+	// PoolReady reports that the worker pool is up, whether it started cold and how many milliseconds ago it started.
 	PoolReady struct {
 		Cold bool
 		Age  float64
 	}
-	// LinkSynced tells that the link to the worker pool is in step: all notices of the past have been read. InDoubt
-	// names the runs whose start was handed to a link that broke and may not have been read there.
+	// LinkSynced reports that the link to the worker pool is synchronized: all earlier notices have been read.
+	// InDoubt lists the runs whose start was sent over a link that broke, so the pool may not have read it.
 	LinkSynced struct{ InDoubt []string }
-	// LinkLost tells that the link to the worker pool broke. Runs continue.
+	// LinkLost reports that the link to the worker pool broke. Runs continue.
 	LinkLost struct{}
-	// RunFinished tells that a run is over.
+	// RunFinished reports that a run ended.
 	RunFinished struct {
 		ID      string
 		End     RunEnd
 		Latency float64
 		Result  []byte
 	}
-	// RunNotStarted tells that the worker pool did not carry out the start of a run.
+	// RunNotStarted reports that the worker pool did not start a run.
 	RunNotStarted struct{ ID string }
-	// GaugesRead brings the gauges of the worker pool.
+	// GaugesRead delivers the gauges of the worker pool.
 	GaugesRead struct{ whinrudder.Gauges }
-	// CheckFinished tells how the work of a deep check ended.
+	// CheckFinished reports how the work of a deep health check ended.
 	CheckFinished struct {
 		Tag string
 		OK  bool
 	}
-	// QueryKnowledge wants what the module has learned so far; none is told before the worker pool is up. Reply must not block.
+	// QueryKnowledge asks for what the decision module has learned so far; known is false before the worker pool is
+	// up. Reply must not block.
 	QueryKnowledge struct {
 		Reply func(k whinrudder.Knowledge, known bool)
 	}
-	// AdoptPrior brings what other nodes have learned.
+	// AdoptPrior delivers what other nodes have learned.
 	AdoptPrior struct{ knowledge.Prior }
-	// QueryLoad asks for what is in hand, and for the ids that were read since the last time, for another process of this
-	// node. Reply must not block. Stop forgets what was told.
+	// QueryLoad asks, on behalf of another process of this node, for the current load and for the ids of the requests
+	// that were read since the last query. Reply must not block. Stop ends the collection of ids.
 	QueryLoad struct {
 		Stop  bool
 		Reply func(load whinrudder.Beside, ids []string)
 	}
-	// SiblingLoad brings what another process of this node shares.
+	// SiblingLoad delivers the load and the request ids of another process of this node.
 	SiblingLoad struct {
 		whinrudder.Beside
 		IDs []string
 	}
-	// OperatorDrain tells that operators send the clients away, or take them back. Done must not block.
+	// OperatorDrain reports that an operator turned the drain of clients on or off. Done must not block.
 	OperatorDrain struct {
 		On   bool
 		Done func()
 	}
-	// ChangeSettings brings new settings. Classes keep their places; NewIndices are the places that begin anew.
+	// ChangeSettings delivers new settings. Classes keep their indices; NewIndices lists those whose learned state is
+	// reset.
 	ChangeSettings struct {
 		Settings    whinrudder.Settings
 		NewIndices  []int
-		Counters    []*counters.Class // by place
-		KeptClasses map[int]string    // names of the classes whose results are kept, by place
+		Counters    []*counters.Class // by class index
+		KeptClasses map[int]string    // names of the classes whose results are kept, by class index
 	}
 )
 
@@ -167,11 +169,11 @@
 func (SiblingLoad) input()    {}
 func (ChangeSettings) input() {}
 
-// An Output is something that the drivers must do at once.
+// An Output is an action that the drivers must carry out immediately.
 type Output interface{ output() }
 
 type (
-	// Reply hands an answer to a connection.
+	// Reply sends an answer to a connection.
 	Reply struct {
 		To Sink
 		Answer
@@ -184,23 +186,23 @@
 	}
 	// Suspend stops a run.
 	Suspend struct{ ID string }
-	// Poll asks for the gauges.
+	// Poll requests the gauges of the worker pool.
 	Poll struct{}
-	// Verify asks for the work of a deep check.
+	// Verify starts the work of a deep health check.
 	Verify struct{ Tag string }
-	// SetIdleTimeout sets how long connections may be idle.
+	// SetIdleTimeout sets how many milliseconds connections may be idle.
 	SetIdleTimeout struct{ After float64 }
-	// Ready tells that the worker pool is up and the module serves.
+	// Ready reports that the worker pool is up and the decision module serves requests.
 	Ready struct{ Cold bool }
-	// DrainStarted tells that the node drains.
+	// DrainStarted reports that the node starts to drain.
 	DrainStarted struct{}
-	// DrainConns tells that a node that leaves wants no more requests.
+	// DrainConns reports that a draining node accepts no more requests on its connections.
 	DrainConns struct{}
-	// StopAccepting tells that no new connection is wanted: the end is near.
+	// StopAccepting closes the listeners shortly before the process stops.
 	StopAccepting struct{}
-	// DrainFinished tells that all is answered and the process may end.
+	// DrainFinished reports that all requests are answered and the process may exit.
 	DrainFinished struct{}
-	// LogEvent is an event for the log: a word, then names and values in turn.
+	// LogEvent is a log entry: an event word, then alternating names and values.
 	LogEvent struct {
 		Event string
 		Pairs []any
@@ -220,143 +222,146 @@
 func (DrainFinished) output()  {}
 func (LogEvent) output()       {}
 
-// Times of the core's own, in milliseconds.
+// Time limits of the core, in milliseconds.
 const (
-	gaugeWait = 8    // a timer waits so long for fresh gauges, then it goes without
-	checkWait = 1500 // a deep check that got no word of its work by then is bad
-	maxAhead  = 1000 // a request that claims to come later than this from now is taken to come now
-	writeWait = 1000 // a peer that takes an answer no sooner is cut
-	wayBack   = 20   // an answer is given so long before its caller stops waiting, to be read in time
-	backstop  = 30   // a request that the module left without an answer so long after it fell due is failed
-	deafAt    = 400  // this long before the stop no new connection is taken
-	quietAt   = 250  // and this long before it, the process ends once all is answered
-	lastAt    = 60   // whatever is open then is failed
+	gaugeTimeoutMs     = 8    // how long a timer waits for fresh gauges before it fires without them
+	checkTimeoutMs     = 1500 // a deep health check whose work has not ended by then fails
+	maxClockAheadMs    = 1000 // a request whose arrival time is further in the future counts as arriving now
+	writeTimeoutMs     = 1000 // a peer that has not read an answer by then is disconnected
+	returnMarginMs     = 20   // an answer is sent this long before its caller stops waiting, to arrive in time
+	unansweredGraceMs  = 30   // a request that the module left unanswered this long past its due time is failed
+	stopAcceptMarginMs = 400  // no new connection is accepted from this long before the stop
+	idleExitMarginMs   = 250  // from this long before the stop the process exits once all requests are answered
+	failAllMarginMs    = 60   // requests still open this long before the stop are failed
 )
 
-// request is a request that is owed an answer or whose run is not over.
+// request is a request that has no answer yet or whose run has not ended.
 type request struct {
 	*Request
-	open    bool // an answer is owed
-	running bool // a run was started and is not over
-	queued  bool // and its start waits for the link to the worker pool
-	doubt   bool // it may never have been started: the module counts on it no more, but word may come
-
-	op      bool   // it has an operation in Core.ops
-	key     string // of it
-	of      string // the request that it repeats, which the module knows of
-	writing bool   // its run waits for the disk
-	ending  bool   // its run is over, and the answer waits for the disk
+	open    bool // it has no final answer yet
+	running bool // a run was started and has not ended
+	queued  bool // running is set, but the start waits for the link to the worker pool
+	inDoubt bool // it may never have started: the module no longer counts it, but a notice of its end may still come
+
+	hasOp         bool   // Core.ops has an operation for it
+	opKey         string // key of that operation
+	repeatOf      string // id of the request that it repeats, which the module knows
+	intentPending bool   // its run waits until the intent is durable
+	endPending    bool   // its run has ended, and the answer waits until that is durable
 }
 
-// queue is a heap of what is due, the soonest first.
-type queue[T any] []due[T]
+// dueHeap is a min-heap of items by due time.
+type dueHeap[T any] []dueItem[T]
 
-type due[T any] struct {
-	at   float64
-	what T
+type dueItem[T any] struct {
+	at    float64
+	value T
 }
 
-func (q queue[T]) Len() int           { return len(q) }
-func (q queue[T]) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q queue[T]) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue[T]) Push(x any)        { *q = append(*q, x.(due[T])) }
-func (q *queue[T]) Pop() any {
+func (q dueHeap[T]) Len() int           { return len(q) }
+func (q dueHeap[T]) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q dueHeap[T]) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *dueHeap[T]) Push(x any)        { *q = append(*q, x.(dueItem[T])) }
+func (q *dueHeap[T]) Pop() any {
 	last := (*q)[len(*q)-1]
-	(*q)[len(*q)-1] = due[T]{} // it must not be kept from the collector
+	(*q)[len(*q)-1] = dueItem[T]{} // let the garbage collector free it
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-type check struct {
+// pendingCheck is a deep health check whose work has not ended.
+type pendingCheck struct {
 	HealthCheck
-	tag string
-	by  float64
+	tag      string
+	deadline float64
 }
 
-// Core keeps the books of one node. Create it with New.
+// Core holds the request state of one node. Create it with New.
 type Core struct {
 	settings whinrudder.Settings
 	seed     uint64
 	policy   *whinrudder.Policy // nil until the worker pool is up
 
 	now     float64
-	events  []whinrudder.Event
-	actions []whinrudder.Action
-	out     []Output
-
-	reqs   map[string]*request
-	open   int // requests that are owed an answer
-	recent ring
-	keys   *keyTable
-
-	latest queue[*request] // open requests by when the core itself answers them, and some that are answered
-	wakes  queue[uint64]   // timers by their tokens
-	asked  []uint64        // timers that wait for gauges
-	askBy  float64         // and until when
-	linked bool
-	queue  []string // runs to be started once the link is in step
-
-	checks []check
-	tags   int
-	health whinrudder.Health
-	load   float64
-
-	ops    *ops.Table     // nil: no results are kept, or another process of the node does
-	kept   map[int]string // names of the classes whose results are
-	yields bool           // another process is to have the operations
-
-	counts []*counters.Class // by the place of the class; nil: nobody reads them
-	cold   bool              // the worker pool was, when it came up
-	away   bool              // operators have sent the clients away
-	beside whinrudder.Beside // what another process of this node has in hand
-	shares bool              // ids that are read are kept for it
-	fresh  []string          // those that it was not told of
-
-	taught *knowledge.Prior          // waits for the module to be there
-	trial  *knowledge.PriorValidator // of a prior, against own runs; nil without one
-
-	leaving   bool
-	succeeded bool // another process of this node takes over
-	stopAt    float64
-	deaf      bool
-	ended     bool
+	events  []whinrudder.Event  // for the next step of the module
+	actions []whinrudder.Action // reused buffer
+	out     []Output            // of the current call of Step
+
+	requests  map[string]*request
+	openCount int // number of requests without a final answer
+	recentIDs idHistory
+	keys      *keyTable
+
+	// answerDeadlines holds the open requests by the time at which the core answers them itself. It may also hold
+	// requests that are already answered.
+	answerDeadlines      dueHeap[*request]
+	wakeups              dueHeap[uint64] // tokens of the module's timers
+	timersAwaitingGauges []uint64        // tokens of due timers that wait for gauges
+	gaugesDueAt          float64         // when those fire without gauges
+	linkSynced           bool
+	startQueue           []string // ids of the runs to start once the link is synchronized
+
+	checks     []pendingCheck
+	checkCount int               // deep checks started so far, for their tags
+	health     whinrudder.Health // as last reported by the module
+	credit     float64           // as last reported by the module; negative: none
+
+	ops         *ops.Table     // nil: no results are kept, or another process of the node keeps them
+	keptClasses map[int]string // names of the classes whose results are kept, by class index
+	yieldingOps bool           // the operations are being given up to another process of the node
+
+	counters      []*counters.Class // by class index; nil: nothing is counted
+	poolCold      bool              // the worker pool was cold when it came up
+	operatorDrain bool              // an operator turned the drain of clients on
+	siblingLoad   whinrudder.Beside // load of another process of this node
+	sharingIDs    bool              // ids of new requests are collected for that process
+	unsharedIDs   []string          // collected ids that it has not received yet
+
+	pendingPrior   *knowledge.Prior          // waits until the module is created
+	priorValidator *knowledge.PriorValidator // checks the adopted prior against this node's own runs; nil: no prior
+
+	draining      bool
+	hasSuccessor  bool // another process of this node has taken over
+	stopAt        float64
+	acceptStopped bool // StopAccepting was sent
+	drainFinished bool // DrainFinished was sent
 }
 
-// New returns the core of a node that starts now.
+// New returns the core of a node that has just started.
 func New(s whinrudder.Settings, seed uint64) (*Core, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	c := &Core{settings: s, seed: seed, reqs: map[string]*request{}, keys: newKeyTable(), load: -1}
+	c := &Core{settings: s, seed: seed, requests: map[string]*request{}, keys: newKeyTable(), credit: -1}
 	for _, k := range s.Classes {
-		c.recent.keep = max(c.recent.keep, k.Deadline+maxAhead)
+		c.recentIDs.retentionMs = max(c.recentIDs.retentionMs, k.Deadline+maxClockAheadMs)
 	}
 	return c, nil
 }
 
-// Known tells whether a request of this id was read lately.
-func (c *Core) known(id string) bool { return c.reqs[id] != nil || c.recent.has(id) }
+// isKnown reports whether a request with this id is in the table or ended recently.
+func (c *Core) isKnown(id string) bool { return c.requests[id] != nil || c.recentIDs.has(id) }
 
-// Step takes all that is ready and returns what is to be done, in order. The result is valid until the next
-// call. The clock may stand still but not go back; a now that lies in the past is taken as the last one.
+// Step handles the given inputs and all due timers and returns the outputs to carry out, in order. The result is
+// valid until the next call. Time does not go backwards: a now before that of the previous call counts as that one.
 func (c *Core) Step(now float64, in []Input) []Output {
 	c.now = max(c.now, now)
 	c.out = c.out[:0]
 	for _, i := range in {
-		c.take(i)
+		c.handleInput(i)
 	}
-	c.timers()
-	c.step()
-	c.overdue()
+	c.fireTimers()
+	c.stepModule()
+	c.failOverdue()
 	if c.ops != nil {
-		c.step()
-		c.release()
+		c.stepModule()
+		c.releaseOps()
 	}
-	c.leave()
+	c.advanceDrain()
 	return c.out
 }
 
-// Next returns when Step must be called again at the latest, or 0 if there is nothing to wait for.
+// Next returns the latest time at which Step must be called again, or 0 if nothing is scheduled.
 func (c *Core) Next() float64 {
 	next := 0.0
 	sooner := func(at float64) {
@@ -364,29 +369,29 @@
 			next = at
 		}
 	}
-	if len(c.wakes) > 0 {
-		sooner(c.wakes[0].at)
+	if len(c.wakeups) > 0 {
+		sooner(c.wakeups[0].at)
 	}
-	if len(c.asked) > 0 {
-		sooner(c.askBy)
+	if len(c.timersAwaitingGauges) > 0 {
+		sooner(c.gaugesDueAt)
 	}
 	for _, k := range c.checks {
-		sooner(k.by)
+		sooner(k.deadline)
 	}
 	if c.ops != nil {
 		if at := c.ops.WakeAt(); at > 0 {
 			sooner(at)
 		}
 	}
-	for len(c.latest) > 0 && !c.latest[0].what.open {
-		heap.Pop(&c.latest)
+	for len(c.answerDeadlines) > 0 && !c.answerDeadlines[0].value.open {
+		heap.Pop(&c.answerDeadlines)
 	}
-	if len(c.latest) > 0 {
-		sooner(c.latest[0].at)
+	if len(c.answerDeadlines) > 0 {
+		sooner(c.answerDeadlines[0].at)
 	}
-	if c.leaving && !c.ended {
-		for _, before := range []float64{deafAt, quietAt, lastAt} {
-			if at := c.stopAt - before; at > c.now {
+	if c.draining && !c.drainFinished {
+		for _, margin := range []float64{stopAcceptMarginMs, idleExitMarginMs, failAllMarginMs} {
+			if at := c.stopAt - margin; at > c.now {
 				sooner(at)
 			}
 		}
@@ -394,129 +399,130 @@
 	return next
 }
 
-// Open tells how many requests are owed an answer.
-func (c *Core) Open() int { return c.open }
+// Open returns the number of requests without a final answer.
+func (c *Core) Open() int { return c.openCount }
 
-func (c *Core) do(o Output)                   { c.out = append(c.out, o) }
-func (c *Core) event(e whinrudder.Event)      { c.events = append(c.events, e) }
-func (c *Core) log(word string, pairs ...any) { c.do(LogEvent{word, pairs}) }
-func id(s string) whinrudder.RequestID        { return whinrudder.RequestID(s) }
-func (c *Core) direct(to Sink, a Answer)      { c.do(Reply{to, c.dress(a)}) }
-func (c *Core) good(on bool) (a Answer) {
-	if !on {
+func (c *Core) emit(o Output)                      { c.out = append(c.out, o) }
+func (c *Core) addEvent(e whinrudder.Event)        { c.events = append(c.events, e) }
+func (c *Core) logEvent(word string, pairs ...any) { c.emit(LogEvent{word, pairs}) }
+func id(s string) whinrudder.RequestID             { return whinrudder.RequestID(s) }
+func (c *Core) reply(to Sink, a Answer)            { c.emit(Reply{to, c.withConnectionInfo(a)}) }
+func (c *Core) healthAnswer(healthy bool) (a Answer) {
+	if !healthy {
 		a.Outcome = Failed
 	}
 	return a
 }
 
-// dress adds to an answer what all answers carry.
-func (c *Core) dress(a Answer) Answer {
-	// A node that leaves keeps connections for as long as the module calls it good: new ones cost the cores work.
-	a.Credit, a.Close, a.WriteDeadline = c.load, c.leaving && !c.health.Healthy, c.now+writeWait
+// withConnectionInfo adds the credit, the close flag and the write deadline that all answers carry.
+func (c *Core) withConnectionInfo(a Answer) Answer {
+	// A draining node keeps connections for as long as the module calls it healthy: new ones cost CPU time.
+	a.Credit, a.Close, a.WriteDeadline = c.credit, c.draining && !c.health.Healthy, c.now+writeTimeoutMs
 	return a
 }
 
-// answer gives the final answer of a request, unless it has one.
+// answer sends the final answer of a request, unless it already has one.
 func (c *Core) answer(r *request, a Answer) {
 	if !r.open {
 		return
 	}
 	a.ID = r.ID
-	c.direct(r.ReplyTo, a)
-	c.told(r.Class, a.Outcome)
-	c.close(r)
+	c.reply(r.ReplyTo, a)
+	c.countAnswer(r.Class, a.Outcome)
+	c.closeRequest(r)
 }
 
-// close ends what is owed for a request. It may stay in a queue for a while; its body need not.
-func (c *Core) close(r *request) {
+// closeRequest marks a request as needing no answer. It may stay in a heap for a while, so its body is released.
+func (c *Core) closeRequest(r *request) {
 	r.open, r.Body = false, nil
-	c.open--
-	c.unqueue(r)
-	if r.op && r.doubt {
-		c.ops.MarkInDoubt(c.now, r.ID) // nobody is left who would wait for word until it falls due
+	c.openCount--
+	c.cancelUnstarted(r)
+	if r.hasOp && r.inDoubt {
+		c.ops.MarkInDoubt(c.now, r.ID) // no caller is left that would wait for the end until the due time
 	}
-	if r.op {
+	if r.hasOp {
 		c.ops.Detach(c.now, r.ID)
 	}
-	c.drop(r)
+	c.forgetIfDone(r)
 }
 
-// unqueue ends a run whose start never left: it provably did not run, and nothing must start it later.
-func (c *Core) unqueue(r *request) {
-	if (r.queued || r.writing) && !r.open {
-		r.queued, r.writing, r.running = false, false, false
-		c.event(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Moot})
-		if r.op {
+// cancelUnstarted ends a run whose start was never sent: it provably did not run, and it must not start later.
+func (c *Core) cancelUnstarted(r *request) {
+	if (r.queued || r.intentPending) && !r.open {
+		r.queued, r.intentPending, r.running = false, false, false
+		c.addEvent(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Moot})
+		if r.hasOp {
 			c.ops.Cancel(c.now, r.ID)
 		}
 	}
 }
 
-// drop forgets a request of which nothing more can come, or is waited for.
-func (c *Core) drop(r *request) {
-	if !r.open && (!r.running || r.doubt) && c.reqs[r.ID] == r {
-		delete(c.reqs, r.ID)
-		c.keys.gone(r.ID)
-		c.recent.add(r.ID, c.now)
+// forgetIfDone removes a request from the table if it is answered and no end of its run is expected.
+func (c *Core) forgetIfDone(r *request) {
+	if !r.open && (!r.running || r.inDoubt) && c.requests[r.ID] == r {
+		delete(c.requests, r.ID)
+		c.keys.forgetRepeat(r.ID)
+		c.recentIDs.add(r.ID, c.now)
 	}
 }
 
-func (c *Core) take(i Input) {
+// handleInput dispatches one input.
+func (c *Core) handleInput(i Input) {
 	switch i := i.(type) {
 	case RequestArrived:
-		c.arrived(i.Request)
+		c.handleArrival(i.Request)
 	case CallerGone:
-		if r := c.reqs[i.ID]; r != nil && r.open {
-			c.event(whinrudder.Gone{ID: id(r.ID)})
-			c.close(r)
+		if r := c.requests[i.ID]; r != nil && r.open {
+			c.addEvent(whinrudder.Gone{ID: id(r.ID)})
+			c.closeRequest(r)
 		}
 	case HealthCheck:
-		c.checked(i)
+		c.handleHealthCheck(i)
 	case StopNotice:
-		if !c.leaving {
-			c.leaving, c.stopAt, c.succeeded = true, i.StopAt, i.HasSuccessor
-			c.event(whinrudder.Notice{StopAt: i.StopAt, HandedOver: i.HasSuccessor})
-			c.do(DrainStarted{})
+		if !c.draining {
+			c.draining, c.stopAt, c.hasSuccessor = true, i.StopAt, i.HasSuccessor
+			c.addEvent(whinrudder.Notice{StopAt: i.StopAt, HandedOver: i.HasSuccessor})
+			c.emit(DrainStarted{})
 		}
 	case PoolReady:
-		c.bound(i)
+		c.handlePoolReady(i)
 	case LinkSynced:
-		c.linked = true
-		c.synced(i.InDoubt)
+		c.linkSynced = true
+		c.handleLinkSynced(i.InDoubt)
 	case LinkLost:
-		c.linked = false
+		c.linkSynced = false
 	case RunFinished:
-		c.finished(i)
+		c.handleRunFinished(i)
 	case RunNotStarted:
-		c.finished(RunFinished{ID: i.ID, End: RunMoot})
+		c.handleRunFinished(RunFinished{ID: i.ID, End: RunMoot})
 	case GaugesRead:
-		for _, w := range c.asked {
-			c.event(whinrudder.Timer{Token: w, Gauges: i.Gauges})
+		for _, w := range c.timersAwaitingGauges {
+			c.addEvent(whinrudder.Timer{Token: w, Gauges: i.Gauges})
 		}
-		c.asked = c.asked[:0]
+		c.timersAwaitingGauges = c.timersAwaitingGauges[:0]
 	case CheckFinished:
-		c.verified(i)
+		c.handleCheckFinished(i)
 	case QueryKnowledge:
-		c.tell(i)
+		c.replyKnowledge(i)
 	case AdoptPrior:
-		c.teach(i.Prior)
+		c.adoptPrior(i.Prior)
 	case OperatorDrain:
-		c.away = i.On
-		c.event(whinrudder.Drain{On: i.On})
-		c.log("clients", "code", map[bool]string{true: "sent-away", false: "taken-back"}[i.On])
+		c.operatorDrain = i.On
+		c.addEvent(whinrudder.Drain{On: i.On})
+		c.logEvent("clients", "code", map[bool]string{true: "sent-away", false: "taken-back"}[i.On])
 		if i.Done != nil {
 			i.Done()
 		}
 	case QueryLoad:
-		c.share(i)
+		c.handleQueryLoad(i)
 	case SiblingLoad:
-		c.besides(i)
+		c.handleSiblingLoad(i)
 	case ChangeSettings:
-		c.retune(i)
+		c.changeSettings(i)
 	case YieldOps:
-		c.yield(i.On)
+		c.setYieldOps(i.On)
 	case AdoptOps:
-		c.adopt(i.Table)
+		c.adoptOps(i.Table)
 	case Appended:
 		c.ops.WritesDurable(c.now, i.Positions, i.Segments)
 	case AppendFailed:
@@ -524,157 +530,163 @@
 	case CopyUnreadable:
 		c.ops.CopyUnreadable(c.now)
 	case RecordFetched:
-		c.fetched(i)
+		c.handleRecordFetched(i)
 	case SegmentDropped:
 		c.ops.SegmentDropped(c.now, i.Segment, i.Err == nil, i.Segments)
 	case Resolve:
-		c.resolve(i)
+		c.resolveOp(i)
 	}
 }
 
-// bound creates the module once the worker pool is up. The first step for a cold server is taken at the instant at
-// which the pool started: that is when its warming began. Of a warm one the past says nothing, and the module would
-// take the timers of its first step, an hour late, for a stall.
-func (c *Core) bound(b PoolReady) {
+// handlePoolReady creates the decision module once the worker pool is up. For a cold pool the module's first step has
+// the time at which the pool started, because its warm-up began then. For a warm pool it has the current time: if the
+// pool started an hour ago, the timers of such a first step would be an hour late, which the module would take for a
+// stall.
+func (c *Core) handlePoolReady(ready PoolReady) {
 	if c.policy != nil {
 		return
 	}
-	c.cold = b.Cold
+	c.poolCold = ready.Cold
 	s := c.settings
-	s.Cold = b.Cold
-	p, err := whinrudder.New(s, c.seed)
+	s.Cold = ready.Cold
+	policy, err := whinrudder.New(s, c.seed)
 	if err != nil {
-		c.log("module", "fault", err)
+		c.logEvent("module", "fault", err)
 		return
 	}
-	c.policy = p
-	if !b.Cold {
-		b.Age = 0
+	c.policy = policy
+	if !ready.Cold {
+		ready.Age = 0
 	}
-	c.act(p.Step(c.now-b.Age, nil, c.actions[:0]))
-	c.do(Ready{b.Cold})
-	if c.taught != nil {
-		c.teach(*c.taught)
+	c.applyActions(policy.Step(c.now-ready.Age, nil, c.actions[:0]))
+	c.emit(Ready{ready.Cold})
+	if c.pendingPrior != nil {
+		c.adoptPrior(*c.pendingPrior)
 	}
-	if c.away {
-		c.event(whinrudder.Drain{On: true})
+	if c.operatorDrain {
+		c.addEvent(whinrudder.Drain{On: true})
 	}
-	if c.beside != (whinrudder.Beside{}) {
-		c.event(c.beside)
+	if c.siblingLoad != (whinrudder.Beside{}) {
+		c.addEvent(c.siblingLoad)
 	}
-	if c.leaving {
-		c.event(whinrudder.Notice{StopAt: c.stopAt, HandedOver: c.succeeded})
+	if c.draining {
+		c.addEvent(whinrudder.Notice{StopAt: c.stopAt, HandedOver: c.hasSuccessor})
 	}
 }
 
-func (c *Core) arrived(q *Request) {
-	if ahead := q.ArrivedAt - c.now; ahead > maxAhead {
-		q.ArrivedAt, q.Due = c.now, q.Due-ahead // a stamp of the future would keep its timers for as long
-	}
-	sc := c.settings.Classes[q.Class]
-	q.Due = min(q.Due, q.ArrivedAt+sc.Deadline) // no caller waits longer, and timers are kept for as long as it says
-	r := &request{Request: q, open: true}
-	if c.known(q.ID) {
-		// Never to the module, and never to the pool: an id that ran once must not run again.
-		c.log("request", "id", q.ID, "code", "duplicate")
-		c.direct(q.ReplyTo, Answer{ID: q.ID, Outcome: Duplicate})
-		c.told(q.Class, Duplicate)
+// handleArrival adds a request to the table and passes it to the module, or answers it at once.
+func (c *Core) handleArrival(req *Request) {
+	if ahead := req.ArrivedAt - c.now; ahead > maxClockAheadMs {
+		req.ArrivedAt, req.Due = c.now, req.Due-ahead // otherwise its timers would stay pending too long
+	}
+	class := c.settings.Classes[req.Class]
+	// No caller waits longer than the deadline of the class, and the request's timers are kept until it is due.
+	req.Due = min(req.Due, req.ArrivedAt+class.Deadline)
+	r := &request{Request: req, open: true}
+	if c.isKnown(req.ID) {
+		// A duplicate reaches neither the module nor the pool: an id that ran once must not run again.
+		c.logEvent("request", "id", req.ID, "code", "duplicate")
+		c.reply(req.ReplyTo, Answer{ID: req.ID, Outcome: Duplicate})
+		c.countAnswer(req.Class, Duplicate)
 		return
 	}
-	c.reqs[q.ID] = r
-	if c.shares && len(c.fresh) < maxIDs {
-		c.fresh = append(c.fresh, q.ID)
+	c.requests[req.ID] = r
+	if c.sharingIDs && len(c.unsharedIDs) < maxRememberedIDs {
+		c.unsharedIDs = append(c.unsharedIDs, req.ID)
 	}
-	c.open++
-	heap.Push(&c.latest, due[*request]{q.Due + backstop, r})
-	// Nothing can run: the worker pool is not up, or nobody waits any more. A stamp of long ago must not make the
-	// module believe that requests wait unread.
-	if c.policy == nil || c.now-q.ArrivedAt > sc.Deadline {
+	c.openCount++
+	heap.Push(&c.answerDeadlines, dueItem[*request]{req.Due + unansweredGraceMs, r})
+	// Refuse it if the worker pool is not up or no caller can be waiting any more. An arrival time long ago must not
+	// make the module believe that requests wait unread for that long.
+	if c.policy == nil || c.now-req.ArrivedAt > class.Deadline {
 		c.answer(r, Answer{Outcome: Refused})
 		return
 	}
-	if q.Token != "" && c.keeps(q.Class) && !c.begin(r) {
+	if req.Token != "" && c.keepsResults(req.Class) && !c.beginOp(r) {
 		return
 	}
-	a := whinrudder.Arrival{ID: id(q.ID), RepeatOf: id(r.of), Due: q.Due - wayBack, Caller: q.Caller, ReadDelay: max(0, c.now-q.ArrivedAt), MemoryKB: q.KB,
-		Rank: q.Rank, Key: q.Key, Class: q.Class, Write: sc.Repeat != whinrudder.Safe}
-	if c.settings.Fresh > 0 && sc.Repeat == whinrudder.Safe && q.Key != "" {
-		a.RepeatOf = id(c.keys.repeats(q, c.now))
+	arrival := whinrudder.Arrival{ID: id(req.ID), RepeatOf: id(r.repeatOf), Due: req.Due - returnMarginMs,
+		Caller: req.Caller, ReadDelay: max(0, c.now-req.ArrivedAt), MemoryKB: req.KB,
+		Rank: req.Rank, Key: req.Key, Class: req.Class, Write: class.Repeat != whinrudder.Safe}
+	if c.settings.Fresh > 0 && class.Repeat == whinrudder.Safe && req.Key != "" {
+		arrival.RepeatOf = id(c.keys.repeatedID(req, c.now))
 	}
-	c.event(a)
+	c.addEvent(arrival)
 }
 
-// synced starts again what may be started again once the notices of a broken link are all read. A write that the
-// broken link may have lost may also run or have run unseen, even if it ended after the fence: it is not started
-// again, and unless its end is heard of, it is failed when it falls due. Most of these never ran, so the module is
-// told at once that it is over: one that was counted on would fill a place in the limit for ever.
-func (c *Core) synced(unsure []string) {
-	for _, s := range unsure {
-		r := c.reqs[s]
-		if r == nil || !r.running || r.doubt {
+// handleLinkSynced restarts the runs in doubt that may be repeated, once all notices of a broken link are read. A
+// write whose start the broken link may have lost may also be running or have run unseen, even if it ended after the
+// fence: it is not started again, and it is failed shortly before its due time unless a notice of its end comes. Most
+// of these never ran, so the module gets their end at once: otherwise each would occupy a slot of the concurrency
+// limit forever.
+func (c *Core) handleLinkSynced(inDoubt []string) {
+	for _, runID := range inDoubt {
+		r := c.requests[runID]
+		if r == nil || !r.running || r.inDoubt {
 			continue
 		}
 		if r.open && c.settings.Classes[r.Class].Repeat == whinrudder.Safe {
 			c.spawn(r)
 			continue
 		}
-		if r.op && !r.open {
+		if r.hasOp && !r.open {
 			c.ops.MarkInDoubt(c.now, r.ID)
 		}
 		if r.open {
-			c.log("run", "id", s, "code", "doubt")
+			c.logEvent("run", "id", runID, "code", "doubt")
 		} else if c.settings.Classes[r.Class].Repeat == whinrudder.Safe {
-			c.do(Suspend{r.ID}) // nobody waits for it
+			c.emit(Suspend{r.ID}) // no caller waits for it
 		}
-		r.doubt = true
-		heap.Push(&c.latest, due[*request]{r.Due - wayBack, r})
-		c.event(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Error})
-		c.drop(r)
+		r.inDoubt = true
+		heap.Push(&c.answerDeadlines, dueItem[*request]{r.Due - returnMarginMs, r})
+		c.addEvent(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Error})
+		c.forgetIfDone(r)
 	}
-	for _, s := range c.queue {
-		if r := c.reqs[s]; r != nil && r.queued {
+	for _, runID := range c.startQueue {
+		if r := c.requests[runID]; r != nil && r.queued {
 			r.queued = false
 			c.spawn(r)
 		}
 	}
-	c.queue = c.queue[:0]
+	c.startQueue = c.startQueue[:0]
 }
 
-// queueLeast is from how many starts on the queue for the link is looked through for those that nobody waits for.
-const queueLeast = 64
+// startQueueTrimMin is the length in runs from which the start queue is searched for runs that are no longer queued.
+const startQueueTrimMin = 64
 
-// enqueue keeps a start for when the link is in step. While it is down, starts come and fall due for as long as it
-// takes: the queue stays within twice of what is in hand.
-func (c *Core) enqueue(id string) {
-	if len(c.queue) >= max(queueLeast, 2*len(c.reqs)) {
-		c.queue = slices.DeleteFunc(c.queue, func(s string) bool { r := c.reqs[s]; return r == nil || !r.queued })
+// enqueueStart holds the start of a run until the link is synchronized. While the link is down, new starts keep
+// coming and old ones fall due, so the queue is trimmed to stay within twice the number of requests in the table.
+func (c *Core) enqueueStart(id string) {
+	if len(c.startQueue) >= max(startQueueTrimMin, 2*len(c.requests)) {
+		c.startQueue = slices.DeleteFunc(c.startQueue, func(s string) bool { r := c.requests[s]; return r == nil || !r.queued })
 	}
-	c.queue = append(c.queue, id)
+	c.startQueue = append(c.startQueue, id)
 }
 
-func (c *Core) finished(f RunFinished) {
-	r := c.reqs[f.ID]
-	keeps := c.ops != nil && c.opEnded(f) // one of an earlier life may be of use, too
+// handleRunFinished ends a run and answers its request, or has the answer wait until the end is durable.
+func (c *Core) handleRunFinished(f RunFinished) {
+	r := c.requests[f.ID]
+	awaitsEnd := c.ops != nil && c.finishOp(f) // a run that a previous process started may have an operation, too
 	if r == nil || !r.running {
-		return // of a life that is over, or told twice
+		return // a run of a previous process, or a repeated notice
 	}
 	r.running = false
-	c.event(whinrudder.Ended{ID: id(r.ID), Code: endCodes[f.End], Latency: f.Latency})
-	c.keys.ended(r.ID, f.End == RunOK, f.Result, c.now, c.settings.Fresh, c.reuse)
-	if keeps && r.open {
-		r.ending = true
-		heap.Push(&c.latest, due[*request]{r.Due - wayBack, r})
+	c.addEvent(whinrudder.Ended{ID: id(r.ID), Code: endCodes[f.End], Latency: f.Latency})
+	c.keys.runEnded(r.ID, f.End == RunOK, f.Result, c.now, c.settings.Fresh, c.answerRepeat)
+	if awaitsEnd && r.open {
+		r.endPending = true
+		heap.Push(&c.answerDeadlines, dueItem[*request]{r.Due - returnMarginMs, r})
 	} else if f.End == RunOK {
 		c.answer(r, Answer{Outcome: Served, Result: f.Result})
 	} else {
-		c.fail(r) // a run that ended without a result leaves nothing to wait for
+		c.failRequest(r) // no result will come
 	}
-	c.drop(r)
+	c.forgetIfDone(r)
 }
 
-// reuse answers a request with the result of the one that it repeats.
-func (c *Core) reuse(s string, ok bool, result []byte) {
-	r := c.reqs[s]
+// answerRepeat answers a request with the result of the one that it repeats.
+func (c *Core) answerRepeat(requestID string, ok bool, result []byte) {
+	r := c.requests[requestID]
 	if r == nil || !r.open {
 		return
 	}
@@ -683,172 +695,176 @@
 		c.answer(r, Answer{Outcome: Served, Result: result})
 	} else {
 		code = whinrudder.Error
-		c.fail(r)
+		c.failRequest(r)
 	}
-	c.event(whinrudder.Ended{ID: id(s), Code: code})
+	c.addEvent(whinrudder.Ended{ID: id(requestID), Code: code})
 }
 
-func (c *Core) checked(k HealthCheck) {
+// handleHealthCheck answers a health check, or starts the work of a deep one.
+func (c *Core) handleHealthCheck(k HealthCheck) {
 	switch {
 	case c.policy == nil:
-		c.direct(k.ReplyTo, c.good(false)) // the worker pool is not up
+		c.reply(k.ReplyTo, c.healthAnswer(false)) // the worker pool is not up
 	case c.health.Cached || !k.Deep:
-		c.direct(k.ReplyTo, c.good(c.health.Healthy))
-	case !c.linked || len(c.checks) >= maxChecks:
-		c.direct(k.ReplyTo, c.good(false))
+		c.reply(k.ReplyTo, c.healthAnswer(c.health.Healthy))
+	case !c.linkSynced || len(c.checks) >= maxDeepChecks:
+		c.reply(k.ReplyTo, c.healthAnswer(false))
 	default:
-		c.tags++
-		tag := fmt.Sprint("check", c.tags)
-		c.checks = append(c.checks, check{k, tag, c.now + checkWait})
-		c.do(Verify{tag})
+		c.checkCount++
+		tag := fmt.Sprint("check", c.checkCount)
+		c.checks = append(c.checks, pendingCheck{k, tag, c.now + checkTimeoutMs})
+		c.emit(Verify{tag})
 	}
 }
 
-const maxChecks = 64 // deep checks at work at a time; more are bad at once
+const maxDeepChecks = 64 // concurrent deep health checks; further ones fail at once
 
-func (c *Core) verified(v CheckFinished) {
-	c.checks = slices.DeleteFunc(c.checks, func(k check) bool {
+// handleCheckFinished answers the deep health check whose work ended.
+func (c *Core) handleCheckFinished(v CheckFinished) {
+	c.checks = slices.DeleteFunc(c.checks, func(k pendingCheck) bool {
 		if k.tag == v.Tag {
-			c.direct(k.ReplyTo, c.good(v.OK))
+			c.reply(k.ReplyTo, c.healthAnswer(v.OK))
 		}
 		return k.tag == v.Tag
 	})
 }
 
-// timers tells the module of the timers that are due. One with a token wants gauges as of now: they are asked
-// for, and if they don't come at once, the timer goes without.
-func (c *Core) timers() {
-	none := whinrudder.Gauges{CPU: -1}
-	if len(c.asked) > 0 && c.now >= c.askBy {
-		for _, w := range c.asked {
-			c.event(whinrudder.Timer{Token: w, Gauges: none})
+// fireTimers passes due timers to the module and fails overdue deep checks. A timer with a token needs current
+// gauges: they are requested, and if they don't arrive within gaugeTimeoutMs, the timer fires without them.
+func (c *Core) fireTimers() {
+	noGauges := whinrudder.Gauges{CPU: -1}
+	if len(c.timersAwaitingGauges) > 0 && c.now >= c.gaugesDueAt {
+		for _, token := range c.timersAwaitingGauges {
+			c.addEvent(whinrudder.Timer{Token: token, Gauges: noGauges})
 		}
-		c.asked = c.asked[:0]
+		c.timersAwaitingGauges = c.timersAwaitingGauges[:0]
 	}
-	for len(c.wakes) > 0 && c.wakes[0].at <= c.now {
-		w := heap.Pop(&c.wakes).(due[uint64]).what
-		if w == 0 || !c.linked {
-			c.event(whinrudder.Timer{Token: w, Gauges: none})
+	for len(c.wakeups) > 0 && c.wakeups[0].at <= c.now {
+		token := heap.Pop(&c.wakeups).(dueItem[uint64]).value
+		if token == 0 || !c.linkSynced {
+			c.addEvent(whinrudder.Timer{Token: token, Gauges: noGauges})
 			continue
 		}
-		if len(c.asked) == 0 {
-			c.askBy = c.now + gaugeWait
-			c.do(Poll{})
+		if len(c.timersAwaitingGauges) == 0 {
+			c.gaugesDueAt = c.now + gaugeTimeoutMs
+			c.emit(Poll{})
 		}
-		c.asked = append(c.asked, w)
+		c.timersAwaitingGauges = append(c.timersAwaitingGauges, token)
 	}
-	c.checks = slices.DeleteFunc(c.checks, func(k check) bool {
-		if c.now >= k.by {
-			c.direct(k.ReplyTo, c.good(false))
+	c.checks = slices.DeleteFunc(c.checks, func(k pendingCheck) bool {
+		if c.now >= k.deadline {
+			c.reply(k.ReplyTo, c.healthAnswer(false))
 		}
-		return c.now >= k.by
+		return c.now >= k.deadline
 	})
 }
 
-// step makes one step of the module for all events. What its actions bring about at once is the next step's.
-func (c *Core) step() {
-	for c.effects(); c.policy != nil && len(c.events) > 0; c.effects() {
+// stepModule carries out the effects of the operation table and steps the module with all collected events, until its
+// actions cause no new ones.
+func (c *Core) stepModule() {
+	for c.applyOpEffects(); c.policy != nil && len(c.events) > 0; c.applyOpEffects() {
 		events := c.events
 		c.events = nil
-		c.act(c.policy.Step(c.now, events, c.actions[:0]))
-		c.watch(events)
+		c.applyActions(c.policy.Step(c.now, events, c.actions[:0]))
+		c.recheckPrior(events)
 	}
 	if c.policy == nil {
 		c.events = c.events[:0]
 	}
 }
 
-func (c *Core) act(actions []whinrudder.Action) {
+// applyActions carries out the actions of one step of the module.
+func (c *Core) applyActions(actions []whinrudder.Action) {
 	c.actions = actions
 	for _, a := range actions {
 		switch a := a.(type) {
 		case whinrudder.Run:
-			if r := c.reqs[string(a.ID)]; r != nil && r.open && !r.running {
+			if r := c.requests[string(a.ID)]; r != nil && r.open && !r.running {
 				r.running = true
-				if r.op {
-					c.intend(r)
+				if r.hasOp {
+					c.writeIntent(r)
 					continue
 				}
-				if !c.linked {
+				if !c.linkSynced {
 					r.queued = true
-					c.enqueue(r.ID)
+					c.enqueueStart(r.ID)
 					continue
 				}
 				c.spawn(r)
 			}
 		case whinrudder.Stop:
-			if r := c.reqs[string(a.ID)]; r != nil && r.running && !r.queued && !r.writing {
-				c.do(Suspend{r.ID})
+			if r := c.requests[string(a.ID)]; r != nil && r.running && !r.queued && !r.intentPending {
+				c.emit(Suspend{r.ID})
 			}
 		case whinrudder.Refuse:
-			if r := c.reqs[string(a.ID)]; r != nil {
+			if r := c.requests[string(a.ID)]; r != nil {
 				c.answer(r, Answer{Outcome: Refused, RetryAfter: a.RetryAfter, NotElsewhere: a.NoRetryElsewhere})
 			}
 		case whinrudder.Fail:
-			if r := c.reqs[string(a.ID)]; r != nil {
-				c.fail(r)
+			if r := c.requests[string(a.ID)]; r != nil {
+				c.failRequest(r)
 			}
 		case whinrudder.Keep:
-			if r := c.reqs[string(a.ID)]; r != nil && !c.keeps(r.Class) {
+			if r := c.requests[string(a.ID)]; r != nil && !c.keepsResults(r.Class) {
 				c.keys.keep(r.Request, c.now, c.now+a.TTL)
 			}
 		case whinrudder.Forget:
-			c.keys.forget(string(a.ID), c.reuse)
+			c.keys.forget(string(a.ID), c.answerRepeat)
 		case whinrudder.Reuse:
-			if r := c.reqs[string(a.ID)]; r != nil && r.op {
-				c.ops.Wait(c.now, r.ID, r.key)
+			if r := c.requests[string(a.ID)]; r != nil && r.hasOp {
+				c.ops.Wait(c.now, r.ID, r.opKey)
 				continue
 			}
-			c.keys.reuse(string(a.ID), c.reuse)
+			c.keys.serveRepeat(string(a.ID), c.answerRepeat)
 		case whinrudder.Health:
 			c.health = a
-			if c.leaving && !a.Healthy {
-				c.do(DrainConns{})
+			if c.draining && !a.Healthy {
+				c.emit(DrainConns{})
 			}
 		case whinrudder.Advertise:
-			c.load = a.Credit
+			c.credit = a.Credit
 		case whinrudder.CloseIdle:
-			c.do(SetIdleTimeout{a.After})
+			c.emit(SetIdleTimeout{a.After})
 		case whinrudder.Wake:
-			heap.Push(&c.wakes, due[uint64]{a.At, a.Token})
+			heap.Push(&c.wakeups, dueItem[uint64]{a.At, a.Token})
 		case whinrudder.Log:
-			c.log("module", "text", a.Text)
+			c.logEvent("module", "text", a.Text)
 		default:
-			c.log("module", "fault", fmt.Sprintf("%T has no meaning here", a))
+			c.logEvent("module", "fault", fmt.Sprintf("action type %T is not supported", a))
 		}
 	}
 }
 
-// last tells whether whatever is open is failed.
-func (c *Core) last() bool { return c.leaving && c.now >= c.stopAt-lastAt }
+// mustFailAll reports whether the stop is so near that all open requests are failed.
+func (c *Core) mustFailAll() bool { return c.draining && c.now >= c.stopAt-failAllMarginMs }
 
-// overdue sees to it that nothing stays without an answer.
-func (c *Core) overdue() {
-	last := c.last()
-	for len(c.latest) > 0 && (last || c.now >= c.latest[0].at) {
-		r := heap.Pop(&c.latest).(due[*request]).what
+// failOverdue fails the requests that are past their answer deadline, so that none stays without an answer.
+func (c *Core) failOverdue() {
+	failAll := c.mustFailAll()
+	for len(c.answerDeadlines) > 0 && (failAll || c.now >= c.answerDeadlines[0].at) {
+		r := heap.Pop(&c.answerDeadlines).(dueItem[*request]).value
 		switch {
-		case r.open && r.ending:
-			c.log("request", "id", r.ID, "code", "late-sync")
-		case r.open && !r.doubt:
-			c.log("request", "id", r.ID, "code", "left-open")
+		case r.open && r.endPending:
+			c.logEvent("request", "id", r.ID, "code", "late-sync")
+		case r.open && !r.inDoubt:
+			c.logEvent("request", "id", r.ID, "code", "left-open")
 		}
-		c.fail(r)
+		c.failRequest(r)
 	}
 }
 
-// leave ends the drain.
-func (c *Core) leave() {
-	last := c.last()
-	if !c.leaving || c.ended {
+// advanceDrain stops accepting connections and finishes the drain as the stop time approaches.
+func (c *Core) advanceDrain() {
+	failAll := c.mustFailAll()
+	if !c.draining || c.drainFinished {
 		return
 	}
-	if !c.deaf && c.now >= c.stopAt-deafAt {
-		c.deaf = true
-		c.do(StopAccepting{})
+	if !c.acceptStopped && c.now >= c.stopAt-stopAcceptMarginMs {
+		c.acceptStopped = true
+		c.emit(StopAccepting{})
 	}
-	if c.deaf && (last || c.open == 0 && c.now >= c.stopAt-quietAt) {
-		c.ended = true
-		c.do(DrainFinished{})
+	if c.acceptStopped && (failAll || c.openCount == 0 && c.now >= c.stopAt-idleExitMarginMs) {
+		c.drainFinished = true
+		c.emit(DrainFinished{})
 	}
 }
--- a/internal/core/kept.go
+++ b/internal/core/kept.go
@@ -12,35 +12,35 @@
 	"whinrudder/internal/ops"
 )
 
-// Inputs and outputs about operations whose results are kept. What stores them answers Append by Appended or AppendFailed, in
-// the order of the appends, and need not be fast.
+// Inputs and outputs for operations whose results are kept. The journal driver answers Append with Appended or
+// AppendFailed, in the order of the appends, and need not be fast.
 type (
-	// Appended tells that the first records that were to be appended last, where they stand, and what segments there are.
+	// Appended reports that the first pending appends are durable, with their positions and the present segments.
 	Appended struct {
 		Positions []journal.Position
 		Segments  []journal.Segment
 	}
-	// AppendFailed tells that the first so many do not.
+	// AppendFailed reports that the first N pending appends are not durable.
 	AppendFailed struct {
 		N        int
 		Segments []journal.Segment
 	}
-	// CopyUnreadable tells that the first one was to be copied from a record that is damaged.
+	// CopyUnreadable reports that the first pending append is a copy of a record that is damaged.
 	CopyUnreadable struct{}
-	// RecordFetched brings a record that was asked for.
+	// RecordFetched delivers a record that Fetch asked for.
 	RecordFetched struct {
 		ID       string
 		Position journal.Position
 		Result   []byte
 		Err      error
 	}
-	// SegmentDropped tells whether a segment was removed.
+	// SegmentDropped reports the removal of a segment; Err is nil if it succeeded.
 	SegmentDropped struct {
 		Segment  uint32
 		Err      error
 		Segments []journal.Segment
 	}
-	// Resolve is an operator's word on an operation in doubt. Done must not block.
+	// Resolve is an operator's decision about an operation in doubt. Done must not block.
 	Resolve struct {
 		Key    string
 		Kind   journal.Kind
@@ -49,9 +49,9 @@
 		Done   func(error)
 	}
 
-	// Append is a record to be appended; if CopyFrom is given, it is the one that stands there.
+	// Append appends a record to the journal. If CopyFrom is set, it copies the record at that position.
 	Append struct{ ops.Write }
-	// Fetch asks for the record of a place.
+	// Fetch reads the record at a position.
 	Fetch struct{ ops.Fetch }
 	// DropSegment removes the oldest segment.
 	DropSegment struct{ Segment uint32 }
@@ -67,58 +67,60 @@
 func (Fetch) output()         {}
 func (DropSegment) output()   {}
 
-var errMoved = errors.New("another process of the node has the operations")
+var errMoved = errors.New("the operations belong to another process of the node")
 
-// KeepResults lets the core keep the results of some classes, by their names, in a table that has been recovered; nil: it comes later, by
-// AdoptOps. It must be called before the first step. To the module these are classes whose repeats may share an answer; the window is 0, as what is kept takes
-// none of the worker pool's memory.
+// KeepResults makes the core keep the results of the named classes in a recovered table. If t is nil, the table
+// follows with AdoptOps. It must be called before the first step. The module treats these as classes whose repeats may
+// share an answer; their window is 0 because kept results take no memory of the worker pool.
 func (c *Core) KeepResults(t *ops.Table, names map[int]string) {
-	c.ops, c.kept = t, names
-	c.settings.Classes = c.keyed(c.settings.Classes)
+	c.ops, c.keptClasses = t, names
+	c.settings.Classes = c.moduleClasses(c.settings.Classes)
 }
 
-// keyed returns classes as the module is to see them.
-func (c *Core) keyed(classes []whinrudder.Class) []whinrudder.Class {
+// moduleClasses returns the classes as the module must see them.
+func (c *Core) moduleClasses(classes []whinrudder.Class) []whinrudder.Class {
 	all := append([]whinrudder.Class{}, classes...)
-	for i := range c.kept {
+	for i := range c.keptClasses {
 		all[i].Repeat, all[i].Window = whinrudder.Keyed, 0
 	}
 	return all
 }
 
-func (c *Core) keeps(class int) bool { return c.kept[class] != "" }
+// keepsResults reports whether results of the class are kept.
+func (c *Core) keepsResults(class int) bool { return c.keptClasses[class] != "" }
 
-// OpKey is the key of an operation: tokens of two classes are apart.
+// OpKey returns the key of an operation: the same token in two classes gives two keys.
 func OpKey(class, token string) string { return class + "/" + token }
 
-// begin takes a request with a token. It returns whether it goes on to the module.
-func (c *Core) begin(r *request) bool {
+// beginOp looks up the operation of a request with a token and answers the request if it can't be run. It reports
+// whether the request goes on to the module.
+func (c *Core) beginOp(r *request) bool {
 	if c.ops == nil {
-		a := c.unserved(ops.ReasonMoved)
+		a := c.answerForReason(ops.ReasonMoved)
 		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 		return false
 	}
-	r.op, r.key = true, OpKey(c.kept[r.Class], r.Token)
+	r.hasOp, r.opKey = true, OpKey(c.keptClasses[r.Class], r.Token)
 	sum := sha256.Sum256(r.Body)
-	v := c.ops.Begin(c.now, r.ID, r.key, [16]byte(sum[:16]))
+	v := c.ops.Begin(c.now, r.ID, r.opKey, [16]byte(sum[:16]))
 	switch v.Kind {
 	case ops.VerdictWaits:
-		r.of = v.RepeatOf
+		r.repeatOf = v.RepeatOf
 	case ops.VerdictFails:
-		c.answer(r, c.unserved(v.Reason))
+		c.answer(r, c.answerForReason(v.Reason))
 	case ops.VerdictRefused:
-		a := c.unserved(v.Reason)
+		a := c.answerForReason(v.Reason)
 		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	}
 	return v.Kind == ops.VerdictFirst || v.Kind == ops.VerdictWaits
 }
 
-// unserved is the answer to a request whose operation gives none.
-func (c *Core) unserved(why ops.Reason) Answer {
-	a := Answer{Outcome: Failed, Kept: why.String()}
-	switch why {
+// answerForReason returns the answer to a request whose operation has no result to serve.
+func (c *Core) answerForReason(reason ops.Reason) Answer {
+	a := Answer{Outcome: Failed, Kept: reason.String()}
+	switch reason {
 	case ops.ReasonOtherBody:
 		a.Outcome = BodyMismatch
 	case ops.ReasonFull, ops.ReasonStalled, ops.ReasonNotRun, ops.ReasonMoved:
@@ -127,50 +129,50 @@
 	return a
 }
 
-// intend holds back a run until it lasts that it may have been started.
-func (c *Core) intend(r *request) {
-	if !c.ops.WriteIntent(c.now, r.ID) { // it repeats another, which the module no longer knew
+// writeIntent holds back a run until the record that it may have started is durable.
+func (c *Core) writeIntent(r *request) {
+	if !c.ops.WriteIntent(c.now, r.ID) { // it repeats a request that the module no longer knows
 		r.running = false
-		c.event(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Moot})
-		c.answer(r, c.unserved(ops.ReasonNotRun))
+		c.addEvent(whinrudder.Ended{ID: id(r.ID), Code: whinrudder.Moot})
+		c.answer(r, c.answerForReason(ops.ReasonNotRun))
 		return
 	}
-	r.writing = true
+	r.intentPending = true
 }
 
-// fail ends a request without a result. What provably was not started is refused, and an end that came is told though
-// it may not last yet: it is true.
-func (c *Core) fail(r *request) {
+// failRequest answers a request that can't wait any longer. A run that provably did not start is refused. The end of a
+// run that ended is reported even if its record is not durable yet, because it is known to be true.
+func (c *Core) failRequest(r *request) {
 	if !r.open {
 		return
 	}
-	if !r.op {
+	if !r.hasOp {
 		c.answer(r, Answer{Outcome: Failed})
 		return
 	}
 	result, ok, ended := c.ops.UnsyncedEnd(r.ID)
 	switch {
-	case ended && ok && r.of != "":
+	case ended && ok && r.repeatOf != "":
 		c.answer(r, Answer{Outcome: Served, Result: result, Kept: "result"})
 	case ended && ok:
 		c.answer(r, Answer{Outcome: Served, Result: result})
 	case ended:
-		c.answer(r, c.unserved(ops.ReasonFailed))
-	case r.writing:
-		a := c.unserved(ops.ReasonStalled)
+		c.answer(r, c.answerForReason(ops.ReasonFailed))
+	case r.intentPending:
+		a := c.answerForReason(ops.ReasonStalled)
 		a.RetryAfter = c.settings.MaxRetryAfter
 		c.answer(r, a)
 	case r.queued:
-		c.answer(r, c.unserved(ops.ReasonNotRun)) // the link is down, and its start never left
-	case r.doubt:
-		c.answer(r, c.unserved(ops.ReasonInDoubt))
+		c.answer(r, c.answerForReason(ops.ReasonNotRun)) // the link is down, and its start was never sent
+	case r.inDoubt:
+		c.answer(r, c.answerForReason(ops.ReasonInDoubt))
 	default:
 		c.answer(r, Answer{Outcome: Failed})
 	}
 }
 
-// opEnded takes the end of a run to its operation, and tells whether its requests are answered once that lasts.
-func (c *Core) opEnded(f RunFinished) bool {
+// finishOp passes the end of a run to its operation and reports whether the answer must wait until the end is durable.
+func (c *Core) finishOp(f RunFinished) bool {
 	if f.End == RunMoot {
 		c.ops.RunNotStarted(c.now, f.ID)
 		return false
@@ -178,100 +180,102 @@
 	return c.ops.Finish(c.now, f.ID, f.End == RunOK, f.Result)
 }
 
-// effects carries out what the operations want.
-func (c *Core) effects() {
+// applyOpEffects carries out all effects of the operation table.
+func (c *Core) applyOpEffects() {
 	if c.ops == nil {
 		return
 	}
 	c.ops.Tick(c.now)
 	for {
-		all := c.ops.Effects()
-		if len(all) == 0 {
+		effects := c.ops.Effects()
+		if len(effects) == 0 {
 			return
 		}
-		for _, e := range all {
-			c.effect(e)
+		for _, e := range effects {
+			c.applyOpEffect(e)
 		}
 	}
 }
 
-func (c *Core) effect(e ops.Effect) {
+func (c *Core) applyOpEffect(e ops.Effect) {
 	switch e := e.(type) {
 	case ops.Write:
-		c.do(Append{e})
+		c.emit(Append{e})
 	case ops.StartRun:
-		c.begun(e.ID)
+		c.handleIntentDurable(e.ID)
 	case ops.Serve:
 		a := Answer{Outcome: Served, Result: e.Result}
 		if e.Replayed {
 			a.Kept = "result"
 		}
-		c.settle(e.ID, a, whinrudder.OK)
+		c.answerOpRequest(e.ID, a, whinrudder.OK)
 	case ops.Fetch:
-		c.do(Fetch{e})
+		c.emit(Fetch{e})
 	case ops.Fail:
-		c.settle(e.ID, c.unserved(e.Reason), whinrudder.Error)
+		c.answerOpRequest(e.ID, c.answerForReason(e.Reason), whinrudder.Error)
 	case ops.Refuse:
-		a := c.unserved(e.Reason)
+		a := c.answerForReason(e.Reason)
 		if e.Reason == ops.ReasonStalled {
 			a.RetryAfter = c.settings.MaxRetryAfter
 		}
-		c.settle(e.ID, a, whinrudder.Moot)
+		c.answerOpRequest(e.ID, a, whinrudder.Moot)
 	case ops.DropSegment:
-		c.do(DropSegment{e.Segment})
+		c.emit(DropSegment{e.Segment})
 	case ops.LogEvent:
-		c.log("kept", "code", e.Code, "key", e.Key, "run", e.Run)
+		c.logEvent("kept", "code", e.Code, "key", e.Key, "run", e.Run)
 	}
 }
 
-// settle answers a request of an operation, and tells the module if it waits for that.
-func (c *Core) settle(s string, a Answer, code whinrudder.Code) {
-	r := c.reqs[s]
+// answerOpRequest answers a request of an operation. The module is notified if the request is a repeat, because it
+// waits for the end of those.
+func (c *Core) answerOpRequest(requestID string, a Answer, code whinrudder.Code) {
+	r := c.requests[requestID]
 	if r == nil || !r.open {
 		return
 	}
-	if r.of != "" {
-		c.event(whinrudder.Ended{ID: id(s), Code: code})
+	if r.repeatOf != "" {
+		c.addEvent(whinrudder.Ended{ID: id(requestID), Code: code})
 	}
 	c.answer(r, a)
 }
 
-// begun hands a run over whose intent lasts.
-func (c *Core) begun(s string) {
-	r := c.reqs[s]
-	if r == nil || !r.writing {
-		c.ops.Cancel(c.now, s)
+// handleIntentDurable starts a run whose intent is durable.
+func (c *Core) handleIntentDurable(requestID string) {
+	r := c.requests[requestID]
+	if r == nil || !r.intentPending {
+		c.ops.Cancel(c.now, requestID)
 		return
 	}
-	r.writing = false
-	if !c.linked {
+	r.intentPending = false
+	if !c.linkSynced {
 		r.queued = true
-		c.enqueue(r.ID)
+		c.enqueueStart(r.ID)
 		return
 	}
 	c.spawn(r)
 }
 
-// fetched serves a request with the result of an earlier one. Its record may have been moved meanwhile.
-func (c *Core) fetched(f RecordFetched) {
-	r := c.reqs[f.ID]
+// handleRecordFetched answers a request with the kept result of an earlier one. If its record has been moved
+// meanwhile, it is fetched again from its new position.
+func (c *Core) handleRecordFetched(f RecordFetched) {
+	r := c.requests[f.ID]
 	if r == nil || !r.open {
 		return
 	}
 	if f.Err == nil {
-		c.settle(f.ID, Answer{Outcome: Served, Result: f.Result, Kept: "result"}, whinrudder.OK)
+		c.answerOpRequest(f.ID, Answer{Outcome: Served, Result: f.Result, Kept: "result"}, whinrudder.OK)
 		return
 	}
-	if p, ok := c.ops.Position(r.key); ok && p != f.Position {
-		c.do(Fetch{ops.Fetch{ID: f.ID, Position: p}})
+	if p, ok := c.ops.Position(r.opKey); ok && p != f.Position {
+		c.emit(Fetch{ops.Fetch{ID: f.ID, Position: p}})
 		return
 	}
-	c.log("kept", "code", "unreadable", "key", r.key, "error", f.Err)
-	c.settle(f.ID, Answer{Outcome: Failed, Kept: "unreadable"}, whinrudder.Error)
+	c.logEvent("kept", "code", "unreadable", "key", r.opKey, "error", f.Err)
+	c.answerOpRequest(f.ID, Answer{Outcome: Failed, Kept: "unreadable"}, whinrudder.Error)
 }
 
-// resolve takes an operator's word.
-func (c *Core) resolve(i Resolve) {
+// resolveOp applies an operator's decision about an operation in doubt.
+func (c *Core) resolveOp(i Resolve) {
 	if c.ops == nil {
 		i.Done(errMoved)
 		return
@@ -279,15 +283,15 @@
 	i.Done(c.ops.Resolve(c.now, i.Key, i.Kind, i.Result, i.By))
 }
 
-// Dump is the state of what is in hand as text, without times, for tests that compare states.
+// Dump returns the state of all requests as text, without times, for tests that compare states.
 func (c *Core) Dump() string {
 	var lines []string
-	for _, r := range c.reqs {
-		lines = append(lines, fmt.Sprint(r.ID, r.open, r.running, r.queued, r.doubt, r.writing, r.ending, r.of))
+	for _, r := range c.requests {
+		lines = append(lines, fmt.Sprint(r.ID, r.open, r.running, r.queued, r.inDoubt, r.intentPending, r.endPending, r.repeatOf))
 	}
 	slices.Sort(lines)
 	if c.ops != nil {
 		lines = append(lines, c.ops.Dump())
 	}
-	return fmt.Sprint(strings.Join(lines, "\n"), c.linked, c.queue, c.leaving)
+	return fmt.Sprint(strings.Join(lines, "\n"), c.linkSynced, c.startQueue, c.draining)
 }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -1,110 +1,111 @@
 package core
 
-// ring remembers the ids of requests that are over, so that none is taken twice while its caller may still wait.
-type ring struct {
-	keep float64 // for so long
-	ids  []past  // in order of their ends
-	seen map[string]bool
+// idHistory remembers the ids of ended requests, so that none is accepted twice while its caller may still wait.
+type idHistory struct {
+	retentionMs float64  // how long an id is remembered
+	ids         []pastID // in the order in which they ended
+	seen        map[string]bool
 }
 
-type past struct {
-	id string
-	at float64
+type pastID struct {
+	id      string
+	endedAt float64
 }
 
-const maxIDs = 16384 // ids remembered at a time; beyond, the oldest are forgotten early
+const maxRememberedIDs = 16384 // ids remembered at a time; above that the oldest are forgotten early
 
-func (r *ring) has(id string) bool { return r.seen[id] }
+func (r *idHistory) has(id string) bool { return r.seen[id] }
 
-func (r *ring) add(id string, now float64) {
+func (r *idHistory) add(id string, now float64) {
 	if r.seen == nil {
 		r.seen = map[string]bool{}
 	}
-	old := 0
-	for old < len(r.ids) && (r.ids[old].at < now-r.keep || len(r.ids)-old >= maxIDs) {
-		delete(r.seen, r.ids[old].id)
-		old++
+	expired := 0
+	for expired < len(r.ids) && (r.ids[expired].endedAt < now-r.retentionMs || len(r.ids)-expired >= maxRememberedIDs) {
+		delete(r.seen, r.ids[expired].id)
+		expired++
 	}
-	r.ids = append(r.ids[old:], past{id, now})
+	r.ids = append(r.ids[expired:], pastID{id, now})
 	r.seen[id] = true
 }
 
-// entry is one kept key: the request that holds it, its result once there is one, and who waits for it.
-type entry struct {
-	id      string
-	key     string
-	until   float64 // of the module's Keep; once it is over, of its freshness
-	over    bool
-	result  []byte
-	waiting []string // some may have left
-	n       int      // and so many have not
+// keyEntry is one kept key: the request that holds it, its result once it has ended, and the requests that wait for it.
+type keyEntry struct {
+	id           string
+	key          string
+	until        float64 // end of the module's Keep; once the run has ended, end of the result's freshness
+	ended        bool
+	result       []byte
+	waiting      []string // ids of the waiting requests; some may have ended meanwhile
+	waitingCount int      // how many of them still wait
 }
 
-// keyTable links reads of one key: where answers may serve others, a repeat names the kept request.
+// keyTable links reads of the same key: where an answer may serve several requests, a repeat refers to the kept one.
 type keyTable struct {
-	clean  float64 // when entries that are old are looked for again
-	byKey  map[string]*entry
-	byID   map[string]*entry
-	repeat map[string]repeat // requests in hand that repeat another, by their id
+	nextPurge   float64 // when old entries are next removed
+	byKey       map[string]*keyEntry
+	byID        map[string]*keyEntry
+	repeatsByID map[string]keyRepeat // unfinished requests that repeat another, by their own id
 }
 
-// repeat is a request that repeats the one of an entry.
-type repeat struct {
-	*entry
-	waits bool // for its result
+// keyRepeat is a request that repeats the one of an entry.
+type keyRepeat struct {
+	*keyEntry
+	awaitsResult bool // it waits for the result of the entry
 }
 
 const (
-	maxEntries = 1024 // entries kept at a time; beyond, reads run by themselves
-	cleanEvery = 1000 // milliseconds
+	maxKeyEntries   = 1024 // entries kept at a time; above that reads run separately
+	purgeIntervalMs = 1000
 )
 
 func newKeyTable() *keyTable {
-	return &keyTable{byKey: map[string]*entry{}, byID: map[string]*entry{}, repeat: map[string]repeat{}}
+	return &keyTable{byKey: map[string]*keyEntry{}, byID: map[string]*keyEntry{}, repeatsByID: map[string]keyRepeat{}}
 }
 
-func keyOf(q *Request) string { return string(rune('0'+q.Class)) + q.Key }
+func keyOf(req *Request) string { return string(rune('0'+req.Class)) + req.Key }
 
-// repeats returns the id of the request that q repeats, or an empty one.
-func (t *keyTable) repeats(q *Request, now float64) string {
-	e := t.byKey[keyOf(q)]
-	if e == nil || e.until < q.ArrivedAt {
+// repeatedID returns the id of the request that req repeats, or an empty string.
+func (t *keyTable) repeatedID(req *Request, now float64) string {
+	e := t.byKey[keyOf(req)]
+	if e == nil || e.until < req.ArrivedAt {
 		return ""
 	}
-	t.repeat[q.ID] = repeat{entry: e}
+	t.repeatsByID[req.ID] = keyRepeat{keyEntry: e}
 	return e.id
 }
 
-func (t *keyTable) keep(q *Request, now, until float64) {
-	k := keyOf(q)
-	if old := t.byKey[k]; old != nil && old.id != q.ID {
+// keep makes later reads of the request's key repeat this request until the given time.
+func (t *keyTable) keep(req *Request, now, until float64) {
+	k := keyOf(req)
+	if old := t.byKey[k]; old != nil && old.id != req.ID {
 		delete(t.byID, old.id)
 	}
-	if now >= t.clean {
-		t.clean = now + cleanEvery
+	if now >= t.nextPurge {
+		t.nextPurge = now + purgeIntervalMs
 		t.purge(now)
 	}
-	e := t.byID[q.ID]
+	e := t.byID[req.ID]
 	if e == nil {
-		if len(t.byID) >= maxEntries {
+		if len(t.byID) >= maxKeyEntries {
 			return
 		}
-		e = &entry{id: q.ID, key: k}
+		e = &keyEntry{id: req.ID, key: k}
 	}
 	e.until = until
-	t.byKey[k], t.byID[q.ID] = e, e
+	t.byKey[k], t.byID[req.ID] = e, e
 }
 
-// purge takes out what is over and no longer fresh.
+// purge removes the entries that are no longer kept and that no request waits for.
 func (t *keyTable) purge(now float64) {
 	for id, e := range t.byID {
-		if e.until < now && e.n == 0 {
+		if e.until < now && e.waitingCount == 0 {
 			t.remove(id)
 		}
 	}
 }
 
-func (t *keyTable) remove(id string) *entry {
+func (t *keyTable) remove(id string) *keyEntry {
 	e := t.byID[id]
 	if e != nil {
 		delete(t.byID, id)
@@ -115,63 +116,63 @@
 	return e
 }
 
-// forget drops an entry. Its request was dropped before it ran, so those that wait for its answer fail: they
-// would wait to the end of their time for something that can't come.
+// forget removes an entry. If its run has not ended, its request was dropped before it ran, so the requests that wait
+// for its answer fail: otherwise they would wait until their due time for an answer that can't come.
 func (t *keyTable) forget(id string, serve func(id string, ok bool, result []byte)) {
-	if e := t.remove(id); e != nil && !e.over {
-		e.over = true
-		t.release(e, serve)
+	if e := t.remove(id); e != nil && !e.ended {
+		e.ended = true
+		t.serveWaiting(e, serve)
 	}
 }
 
-// release serves all that wait for an entry.
-func (t *keyTable) release(e *entry, serve func(id string, ok bool, result []byte)) {
+// serveWaiting serves all requests that wait for an entry.
+func (t *keyTable) serveWaiting(e *keyEntry, serve func(id string, ok bool, result []byte)) {
 	waiting := e.waiting
-	e.waiting, e.n = nil, 0
-	for _, w := range waiting {
-		if t.repeat[w] == (repeat{e, true}) {
-			delete(t.repeat, w)
-			serve(w, e.result != nil, e.result)
+	e.waiting, e.waitingCount = nil, 0
+	for _, id := range waiting {
+		if t.repeatsByID[id] == (keyRepeat{e, true}) {
+			delete(t.repeatsByID, id)
+			serve(id, e.result != nil, e.result)
 		}
 	}
 }
 
-// gone forgets that a request repeats another: it is over.
-func (t *keyTable) gone(id string) {
-	if r := t.repeat[id]; r.waits {
-		r.n--
+// forgetRepeat removes a request that has ended from the requests that repeat another.
+func (t *keyTable) forgetRepeat(id string) {
+	if r := t.repeatsByID[id]; r.awaitsResult {
+		r.waitingCount--
 	}
-	delete(t.repeat, id)
+	delete(t.repeatsByID, id)
 }
 
-// reuse serves a repeat with the result that it repeats, now or when there is one.
-func (t *keyTable) reuse(id string, serve func(id string, ok bool, result []byte)) {
-	r := t.repeat[id]
+// serveRepeat serves a repeat with the result of the request that it repeats, now or as soon as that has ended.
+func (t *keyTable) serveRepeat(id string, serve func(id string, ok bool, result []byte)) {
+	r := t.repeatsByID[id]
 	switch {
-	case r.entry == nil:
+	case r.keyEntry == nil:
 		serve(id, false, nil)
-	case r.over:
-		delete(t.repeat, id)
+	case r.ended:
+		delete(t.repeatsByID, id)
 		serve(id, r.result != nil, r.result)
 	default:
-		r.n++
+		r.waitingCount++
 		r.waiting = append(r.waiting, id)
-		t.repeat[id] = repeat{r.entry, true}
+		t.repeatsByID[id] = keyRepeat{r.keyEntry, true}
 	}
 }
 
-// ended hands the end of a run to those that wait for it.
-func (t *keyTable) ended(id string, ok bool, result []byte, now, fresh float64,
+// runEnded records the end of a run and serves the requests that wait for it.
+func (t *keyTable) runEnded(id string, ok bool, result []byte, now, fresh float64,
 	serve func(id string, ok bool, result []byte)) {
 	e := t.byID[id]
 	if e == nil {
 		return
 	}
-	e.over, e.until = true, now+fresh
+	e.ended, e.until = true, now+fresh
 	if ok {
 		e.result = append([]byte{}, result...)
 	} else {
-		t.remove(id) // a failure serves nobody later
+		t.remove(id) // a failure is not reused later
 	}
-	t.release(e, serve)
+	t.serveWaiting(e, serve)
 }
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -7,8 +7,8 @@
 	"whinrudder/internal/knowledge"
 )
 
-// tell hands out what the module has learned by itself.
-func (c *Core) tell(a QueryKnowledge) {
+// replyKnowledge reports what the module has learned from its own runs.
+func (c *Core) replyKnowledge(a QueryKnowledge) {
 	if c.policy == nil {
 		a.Reply(whinrudder.Knowledge{}, false)
 		return
@@ -16,40 +16,40 @@
 	a.Reply(c.policy.Knowledge(), true)
 }
 
-// teach lets the module adopt what others have learned, as far as it is of use beside what it knows by now. A node
-// that leaves needs no advice.
-func (c *Core) teach(p knowledge.Prior) {
+// adoptPrior makes the module adopt what other nodes have learned, as far as it adds to what it knows by now. A
+// draining node ignores it.
+func (c *Core) adoptPrior(p knowledge.Prior) {
 	if c.policy == nil {
-		c.taught = &p
+		c.pendingPrior = &p
 		return
 	}
-	c.taught = nil
-	if c.leaving {
-		c.log("prior", "code", "leaving", "donors", strings.Join(p.Donors, ","))
+	c.pendingPrior = nil
+	if c.draining {
+		c.logEvent("prior", "code", "leaving", "donors", strings.Join(p.Donors, ","))
 		return
 	}
 	trial, k, remarks, use := knowledge.NewPriorValidator(c.now, p, c.policy.Knowledge())
-	c.remark(remarks)
+	c.logPriorEntries(remarks)
 	if !use {
-		c.log("prior", "code", "unused", "donors", strings.Join(p.Donors, ","))
+		c.logEvent("prior", "code", "unused", "donors", strings.Join(p.Donors, ","))
 		return
 	}
-	c.trial = trial
+	c.priorValidator = trial
 	c.policy.Adopt(k)
-	c.log("prior", "code", "adopted", "donors", strings.Join(p.Donors, ","))
+	c.logEvent("prior", "code", "adopted", "donors", strings.Join(p.Donors, ","))
 }
 
-// watch holds the prior against own runs whenever one has ended.
-func (c *Core) watch(events []whinrudder.Event) {
-	if !c.trial.Active() {
+// recheckPrior compares the adopted prior with this node's own runs whenever one has ended.
+func (c *Core) recheckPrior(events []whinrudder.Event) {
+	if !c.priorValidator.Active() {
 		return
 	}
 	for _, e := range events {
 		if _, ok := e.(whinrudder.Ended); !ok {
 			continue
 		}
-		k, remarks, changed := c.trial.Recheck(c.now, c.policy.Knowledge())
-		c.remark(remarks)
+		k, remarks, changed := c.priorValidator.Recheck(c.now, c.policy.Knowledge())
+		c.logPriorEntries(remarks)
 		if changed {
 			c.policy.Adopt(k)
 		}
@@ -57,8 +57,8 @@
 	}
 }
 
-func (c *Core) remark(all []knowledge.LogEntry) {
+func (c *Core) logPriorEntries(all []knowledge.LogEntry) {
 	for _, r := range all {
-		c.log("prior", r.Pairs()...)
+		c.logEvent("prior", r.Pairs()...)
 	}
 }
--- a/internal/core/ownership.go
+++ b/internal/core/ownership.go
@@ -4,15 +4,15 @@
 	"whinrudder/internal/ops"
 )
 
-// Inputs and the output by which operations pass from one process of the node to another.
+// Inputs and the output that move the ownership of operations from one process of the node to another.
 type (
-	// YieldOps tells that another process shall have the operations: no new ones are taken, and once none is in hand
-	// OpsReleased follows. Off: it goes on as before.
+	// YieldOps asks the core to give its operations up to another process: it accepts no new ones, and OpsReleased
+	// follows once none is unfinished. With On false the core goes on as before.
 	YieldOps struct{ On bool }
-	// AdoptOps brings the operations, recovered from the journal.
+	// AdoptOps delivers the operations, recovered from the journal.
 	AdoptOps struct{ Table *ops.Table }
 
-	// OpsReleased tells that the journal may be closed: nothing of it is in hand.
+	// OpsReleased reports that the journal may be closed: no operation is unfinished.
 	OpsReleased struct{}
 )
 
@@ -20,29 +20,29 @@
 func (AdoptOps) input()     {}
 func (OpsReleased) output() {}
 
-// yield begins to give the operations up, or goes on with them.
-func (c *Core) yield(on bool) {
+// setYieldOps starts to give the operations up, or resumes them.
+func (c *Core) setYieldOps(on bool) {
 	if c.ops != nil {
 		c.ops.SetClosed(on)
-		c.yields = on
+		c.yieldingOps = on
 	}
 }
 
-func (c *Core) adopt(t *ops.Table) {
-	c.ops, c.yields = t, false
-	c.log("kept", "code", "adopted")
+func (c *Core) adoptOps(t *ops.Table) {
+	c.ops, c.yieldingOps = t, false
+	c.logEvent("kept", "code", "adopted")
 }
 
-// release gives the operations up once nothing of them is in hand, answers that are owed included.
-func (c *Core) release() {
-	if !c.yields || !c.ops.Idle() {
+// releaseOps gives the operations up once none is unfinished and all their requests are answered.
+func (c *Core) releaseOps() {
+	if !c.yieldingOps || !c.ops.Idle() {
 		return
 	}
-	for _, r := range c.reqs {
-		if r.op && r.open {
+	for _, r := range c.requests {
+		if r.hasOp && r.open {
 			return
 		}
 	}
-	c.ops, c.yields = nil, false
-	c.do(OpsReleased{})
+	c.ops, c.yieldingOps = nil, false
+	c.emit(OpsReleased{})
 }
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -2,16 +2,15 @@
 
 import "whinrudder/internal/counters"
 
-// SetCounters lets the core count what becomes of requests, by the place of their class. It must be called before the first
-// step.
-func (c *Core) SetCounters(counts []*counters.Class) { c.counts = counts }
+// SetCounters makes the core count the outcomes of requests, by class index. It must be called before the first step.
+func (c *Core) SetCounters(counts []*counters.Class) { c.counters = counts }
 
-// told counts an answer.
-func (c *Core) told(class int, how Outcome) {
-	if class >= len(c.counts) {
+// countAnswer counts an answer by its outcome.
+func (c *Core) countAnswer(class int, outcome Outcome) {
+	if class >= len(c.counters) {
 		return
 	}
-	switch k := c.counts[class]; how {
+	switch k := c.counters[class]; outcome {
 	case Served:
 		k.Answered.Add(1)
 	case Refused:
@@ -21,31 +20,31 @@
 	}
 }
 
-// spawn hands a run to the worker pool.
+// spawn starts a run in the worker pool.
 func (c *Core) spawn(r *request) {
-	if r.Class < len(c.counts) {
-		c.counts[r.Class].Sends.Add(1)
+	if r.Class < len(c.counters) {
+		c.counters[r.Class].Sends.Add(1)
 	}
-	c.do(Spawn{r.ID, r.Class, r.Body})
+	c.emit(Spawn{r.ID, r.Class, r.Body})
 }
 
-// retune takes over new settings. What is in hand keeps its class, whatever the new settings say of it.
-func (c *Core) retune(r ChangeSettings) {
-	if c.kept != nil {
-		c.kept = r.KeptClasses
+// changeSettings applies new settings. Unfinished requests keep their class, whatever the new settings say about it.
+func (c *Core) changeSettings(r ChangeSettings) {
+	if c.keptClasses != nil {
+		c.keptClasses = r.KeptClasses
 	}
-	r.Settings.Classes = c.keyed(r.Settings.Classes)
-	c.settings, c.counts = r.Settings, r.Counters
+	r.Settings.Classes = c.moduleClasses(r.Settings.Classes)
+	c.settings, c.counters = r.Settings, r.Counters
 	for _, k := range c.settings.Classes {
-		c.recent.keep = max(c.recent.keep, k.Deadline+maxAhead)
+		c.recentIDs.retentionMs = max(c.recentIDs.retentionMs, k.Deadline+maxClockAheadMs)
 	}
 	if c.policy == nil {
 		return
 	}
 	s := c.settings
-	s.Cold = c.cold
+	s.Cold = c.poolCold
 	c.policy.Reconfigure(s, r.NewIndices...)
 	for _, i := range r.NewIndices {
-		c.trial.DropClass(i)
+		c.priorValidator.DropClass(i)
 	}
 }
--- a/internal/core/share.go
+++ b/internal/core/share.go
@@ -2,40 +2,42 @@
 
 import "whinrudder"
 
-// share tells what is in hand, and which ids another process of this node must not run: first all that are known, then
-// those that were read since. A request belongs to the process that read it; the other one must only know it.
-func (c *Core) share(s QueryLoad) {
+// handleQueryLoad reports the current load and the ids that another process of this node must not run: first all known
+// ids, then those that were read since the last query. A request belongs to the process that read it; the other process
+// only needs its id.
+func (c *Core) handleQueryLoad(s QueryLoad) {
 	if s.Stop {
-		c.shares, c.fresh = false, nil
+		c.sharingIDs, c.unsharedIDs = false, nil
 		return
 	}
-	if !c.shares {
-		c.shares = true
-		for _, p := range c.recent.ids {
-			c.fresh = append(c.fresh, p.id)
+	if !c.sharingIDs {
+		c.sharingIDs = true
+		for _, p := range c.recentIDs.ids {
+			c.unsharedIDs = append(c.unsharedIDs, p.id)
 		}
-		for id := range c.reqs {
-			c.fresh = append(c.fresh, id)
+		for id := range c.requests {
+			c.unsharedIDs = append(c.unsharedIDs, id)
 		}
 	}
 	var load whinrudder.Beside
 	if c.policy != nil {
 		load = c.policy.CurrentLoad()
 	}
-	ids := c.fresh
-	c.fresh = nil
+	ids := c.unsharedIDs
+	c.unsharedIDs = nil
 	s.Reply(load, ids)
 }
 
-// besides takes what another process of this node shares. Its ids count as read here: one that comes again is doubled.
-func (c *Core) besides(b SiblingLoad) {
+// handleSiblingLoad takes over the load and the ids of another process of this node. Its ids count as read here, so a
+// request with one of them is a duplicate.
+func (c *Core) handleSiblingLoad(b SiblingLoad) {
 	for _, id := range b.IDs {
-		if !c.known(id) {
-			c.recent.add(id, c.now)
+		if !c.isKnown(id) {
+			c.recentIDs.add(id, c.now)
 		}
 	}
-	if b.Beside != c.beside {
-		c.beside = b.Beside
-		c.event(c.beside)
+	if b.Beside != c.siblingLoad {
+		c.siblingLoad = b.Beside
+		c.addEvent(c.siblingLoad)
 	}
 }
