--- a/internal/kept/model_test.go
+++ b/internal/kept/model_test.go
@@ -233,11 +233,11 @@
 		t.Skip("it builds the tests anew for each fault")
 	}
 	for _, f := range []struct{ file, line, instead string }{
-		{"ops/disk.go", "	t.turn(o, InDoubt, r.At)\n", "	t.forget(o)\n"},
-		{"ops/ops.go", "	t.writing = append(t.writing, o)\n", "	t.writing = append(t.writing, o)\n	t.do(StartRun{id})\n"},
-		{"ops/ops.go", "	case o.digest != digest:\n		t.do(LogEvent{\"other-body\", key, id})\n		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}\n", ""},
-		{"ops/disk.go", "			t.pending = append(t.pending, &write{op: o, rec: w.rec, since: now})\n			t.do(Write{Record: w.rec})\n", ""},
-		{"ops/disk.go", "		if o != nil && o.run == r.Run {\n			t.forget(o)\n		}\n", ""},
+		{"ops/disk.go", "	t.setState(o, InDoubt, r.At)\n", "	t.forget(o)\n"},
+		{"ops/ops.go", "	t.intentQueue = append(t.intentQueue, o)\n", "	t.intentQueue = append(t.intentQueue, o)\n	t.emit(StartRun{id})\n"},
+		{"ops/ops.go", "	case o.digest != digest:\n		t.emit(LogEvent{\"other-body\", key, id})\n		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}\n", ""},
+		{"ops/disk.go", "			t.pendingWrites = append(t.pendingWrites, &pendingWrite{op: o, record: w.record, since: now})\n			t.emit(Write{Record: w.record})\n", ""},
+		{"ops/disk.go", "		if o != nil && o.runID == r.Run {\n			t.forget(o)\n		}\n", ""},
 		{"core/core.go", "			c.ops.Cancel(c.now, r.ID)\n", ""},
 		{"core/kept.go", "		all[i].Repeat, all[i].Window = whinrudder.Keyed, 0\n", "		_ = all[i]\n"},
 	} {
--- a/internal/ops/disk.go
+++ b/internal/ops/disk.go
@@ -6,115 +6,117 @@
 	"whinrudder/internal/journal"
 )
 
-// write sends a record on its way.
-func (t *Table) write(now float64, o *op, r journal.Record) {
-	t.pending = append(t.pending, &write{op: o, rec: r, since: now})
-	t.do(Write{Record: r})
+// appendRecord issues the write of a record.
+func (t *Table) appendRecord(now float64, o *operation, r journal.Record) {
+	t.pendingWrites = append(t.pendingWrites, &pendingWrite{op: o, record: r, since: now})
+	t.emit(Write{Record: r})
 }
 
-// take takes the first writes out of the line.
-func (t *Table) take(n int) []*write {
-	done := t.pending[:n]
-	t.pending = slices.Clone(t.pending[n:])
+// takePending removes the first n pending writes and returns them.
+func (t *Table) takePending(n int) []*pendingWrite {
+	done := t.pendingWrites[:n]
+	t.pendingWrites = slices.Clone(t.pendingWrites[n:])
 	return done
 }
 
-// WritesDurable tells that the first writes on their way last, and where they stand.
-func (t *Table) WritesDurable(now float64, places []journal.Position, segs []journal.Segment) {
-	t.failing = false
-	t.SetSegments(segs)
-	for i, w := range t.take(len(places)) {
+// WritesDurable reports that the first pending writes are durable, with their positions.
+func (t *Table) WritesDurable(now float64, positions []journal.Position, segments []journal.Segment) {
+	t.writesFailing = false
+	t.SetSegments(segments)
+	for i, w := range t.takePending(len(positions)) {
 		o := w.op
-		if o == nil || o.gone {
-			continue // of no use any more
+		if o == nil || o.forgotten {
+			continue // the operation no longer needs the record
 		}
-		if w.from.Segment > 0 {
-			if o.place == w.from {
-				t.setPlace(o, places[i])
+		if w.copyFrom.Segment > 0 {
+			if o.position == w.copyFrom {
+				t.setPosition(o, positions[i])
 			}
 			continue
 		}
 		switch {
-		case w.rec.Kind == journal.Intended && o.state == Writing:
-			t.setPlace(o, places[i])
-			t.turn(o, Running, now)
-			t.do(StartRun{o.run})
-		case w.rec.Kind != journal.Intended && o.state == Ending:
-			t.setPlace(o, places[i])
-			t.turn(o, Done, now)
-			t.tell(o)
+		case w.record.Kind == journal.Intended && o.state == Writing:
+			t.setPosition(o, positions[i])
+			t.setState(o, Running, now)
+			t.emit(StartRun{o.runID})
+		case w.record.Kind != journal.Intended && o.state == Ending:
+			t.setPosition(o, positions[i])
+			t.setState(o, Done, now)
+			t.answerEnd(o)
 		}
 	}
 }
 
-// tell answers all that wait for an operation that has ended.
-func (t *Table) tell(o *op) {
+// answerEnd answers all requests that wait for an operation that has ended.
+func (t *Table) answerEnd(o *operation) {
 	result := o.result
 	o.result = nil
-	effect := func(id string, again bool) Effect {
-		if o.end == journal.Finished {
-			return Serve{id, result, again}
+	effect := func(id string, replayed bool) Effect {
+		if o.endKind == journal.Finished {
+			return Serve{id, result, replayed}
 		}
 		return Fail{id, ReasonFailed}
 	}
-	if o.led {
-		o.led = false
-		t.do(effect(o.run, false))
+	if o.leaderOpen {
+		o.leaderOpen = false
+		t.emit(effect(o.runID, false))
 	}
-	t.release(o, func(id string) Effect { return effect(id, true) })
+	t.releaseWaiting(o, func(id string) Effect { return effect(id, true) })
 }
 
-// WritesFailed tells that the first so many writes on their way do not last. The journal cuts them off before it writes anything
-// else, so an intent is taken back by that; an end must be written again.
-func (t *Table) WritesFailed(now float64, n int, segs []journal.Segment) {
-	t.failing = true
-	t.SetSegments(segs)
-	for _, w := range t.take(n) {
+// WritesFailed reports that the first n pending writes are not durable. The journal truncates them before it writes
+// anything else, so no further record is needed to take back an intent; an end must be written again.
+func (t *Table) WritesFailed(now float64, n int, segments []journal.Segment) {
+	t.writesFailing = true
+	t.SetSegments(segments)
+	for _, w := range t.takePending(n) {
 		o := w.op
 		switch {
-		case w.from.Segment > 0: // it stands where it stood
-		case w.rec.Kind == journal.NotRun:
-			t.pending = append(t.pending, &write{rec: w.rec, since: now})
-			t.do(Write{Record: w.rec})
-		case o == nil || o.gone:
-		case w.rec.Kind == journal.Intended && o.state == Writing:
-			if o.led {
-				o.led = false
-				t.do(Refuse{o.run, ReasonStalled})
+		case w.copyFrom.Segment > 0: // the record stays at its old position
+		case w.record.Kind == journal.NotRun:
+			t.pendingWrites = append(t.pendingWrites, &pendingWrite{record: w.record, since: now})
+			t.emit(Write{Record: w.record})
+		case o == nil || o.forgotten:
+		case w.record.Kind == journal.Intended && o.state == Writing:
+			if o.leaderOpen {
+				o.leaderOpen = false
+				t.emit(Refuse{o.runID, ReasonStalled})
 			}
-			t.undo(now, o, false)
+			t.takeBack(now, o, false)
 		case o.state == Ending:
-			t.pending = append(t.pending, &write{op: o, rec: w.rec, since: now})
-			t.do(Write{Record: w.rec})
+			t.pendingWrites = append(t.pendingWrites, &pendingWrite{op: o, record: w.record, since: now})
+			t.emit(Write{Record: w.record})
 		}
 	}
-	if len(t.pending) == 0 { // a record of no meaning finds out when the disk is well again
-		t.write(now, nil, journal.Record{Kind: journal.NotRun, At: now})
+	if len(t.pendingWrites) == 0 { // a record without a key probes whether the disk works again
+		t.appendRecord(now, nil, journal.Record{Kind: journal.NotRun, At: now})
 	}
 }
 
-// CopyUnreadable tells that the first write on its way was a copy of a record that can't be read. Another life would find no more
-// there than this one: what is known in memory is written in its place, and a result that is lost is told as such.
+// CopyUnreadable reports that the first pending write is a copy of a record that can't be read. A later process could
+// not read it either, so a record of what is known in memory replaces it. A done operation whose result is lost this way
+// is recorded as failed.
 func (t *Table) CopyUnreadable(now float64) {
-	w := t.take(1)[0]
+	w := t.takePending(1)[0]
 	o := w.op
-	if o.gone || o.place != w.from || o.state == Ending {
+	if o.forgotten || o.position != w.copyFrom || o.state == Ending {
 		return
 	}
-	r := journal.Record{Kind: journal.Intended, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, ResolvedBy: o.by}
+	r := journal.Record{Kind: journal.Intended, Key: o.key, Digest: o.digest[:], Run: o.runID, At: o.changedAt,
+		ResolvedBy: o.resolvedBy}
 	if o.state == Done {
-		t.do(LogEvent{"lost-result", o.key, o.run})
-		o.end, r.Kind = journal.Failed, journal.Failed
+		t.emit(LogEvent{"lost-result", o.key, o.runID})
+		o.endKind, r.Kind = journal.Failed, journal.Failed
 	}
-	t.pending = append(t.pending, &write{op: o, rec: r, from: w.from, since: now})
-	t.do(Write{Record: r})
+	t.pendingWrites = append(t.pendingWrites, &pendingWrite{op: o, record: r, copyFrom: w.copyFrom, since: now})
+	t.emit(Write{Record: r})
 }
 
-// Recover takes a record of the journal, in order, when a node starts.
+// Recover applies a record of the journal when a node starts. Records must come in the order of the journal.
 func (t *Table) Recover(r journal.Record, p journal.Position) {
-	o := t.ops[r.Key]
+	o := t.opsByKey[r.Key]
 	if r.Kind == journal.NotRun {
-		if o != nil && o.run == r.Run {
+		if o != nil && o.runID == r.Run {
 			t.forget(o)
 		}
 		return
@@ -122,69 +124,70 @@
 	if o != nil {
 		t.forget(o)
 	}
-	o = &op{key: r.Key, run: r.Run, at: r.At, by: r.ResolvedBy}
+	o = &operation{key: r.Key, runID: r.Run, changedAt: r.At, resolvedBy: r.ResolvedBy}
 	copy(o.digest[:], r.Digest)
-	o.age.Value = o
-	t.ops[o.key], t.runs[o.run] = o, o
-	t.setPlace(o, p)
+	o.expiry.Value = o
+	t.opsByKey[o.key], t.opsByRun[o.runID] = o, o
+	t.setPosition(o, p)
 	if o.state = Running; r.Kind != journal.Intended {
-		o.end = r.Kind
-		t.turn(o, Done, r.At)
+		o.endKind = r.Kind
+		t.setState(o, Done, r.At)
 		return
 	}
-	t.turn(o, InDoubt, r.At)
+	t.setState(o, InDoubt, r.At)
 }
 
-// FinishRecovery ends the recovery.
-func (t *Table) FinishRecovery(now float64, segs []journal.Segment) {
-	t.SetSegments(segs)
+// FinishRecovery ends the recovery: it sets the present segments and forgets the operations that are too old.
+func (t *Table) FinishRecovery(now float64, segments []journal.Segment) {
+	t.SetSegments(segments)
 	t.expire(now)
-	t.out = nil
+	t.effects = nil
 }
 
-// SetSegments takes what segments there are.
-func (t *Table) SetSegments(segs []journal.Segment) {
-	t.segs, t.disk = segs, 0
-	for _, s := range segs {
-		t.disk += s.Bytes
+// SetSegments sets the present segments of the journal.
+func (t *Table) SetSegments(segments []journal.Segment) {
+	t.segments, t.diskBytes = segments, 0
+	for _, s := range segments {
+		t.diskBytes += s.Bytes
 	}
 }
 
-// SegmentDropped tells whether a segment could be removed.
-func (t *Table) SegmentDropped(now float64, seg uint32, ok bool, segs []journal.Segment) {
-	t.dropping = 0
+// SegmentDropped reports whether a segment was removed.
+func (t *Table) SegmentDropped(now float64, seg uint32, ok bool, segments []journal.Segment) {
+	t.droppingSegment = 0
 	if !ok {
-		t.dropAt = now + dropAgain
+		t.dropRetryAt = now + dropRetryMs
 	}
-	t.SetSegments(segs)
+	t.SetSegments(segments)
 }
 
-// setPlace notes where the record of an operation stands that counts.
-func (t *Table) setPlace(o *op, p journal.Position) {
-	t.unplace(o)
-	s := t.live[p.Segment]
+// setPosition sets the position of an operation's current record.
+func (t *Table) setPosition(o *operation, p journal.Position) {
+	t.clearPosition(o)
+	s := t.liveSegments[p.Segment]
 	if s == nil {
-		s = &segment{}
-		t.live[p.Segment] = s
+		s = &liveSegment{}
+		t.liveSegments[p.Segment] = s
 	}
-	s.n++
+	s.count++
 	s.bytes += int64(p.Length)
-	t.liveSum += int64(p.Length)
-	o.place, o.prev, o.next = p, nil, s.first
+	t.liveBytes += int64(p.Length)
+	o.position, o.prev, o.next = p, nil, s.first
 	if s.first != nil {
 		s.first.prev = o
 	}
 	s.first = o
 }
 
-func (t *Table) unplace(o *op) {
-	s := t.live[o.place.Segment]
-	if s == nil || o.place.Segment == 0 {
+// clearPosition removes an operation from the list of its segment.
+func (t *Table) clearPosition(o *operation) {
+	s := t.liveSegments[o.position.Segment]
+	if s == nil || o.position.Segment == 0 {
 		return
 	}
-	s.n--
-	s.bytes -= int64(o.place.Length)
-	t.liveSum -= int64(o.place.Length)
+	s.count--
+	s.bytes -= int64(o.position.Length)
+	t.liveBytes -= int64(o.position.Length)
 	if o.prev != nil {
 		o.prev.next = o.next
 	} else {
@@ -193,45 +196,47 @@
 	if o.next != nil {
 		o.next.prev = o.prev
 	}
-	if s.n == 0 {
-		delete(t.live, o.place.Segment)
+	if s.count == 0 {
+		delete(t.liveSegments, o.position.Segment)
 	}
-	o.place, o.prev, o.next = journal.Position{}, nil, nil
+	o.position, o.prev, o.next = journal.Position{}, nil, nil
 }
 
-// moves tells whether the oldest segment is to be moved: most of the journal counts no more, or there are many files.
-func (t *Table) moves() bool {
-	if len(t.segs) < 2 || t.failing || t.dropping > 0 || t.closed {
+// needsCompaction reports whether the oldest segment must be compacted: it or most of the journal holds no current
+// records, or there are too many segments.
+func (t *Table) needsCompaction() bool {
+	if len(t.segments) < 2 || t.writesFailing || t.droppingSegment > 0 || t.closed {
 		return false
 	}
-	return t.live[t.segs[0].Number] == nil || t.disk > 2*t.liveSum+2*t.limits.SegmentBytes || len(t.segs) > segsMost
+	return t.liveSegments[t.segments[0].Number] == nil ||
+		t.diskBytes > 2*t.liveBytes+2*t.limits.SegmentBytes || len(t.segments) > maxSegments
 }
 
-// move copies some of what counts in the oldest segment to the end, and removes the segment once nothing in it does.
-// Records on their way stand behind it, so an empty one is empty for good.
-func (t *Table) move(now float64) {
-	if now < max(t.copyAt, t.dropAt) || !t.moves() {
+// compact copies some current records of the oldest segment to the end of the journal, and removes the segment once it
+// holds none. Pending writes go to later segments, so no current record is added to an empty oldest segment.
+func (t *Table) compact(now float64) {
+	if now < max(t.nextCopyAt, t.dropRetryAt) || !t.needsCompaction() {
 		return
 	}
-	t.copyAt = now + copyEvery
-	oldest := t.live[t.segs[0].Number]
+	t.nextCopyAt = now + copyIntervalMs
+	oldest := t.liveSegments[t.segments[0].Number]
 	if oldest == nil {
-		t.dropping = t.segs[0].Number
-		t.do(DropSegment{t.dropping})
+		t.droppingSegment = t.segments[0].Number
+		t.emit(DropSegment{t.droppingSegment})
 		return
 	}
-	for _, w := range t.pending {
-		if w.from.Segment > 0 {
-			return // the last ones are on their way
+	for _, w := range t.pendingWrites {
+		if w.copyFrom.Segment > 0 {
+			return // the copies of the last round are pending
 		}
 	}
 	n := 0
-	for o := oldest.first; o != nil && n < copyMost; o = o.next {
+	for o := oldest.first; o != nil && n < maxCopiesPerRound; o = o.next {
 		if o.state == Ending {
-			continue // its end is on its way
+			continue // its end is being written
 		}
-		t.pending = append(t.pending, &write{op: o, from: o.place, since: now})
-		t.do(Write{CopyFrom: o.place})
+		t.pendingWrites = append(t.pendingWrites, &pendingWrite{op: o, copyFrom: o.position, since: now})
+		t.emit(Write{CopyFrom: o.position})
 		n++
 	}
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,11 +1,11 @@
-// Package ops keeps the operations of requests that carry a key of their own, so that one that may have run is never run
-// again, across crashes too. Table is a state machine without I/O and without a clock: it is told what happens, and says
-// what is to be written, started and answered. An operation goes
+// Package ops tracks the operations of requests that carry an idempotency key, so that an operation that may have run is
+// never run again, even across crashes. Table is a state machine without I/O and without a clock: its callers report
+// events, and it returns as effects what must be written, started and answered. An operation passes through the states
 //
 //	Held -> Writing -> Running -> Ending -> Done
 //
-// and is forgotten when it provably did not run. One that may have run and whose end nobody can tell is InDoubt: word of
-// the worker pool or of an operator ends that, nothing else.
+// and is forgotten when it provably did not run. An operation that may have run and whose end is unknown is InDoubt. It
+// leaves that state only by a notice of the worker pool, by an operator's decision, or by the age limit for doubts.
 //
 // All times are Unix milliseconds.
 package ops
@@ -19,82 +19,82 @@
 	"whinrudder/internal/queue"
 )
 
-// State is how far an operation has come.
+// State is the state of an operation.
 type State uint8
 
-// The states.
+// The states of an operation.
 const (
-	Held    State = iota // a request leads it, and nothing was promised
-	Writing              // its intent is on the way to the disk
-	Running              // its intent lasts: it was started, or will be
-	Ending               // it ended, and word of that is on the way to the disk
-	Done                 // its end lasts
-	InDoubt              // it may have run
+	Held    State = iota // its first request is open, and no record of it is written
+	Writing              // its intent is being written to disk
+	Running              // its intent is durable: it was started or will be
+	Ending               // it ended, and its end is being written to disk
+	Done                 // its end is durable
+	InDoubt              // it may have run, and its end is unknown
 )
 
 func (s State) String() string {
 	return [...]string{"held", "writing", "running", "ending", "done", "in-doubt"}[s]
 }
 
-// Limits of a table.
+// Limits are the limits of a table.
 type Limits struct {
-	Keys         int     // operations at a time
-	DiskBytes    int64   // of all segments; beyond, no new operation is taken
-	SegmentBytes int64   // of one
-	AgeMs        float64 // an end is kept for so long
-	DoubtMs      float64 // and a doubt
+	Keys         int     // number of operations
+	DiskBytes    int64   // of all segments; from this size on no new operation is accepted
+	SegmentBytes int64   // of one segment
+	AgeMs        float64 // how long the end of an operation is kept
+	DoubtMs      float64 // how long an operation in doubt is kept
 }
 
-// Times in milliseconds, and budgets.
+// Time limits in milliseconds, and size limits.
 const (
-	stallFor  = 300  // a write that takes longer lets new operations be refused
-	startFor  = 1000 // an intent that does not last by then is taken back
-	copyEvery = 20   // the oldest segment is moved this often
-	copyMost  = 32   // and so many records at a time
-	dropAgain = 1000 // a segment that could not be removed is tried again after so long
-	segsMost  = 64   // more segments are moved together, whatever they hold
-	maxResult = 8 << 10
-	maxBy     = 64
-	waitLeast = 64 // a line of so many that wait is looked through for those that left before it grows
+	stallThresholdMs     = 300  // new operations are refused while a write takes longer
+	intentTimeoutMs      = 1000 // an intent that is not durable by then is taken back
+	copyIntervalMs       = 20   // minimum time between two rounds of compaction
+	maxCopiesPerRound    = 32   // records copied in one round
+	dropRetryMs          = 1000 // delay before the removal of a segment is retried
+	maxSegments          = 64   // above this number the oldest segment is compacted, whatever it holds
+	maxResultBytes       = 8 << 10
+	maxResolverNameBytes = 64
+	waitingTrimMin       = 64 // a list of this many waiting requests is cleared of those that left before it grows
 )
 
-// Reason is why an operation's request is not served.
+// Reason is why a request of an operation is not served.
 type Reason uint8
 
-// The reasons.
+// The reasons why a request is not served.
 const (
 	ReasonFailed    Reason = iota // the operation ended without a result
-	ReasonInDoubt                 // it may have run
+	ReasonInDoubt                 // it may have run, and its end is unknown
 	ReasonOtherBody               // the key was used with another body
-	ReasonFull                    // no more operations are taken
-	ReasonStalled                 // the disk does not take what must last
+	ReasonFull                    // the table or the disk is full
+	ReasonStalled                 // writes to disk fail or take too long
 	ReasonNotRun                  // the request that it waited for was not run
-	ReasonMoved                   // another process of the node is to have the operations
+	ReasonMoved                   // the operations are given up to another process of the node
 )
 
-func (w Reason) String() string {
-	return [...]string{"failed", "in-doubt", "other-body", "full", "stalled", "not-run", "moved"}[w]
+func (r Reason) String() string {
+	return [...]string{"failed", "in-doubt", "other-body", "full", "stalled", "not-run", "moved"}[r]
 }
 
-// An Effect is something that must be done, in order.
+// An Effect is an action that the caller must carry out. Effects are carried out in order.
 type Effect interface{ effect() }
 
 type (
-	// Write appends a record to the journal. The answers WritesDurable and WritesFailed come in the order of the writes. If CopyFrom is
-	// given, the record is the one that stands there.
+	// Write appends a record to the journal. WritesDurable and WritesFailed report the outcomes in the order of the
+	// writes. If CopyFrom is set, the record at that position is copied instead of Record.
 	Write struct {
 		Record   journal.Record
 		CopyFrom journal.Position
 	}
-	// StartRun hands a run to the worker pool.
+	// StartRun starts a run in the worker pool.
 	StartRun struct{ ID string }
 	// Serve answers a request with a result.
 	Serve struct {
 		ID       string
 		Result   []byte
-		Replayed bool // it is that of an earlier request
+		Replayed bool // the result is that of an earlier request
 	}
-	// Fetch serves a request with the result of a record.
+	// Fetch answers a request with the result in a record.
 	Fetch struct {
 		ID       string
 		Position journal.Position
@@ -111,7 +111,7 @@
 	}
 	// DropSegment removes the oldest segment.
 	DropSegment struct{ Segment uint32 }
-	// LogEvent is for the log.
+	// LogEvent is a log entry.
 	LogEvent struct{ Code, Key, Run string }
 )
 
@@ -124,84 +124,85 @@
 func (DropSegment) effect() {}
 func (LogEvent) effect()    {}
 
-// op is one operation.
-type op struct {
-	key    string
-	digest [digestSize]byte
-	run    string // id of the request that is run for it
-	state  State
-	end    journal.Kind // of Ending and Done
-	led    bool         // the request of that id is owed an answer
-	gone   bool         // it is in the table no more
-	at     float64      // of the last change of its state
+// operation is one operation of the table.
+type operation struct {
+	key        string
+	digest     [digestBytes]byte
+	runID      string // id of the request whose run it is
+	state      State
+	endKind    journal.Kind // in the states Ending and Done
+	leaderOpen bool         // the request with the id runID has no answer yet
+	forgotten  bool         // it was removed from the table
+	changedAt  float64      // when it entered its state; Done and InDoubt keep the time of the state before
 
-	waiting []string // requests that repeat it, in order
-	result  []byte   // until it lasts
-	by      string
+	waiting    []string // ids of the requests that repeat it, in order of arrival; some may have left
+	result     []byte   // kept in memory until its record is durable
+	resolvedBy string   // name of the operator who resolved it; empty: none
 
-	age        queue.HeapEntry[*op] // of those that are aged out
-	place      journal.Position     // of the record that counts; no segment: none
-	prev, next *op                  // in its segment
+	expiry     queue.HeapEntry[*operation] // entry in Table.expiries
+	position   journal.Position            // position of its current record; segment 0: none
+	prev, next *operation                  // neighbors in the list of its liveSegment
 }
 
-const digestSize = 16
+const digestBytes = 16 // length of the digest of a request body
 
-// write is a record on its way.
-type write struct {
-	op    *op
-	rec   journal.Record
-	from  journal.Position // of a copy
-	since float64
+// pendingWrite is a record that is being written.
+type pendingWrite struct {
+	op       *operation
+	record   journal.Record
+	copyFrom journal.Position // source of a copy; segment 0: not a copy
+	since    float64          // when it was issued
 }
 
-// segment is what is known of a segment that holds records that count.
-type segment struct {
-	n     int
-	bytes int64
-	first *op
+// liveSegment describes a segment that holds current records of operations.
+type liveSegment struct {
+	count int        // current records in it
+	bytes int64      // their total size
+	first *operation // head of the list of their operations
 }
 
 // Table holds all operations of a node. It is used from one goroutine.
 type Table struct {
-	limits Limits
-	ops    map[string]*op
-	runs   map[string]*op // by the id that they are run under
-	waits  map[string]*op // by the ids of requests that wait
-	ages   queue.Heap[*op]
-	doubts int
-	ends   int  // operations that are done
-	closed bool // no new ones are taken
-
-	pending []*write // in order
-	failing bool     // the last write did not last
-	writing []*op    // in order of their intents; some have gone on
-
-	segs     []journal.Segment
-	live     map[uint32]*segment
-	liveSum  int64
-	disk     int64
-	copyAt   float64
-	dropping uint32
-	dropAt   float64
-
-	out []Effect
+	limits      Limits
+	opsByKey    map[string]*operation
+	opsByRun    map[string]*operation // by run id
+	opsByWaiter map[string]*operation // by the ids of the requests that wait for them
+	expiries    queue.Heap[*operation]
+	doubtCount  int
+	doneCount   int  // operations in the state Done
+	closed      bool // no new operations are accepted
+
+	pendingWrites []*pendingWrite // in order of issue
+	writesFailing bool            // the last write failed
+	intentQueue   []*operation    // in order of their intents; some may have left the state Writing
+
+	segments        []journal.Segment       // all segments of the journal, the oldest first
+	liveSegments    map[uint32]*liveSegment // those with current records, by number
+	liveBytes       int64                   // size of all current records
+	diskBytes       int64                   // size of all segments
+	nextCopyAt      float64                 // when the next round of compaction may start
+	droppingSegment uint32                  // segment whose removal is pending; 0: none
+	dropRetryAt     float64                 // after a failed removal, when compaction may continue
+
+	effects []Effect // since the last call of Effects
 }
 
 // New returns an empty table.
 func New(l Limits) *Table {
-	return &Table{limits: l, ops: map[string]*op{}, runs: map[string]*op{}, waits: map[string]*op{}, live: map[uint32]*segment{}}
+	return &Table{limits: l, opsByKey: map[string]*operation{}, opsByRun: map[string]*operation{},
+		opsByWaiter: map[string]*operation{}, liveSegments: map[uint32]*liveSegment{}}
 }
 
-func (t *Table) do(e Effect) { t.out = append(t.out, e) }
+func (t *Table) emit(e Effect) { t.effects = append(t.effects, e) }
 
-// Effects returns what is to be done since the last call.
+// Effects returns the effects since the last call.
 func (t *Table) Effects() []Effect {
-	out := t.out
-	t.out = nil
+	out := t.effects
+	t.effects = nil
 	return out
 }
 
-// Verdict is what becomes of a request that has a key.
+// Verdict is the decision about a request that has a key.
 type Verdict struct {
 	Kind     VerdictKind
 	RepeatOf string // VerdictWaits: the id of the request that it repeats
@@ -213,312 +214,320 @@
 
 // The kinds of verdicts.
 const (
-	VerdictFirst   VerdictKind = iota // it is the first: it is for the module to say whether it runs
-	VerdictWaits                      // it repeats one in hand
-	VerdictServed                     // there is a result: an effect tells which
-	VerdictFails                      // it can't be run, and may have been
-	VerdictRefused                    // it is not run
+	VerdictFirst   VerdictKind = iota // it is the first of its operation: the decision module decides whether it runs
+	VerdictWaits                      // it repeats an unfinished request
+	VerdictServed                     // there is a result, and a Fetch effect follows
+	VerdictFails                      // it must not run, and its operation may have run
+	VerdictRefused                    // it is not run, and its operation is not in the table
 )
 
-// Begin takes a request of a key. The digest tells bodies apart.
-func (t *Table) Begin(now float64, id, key string, digest [digestSize]byte) Verdict {
+// Begin decides what happens to a request with a key. The digest distinguishes bodies.
+func (t *Table) Begin(now float64, id, key string, digest [digestBytes]byte) Verdict {
 	t.expire(now)
-	o := t.ops[key]
+	o := t.opsByKey[key]
 	switch {
 	case o == nil && t.closed:
 		return Verdict{Kind: VerdictRefused, Reason: ReasonMoved}
-	case o == nil && (len(t.ops) >= t.limits.Keys || t.disk >= t.limits.DiskBytes):
+	case o == nil && (len(t.opsByKey) >= t.limits.Keys || t.diskBytes >= t.limits.DiskBytes):
 		return Verdict{Kind: VerdictRefused, Reason: ReasonFull}
 	case o == nil && t.Stalled(now):
 		return Verdict{Kind: VerdictRefused, Reason: ReasonStalled}
-	case o == nil && t.runs[id] != nil:
-		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody} // the id is that of a run for another key
+	case o == nil && t.opsByRun[id] != nil:
+		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody} // a run for another key has this id
 	case o == nil:
-		o = &op{key: key, digest: digest, run: id, led: true, at: now}
-		o.age.Value = o
-		t.ops[key], t.runs[id] = o, o
+		o = &operation{key: key, digest: digest, runID: id, leaderOpen: true, changedAt: now}
+		o.expiry.Value = o
+		t.opsByKey[key], t.opsByRun[id] = o, o
 		return Verdict{Kind: VerdictFirst}
 	case o.digest != digest:
-		t.do(LogEvent{"other-body", key, id})
+		t.emit(LogEvent{"other-body", key, id})
 		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}
 	case o.state == InDoubt:
-		t.do(LogEvent{"in-doubt", key, o.run})
+		t.emit(LogEvent{"in-doubt", key, o.runID})
 		return Verdict{Kind: VerdictFails, Reason: ReasonInDoubt}
-	case o.state == Done && o.end == journal.Failed:
+	case o.state == Done && o.endKind == journal.Failed:
 		return Verdict{Kind: VerdictFails, Reason: ReasonFailed}
 	case o.state == Done:
-		t.do(Fetch{id, o.place})
+		t.emit(Fetch{id, o.position})
 		return Verdict{Kind: VerdictServed}
 	}
-	return Verdict{Kind: VerdictWaits, RepeatOf: o.run}
+	return Verdict{Kind: VerdictWaits, RepeatOf: o.runID}
 }
 
-// Position returns where the result of a key stands now, for a fetch that crossed a move.
+// Position returns the current position of the result of a key, for a fetch whose record was moved meanwhile.
 func (t *Table) Position(key string) (journal.Position, bool) {
-	o := t.ops[key]
-	if o == nil || o.state != Done || o.end != journal.Finished {
+	o := t.opsByKey[key]
+	if o == nil || o.state != Done || o.endKind != journal.Finished {
 		return journal.Position{}, false
 	}
-	return o.place, true
+	return o.position, true
 }
 
-// Wait lets a request wait for the end of the operation that it repeats, which may have come by now.
+// Wait makes a request wait for the end of the operation that it repeats. If that has ended by now, the request is
+// answered at once.
 func (t *Table) Wait(now float64, id, key string) {
-	o := t.ops[key]
+	o := t.opsByKey[key]
 	switch {
 	case o == nil:
-		t.do(Refuse{id, ReasonNotRun}) // it was given up meanwhile
+		t.emit(Refuse{id, ReasonNotRun}) // the operation was taken back meanwhile
 	case o.state == InDoubt:
-		t.do(Fail{id, ReasonInDoubt})
-	case o.state == Done && o.end == journal.Failed:
-		t.do(Fail{id, ReasonFailed})
+		t.emit(Fail{id, ReasonInDoubt})
+	case o.state == Done && o.endKind == journal.Failed:
+		t.emit(Fail{id, ReasonFailed})
 	case o.state == Done:
-		t.do(Fetch{id, o.place})
+		t.emit(Fetch{id, o.position})
 	default:
-		if n := len(o.waiting); n >= waitLeast && n == cap(o.waiting) {
-			o.waiting = slices.DeleteFunc(o.waiting, func(id string) bool { return t.waits[id] != o })
+		if n := len(o.waiting); n >= waitingTrimMin && n == cap(o.waiting) {
+			o.waiting = slices.DeleteFunc(o.waiting, func(id string) bool { return t.opsByWaiter[id] != o })
 		}
 		o.waiting = append(o.waiting, id)
-		t.waits[id] = o
+		t.opsByWaiter[id] = o
 	}
 }
 
-// WriteIntent takes the module's word that a request is to be run. StartRun comes once that lasts.
+// WriteIntent records that the request's run may start, as the decision module wants. StartRun follows once the record
+// is durable. It returns false if the request does not lead an operation in the state Held.
 func (t *Table) WriteIntent(now float64, id string) bool {
-	o := t.runs[id]
-	if o == nil || o.state != Held || !o.led {
+	o := t.opsByRun[id]
+	if o == nil || o.state != Held || !o.leaderOpen {
 		return false
 	}
-	t.turn(o, Writing, now)
-	t.write(now, o, journal.Record{Kind: journal.Intended, Key: o.key, Digest: o.digest[:], Run: id, At: now})
-	t.writing = append(t.writing, o)
+	t.setState(o, Writing, now)
+	t.appendRecord(now, o, journal.Record{Kind: journal.Intended, Key: o.key, Digest: o.digest[:], Run: id, At: now})
+	t.intentQueue = append(t.intentQueue, o)
 	return true
 }
 
-// Detach tells that a request is answered, or that its caller is gone. What was not started for it, is not.
+// Detach reports that a request was answered or that its caller left. If its run has not started, it will not start.
 func (t *Table) Detach(now float64, id string) {
-	if o := t.waits[id]; o != nil {
-		delete(t.waits, id)
-		return // it stays in the line, unanswered
+	if o := t.opsByWaiter[id]; o != nil {
+		delete(t.opsByWaiter, id)
+		return // it stays in the waiting list without being answered
 	}
-	o := t.runs[id]
-	if o == nil || !o.led {
+	o := t.opsByRun[id]
+	if o == nil || !o.leaderOpen {
 		return
 	}
-	o.led = false
+	o.leaderOpen = false
 	if o.state == Held || o.state == Writing {
-		t.undo(now, o, o.state == Writing)
+		t.takeBack(now, o, o.state == Writing)
 	}
 }
 
-// Cancel takes back a request that was to be started and was not handed over: it provably did not run.
+// Cancel takes back a run that was to be started but was not sent to the worker pool: it provably did not run.
 func (t *Table) Cancel(now float64, id string) {
-	if o := t.runs[id]; o != nil && (o.state == Writing || o.state == Running) {
-		t.undo(now, o, true)
+	if o := t.opsByRun[id]; o != nil && (o.state == Writing || o.state == Running) {
+		t.takeBack(now, o, true)
 	}
 }
 
-// RunNotStarted tells that the worker pool did not start a run.
+// RunNotStarted reports that the worker pool did not start a run.
 func (t *Table) RunNotStarted(now float64, run string) {
-	if o := t.runs[run]; o != nil && (o.state == Running || o.state == InDoubt) {
-		t.undo(now, o, true)
+	if o := t.opsByRun[run]; o != nil && (o.state == Running || o.state == InDoubt) {
+		t.takeBack(now, o, true)
 	}
 }
 
-// undo forgets an operation that provably did not run. If its intent was written, that is taken back on the disk, too.
-func (t *Table) undo(now float64, o *op, written bool) {
+// takeBack forgets an operation that provably did not run. If its intent was written, a record in the journal cancels it.
+func (t *Table) takeBack(now float64, o *operation, written bool) {
 	if written {
-		t.write(now, nil, journal.Record{Kind: journal.NotRun, Key: o.key, Run: o.run, At: now, ResolvedBy: o.by})
+		t.appendRecord(now, nil, journal.Record{Kind: journal.NotRun, Key: o.key, Run: o.runID, At: now,
+			ResolvedBy: o.resolvedBy})
 	}
 	t.forget(o)
-	t.release(o, func(id string) Effect { return Refuse{id, ReasonNotRun} })
+	t.releaseWaiting(o, func(id string) Effect { return Refuse{id, ReasonNotRun} })
 }
 
-// Finish tells that a run is over. It returns false if it is none of ours that was running or in doubt.
+// Finish reports the end of a run. It returns false unless an operation with this run is running or in doubt.
 func (t *Table) Finish(now float64, run string, ok bool, result []byte) bool {
-	o := t.runs[run]
+	o := t.opsByRun[run]
 	if o == nil || o.state != Running && o.state != InDoubt {
 		return false
 	}
 	if o.state == InDoubt {
-		t.do(LogEvent{"resolved", o.key, run})
+		t.emit(LogEvent{"resolved", o.key, run})
 	}
-	o.end, o.result = journal.Failed, nil
+	o.endKind, o.result = journal.Failed, nil
 	if ok {
-		o.end, o.result = journal.Finished, bytes.Clone(result)
+		o.endKind, o.result = journal.Finished, bytes.Clone(result)
 	}
-	if len(result) > maxResult {
-		t.do(LogEvent{"long-result", o.key, run})
-		o.end = journal.Failed // it is told once, and can't be kept
+	if len(result) > maxResultBytes {
+		t.emit(LogEvent{"long-result", o.key, run})
+		o.endKind = journal.Failed // the result is too long to be kept, so the operation counts as failed
 	}
-	t.turn(o, Ending, now)
+	t.setState(o, Ending, now)
 	t.writeEnd(now, o)
 	return true
 }
 
-func (t *Table) writeEnd(now float64, o *op) {
-	t.write(now, o, journal.Record{Kind: o.end, Key: o.key, Digest: o.digest[:], Run: o.run, At: o.at, Result: o.result, ResolvedBy: o.by})
+// writeEnd writes the record of an operation's end.
+func (t *Table) writeEnd(now float64, o *operation) {
+	t.appendRecord(now, o, journal.Record{Kind: o.endKind, Key: o.key, Digest: o.digest[:], Run: o.runID,
+		At: o.changedAt, Result: o.result, ResolvedBy: o.resolvedBy})
 }
 
-// MarkInDoubt tells that nothing more will be heard of a run in its time.
+// MarkInDoubt reports that no notice of the end of a run is expected before its due time.
 func (t *Table) MarkInDoubt(now float64, run string) {
-	if o := t.runs[run]; o != nil && o.state == Running {
-		t.turn(o, InDoubt, now)
-		t.do(LogEvent{"doubt", o.key, run})
-		t.release(o, func(id string) Effect { return Fail{id, ReasonInDoubt} })
+	if o := t.opsByRun[run]; o != nil && o.state == Running {
+		t.setState(o, InDoubt, now)
+		t.emit(LogEvent{"doubt", o.key, run})
+		t.releaseWaiting(o, func(id string) Effect { return Fail{id, ReasonInDoubt} })
 	}
 }
 
-// UnsyncedEnd returns the end of an operation that is not sure to last yet, for a request that can't wait for that.
+// UnsyncedEnd returns the end of an operation whose record is not durable yet, for a request that can't wait for that.
 func (t *Table) UnsyncedEnd(id string) (result []byte, ok, ended bool) {
-	o := t.waits[id]
+	o := t.opsByWaiter[id]
 	if o == nil {
-		o = t.runs[id]
+		o = t.opsByRun[id]
 	}
 	if o == nil || o.state != Ending {
 		return nil, false, false
 	}
-	return o.result, o.end == journal.Finished, true
+	return o.result, o.endKind == journal.Finished, true
 }
 
-// Resolve takes an operator's word on an operation in doubt.
+// Resolve applies an operator's decision about an operation in doubt.
 func (t *Table) Resolve(now float64, key string, kind journal.Kind, result []byte, by string) error {
-	o := t.ops[key]
+	o := t.opsByKey[key]
 	switch {
 	case o == nil:
 		return fmt.Errorf("%q is not kept", key)
 	case o.state != InDoubt:
 		return fmt.Errorf("%q is %v: only what is in doubt can be resolved", key, o.state)
-	case len(by) > maxBy:
-		return fmt.Errorf("a name of %d characters, %d at most", len(by), maxBy)
-	case kind == journal.Finished && len(result) > maxResult:
-		return fmt.Errorf("a result of %d bytes, %d at most", len(result), maxResult)
+	case len(by) > maxResolverNameBytes:
+		return fmt.Errorf("operator name length %d exceeds the limit of %d bytes", len(by), maxResolverNameBytes)
+	case kind == journal.Finished && len(result) > maxResultBytes:
+		return fmt.Errorf("result length %d exceeds the limit of %d bytes", len(result), maxResultBytes)
 	}
-	o.by = by
-	t.do(LogEvent{"resolved-by", key, by})
+	o.resolvedBy = by
+	t.emit(LogEvent{"resolved-by", key, by})
 	if kind == journal.NotRun {
-		t.undo(now, o, true)
+		t.takeBack(now, o, true)
 		return nil
 	}
-	o.end, o.result = kind, result
-	t.turn(o, Ending, now)
+	o.endKind, o.result = kind, result
+	t.setState(o, Ending, now)
 	t.writeEnd(now, o)
 	return nil
 }
 
-// release answers all that wait for an operation.
-func (t *Table) release(o *op, with func(id string) Effect) {
+// releaseWaiting answers all requests that wait for an operation.
+func (t *Table) releaseWaiting(o *operation, effectFor func(id string) Effect) {
 	for _, id := range o.waiting {
-		if t.waits[id] == o {
-			delete(t.waits, id)
-			t.do(with(id))
+		if t.opsByWaiter[id] == o {
+			delete(t.opsByWaiter, id)
+			t.emit(effectFor(id))
 		}
 	}
 	o.waiting = nil
 }
 
-// turn brings an operation to a state.
-func (t *Table) turn(o *op, s State, now float64) {
-	t.uncount(o)
-	t.ages.Remove(&o.age)
-	switch s {
+// setState moves an operation to a state and schedules its expiry.
+func (t *Table) setState(o *operation, state State, now float64) {
+	t.uncountState(o)
+	t.expiries.Remove(&o.expiry)
+	switch state {
 	case Done:
-		t.ends++
-		t.ages.Set(&o.age, o.at+t.limits.AgeMs)
+		t.doneCount++
+		t.expiries.Set(&o.expiry, o.changedAt+t.limits.AgeMs)
 	case InDoubt:
-		t.doubts++
-		t.ages.Set(&o.age, o.at+t.limits.DoubtMs)
+		t.doubtCount++
+		t.expiries.Set(&o.expiry, o.changedAt+t.limits.DoubtMs)
 	default:
-		o.at = now
+		o.changedAt = now
 	}
-	o.state = s
+	o.state = state
 }
 
-// forget takes an operation out of the table.
-func (t *Table) forget(o *op) {
-	t.uncount(o)
-	t.ages.Remove(&o.age)
-	t.unplace(o)
-	o.gone = true
-	if t.ops[o.key] == o {
-		delete(t.ops, o.key)
+// forget removes an operation from the table.
+func (t *Table) forget(o *operation) {
+	t.uncountState(o)
+	t.expiries.Remove(&o.expiry)
+	t.clearPosition(o)
+	o.forgotten = true
+	if t.opsByKey[o.key] == o {
+		delete(t.opsByKey, o.key)
 	}
-	if t.runs[o.run] == o {
-		delete(t.runs, o.run)
+	if t.opsByRun[o.runID] == o {
+		delete(t.opsByRun, o.runID)
 	}
 }
 
-// uncount takes an operation out of those of its state.
-func (t *Table) uncount(o *op) {
+// uncountState removes an operation from the count of its state.
+func (t *Table) uncountState(o *operation) {
 	switch o.state {
 	case InDoubt:
-		t.doubts--
+		t.doubtCount--
 	case Done:
-		t.ends--
+		t.doneCount--
 	}
 }
 
-// SetClosed lets the table take no new operations, or take them again. Those in hand go on, and their repeats wait for them.
+// SetClosed makes the table refuse new operations, or accept them again. Unfinished ones continue, and their repeats
+// wait for them.
 func (t *Table) SetClosed(on bool) { t.closed = on }
 
-// Idle tells that nothing is in hand: every operation is done or in doubt, and all that was to be written lasts.
+// Idle reports whether no work is unfinished: every operation is done or in doubt, no write and no removal of a segment
+// is pending, and no request waits.
 func (t *Table) Idle() bool {
-	return len(t.ops) == t.ends+t.doubts && len(t.pending) == 0 && len(t.waits) == 0 && t.dropping == 0
+	return len(t.opsByKey) == t.doneCount+t.doubtCount && len(t.pendingWrites) == 0 && len(t.opsByWaiter) == 0 &&
+		t.droppingSegment == 0
 }
 
-// expire forgets what is old enough.
+// expire forgets the operations whose time limit has passed.
 func (t *Table) expire(now float64) {
-	for o, ok := t.ages.Pop(now); ok; o, ok = t.ages.Pop(now) {
+	for o, ok := t.expiries.Pop(now); ok; o, ok = t.expiries.Pop(now) {
 		if o.state == InDoubt {
-			t.do(LogEvent{"doubt-aged-out", o.key, o.run})
+			t.emit(LogEvent{"doubt-aged-out", o.key, o.runID})
 		}
 		t.forget(o)
 	}
 }
 
-// Stalled tells that the disk does not take what must last in time.
+// Stalled reports whether writes to disk fail or take too long.
 func (t *Table) Stalled(now float64) bool {
-	return t.failing || len(t.pending) > 0 && now-t.pending[0].since > stallFor
+	return t.writesFailing || len(t.pendingWrites) > 0 && now-t.pendingWrites[0].since > stallThresholdMs
 }
 
-// WakeAt returns when Tick must be called again, or 0.
+// WakeAt returns the time at which Tick must be called again, or 0 if nothing is scheduled.
 func (t *Table) WakeAt() (at float64) {
 	sooner := func(when float64) {
 		if at == 0 || when < at {
 			at = when
 		}
 	}
-	for len(t.writing) > 0 && (t.writing[0].gone || t.writing[0].state != Writing) {
-		t.writing = t.writing[1:]
+	for len(t.intentQueue) > 0 && (t.intentQueue[0].forgotten || t.intentQueue[0].state != Writing) {
+		t.intentQueue = t.intentQueue[1:]
 	}
-	if len(t.writing) > 0 {
-		sooner(t.writing[0].at + startFor)
+	if len(t.intentQueue) > 0 {
+		sooner(t.intentQueue[0].changedAt + intentTimeoutMs)
 	}
-	if t.moves() {
-		sooner(max(t.copyAt, t.dropAt))
+	if t.needsCompaction() {
+		sooner(max(t.nextCopyAt, t.dropRetryAt))
 	}
 	return at
 }
 
-// Tick does what falls due.
+// Tick takes back intents that are not durable in time, and compacts the journal.
 func (t *Table) Tick(now float64) {
-	for len(t.writing) > 0 {
-		o := t.writing[0]
-		waits := !o.gone && o.state == Writing
-		if waits && now < o.at+startFor {
+	for len(t.intentQueue) > 0 {
+		o := t.intentQueue[0]
+		waits := !o.forgotten && o.state == Writing
+		if waits && now < o.changedAt+intentTimeoutMs {
 			break
 		}
-		if t.writing = t.writing[1:]; waits {
-			if o.led {
-				t.do(Refuse{o.run, ReasonStalled})
+		if t.intentQueue = t.intentQueue[1:]; waits {
+			if o.leaderOpen {
+				t.emit(Refuse{o.runID, ReasonStalled})
 			}
-			t.undo(now, o, true)
+			t.takeBack(now, o, true)
 		}
 	}
-	t.move(now)
+	t.compact(now)
 }
 
-// Counts tells what the table holds.
+// Counts returns the number of operations, of operations in doubt and of pending writes, and the journal's size in bytes.
 func (t *Table) Counts() (keys, doubts, pending int, disk int64) {
-	return len(t.ops), t.doubts, len(t.pending), t.disk
+	return len(t.opsByKey), t.doubtCount, len(t.pendingWrites), t.diskBytes
 }
