--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -407,6 +407,8 @@
 func (c *Core) logEvent(word string, pairs ...any) { c.emit(LogEvent{word, pairs}) }
 func id(s string) whinrudder.RequestID             { return whinrudder.RequestID(s) }
 func (c *Core) reply(to Sink, a Answer)            { c.emit(Reply{to, c.withConnectionInfo(a)}) }
+
+// healthAnswer returns the answer to a health check.
 func (c *Core) healthAnswer(healthy bool) (a Answer) {
 	if !healthy {
 		a.Outcome = Failed
@@ -614,11 +616,11 @@
 	c.addEvent(arrival)
 }
 
-// handleLinkSynced restarts the runs in doubt that may be repeated, once all notices of a broken link are read. A
-// write whose start the broken link may have lost may also be running or have run unseen, even if it ended after the
-// fence: it is not started again, and it is failed shortly before its due time unless a notice of its end comes. Most
-// of these never ran, so the module gets their end at once: otherwise each would occupy a slot of the concurrency
-// limit forever.
+// handleLinkSynced restarts the runs in doubt that may be repeated, once all notices of a broken link are read, and
+// then starts the queued runs. A write whose start the broken link may have lost may also be running or have run
+// unseen, even if it ended after the fence: it is not started again, and it is failed shortly before its due time
+// unless a notice of its end comes. Most of these never ran, so the module gets their end at once: otherwise each would
+// occupy a slot of the concurrency limit forever.
 func (c *Core) handleLinkSynced(inDoubt []string) {
 	for _, runID := range inDoubt {
 		r := c.requests[runID]
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -105,6 +105,7 @@
 	}
 }
 
+// remove deletes an entry by the id of its request and returns it, or nil if there is none.
 func (t *keyTable) remove(id string) *keyEntry {
 	e := t.byID[id]
 	if e != nil {
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -229,7 +229,7 @@
 				d.table.Wait(now, id, key)
 			}
 			d.otherEffects = append(d.otherEffects, d.takeEffects()...)
-			if rapid.Bool().Draw(t, "lay") {
+			if rapid.Bool().Draw(t, "sync") {
 				d.otherEffects = append(d.otherEffects, d.syncWrites(now)...)
 			}
 			if len(running) > 0 && rapid.Bool().Draw(t, "end") {
