--- a/cmd/whinrudder-kit/faults_test.go
+++ b/cmd/whinrudder-kit/faults_test.go
@@ -26,7 +26,7 @@
 	}{
 		{"drain", []change{{"policy.go", "if p.shuttingDown && r.arrived > p.noticeAt+p.cfg.Rules.DrainGrace {", "if p.shuttingDown && r.arrived > p.noticeAt+3*p.cfg.Rules.DrainGrace {"}}},
 		{"lost", []change{{"policy.go", "	r.due = max(r.due-2*p.cfg.Tick, p.now)\n", "	r.due = max(r.due-2*p.cfg.Tick, p.now) + 800\n"},
-			{"internal/core/core.go", "	backstop  = 30 ", "	backstop  = 800 "}}}, // the core would answer in the module's place
+			{"internal/core/core.go", "	unansweredGraceMs  = 30 ", "	unansweredGraceMs  = 800 "}}}, // the core would answer in the module's place
 	} {
 		t.Run(f.rule, func(t *testing.T) {
 			t.Parallel()
