--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,6 @@
-// Package front holds what the fronts have in common: the fields of a request, their check, and the form of an
-// answer. A front is a parser that is fed bytes and knows no socket.
+// Package front holds what the protocol fronts share: the fields of a request and their validation, the format of an
+// answer, and the state machine of a connection that carries one message at a time. A front parses bytes that are
+// fed to it and does no I/O of its own.
 package front
 
 import (
@@ -13,68 +14,69 @@
 	"whinrudder/internal/core"
 )
 
-// MaxBodyBytes is the largest body of a request.
+// MaxBodyBytes is the size limit of a request body.
 const MaxBodyBytes = 2 << 10
 
-// Fault is a request that is turned away unread: the module hears nothing of it. Code is the reason that the
-// log gives for the end of the connection.
+// Fault describes a malformed or unsupported request. The front rejects it and does not pass it to the core.
 type Fault struct {
-	Status int
-	Code   string
+	Status int    // HTTP status of the answer
+	Code   string // reason in the log line for the end of the connection
 }
 
-// Message is what a peer said: a request, a health check or a fault.
+// Message is one message from a peer: a request, a health check or a fault.
 type Message struct {
-	Request   *core.Request // nil for a check
-	DeepCheck bool          // a check that wants to know whether work gets done
-	Close     bool          // the peer sends nothing more on the connection
-	Fault     *Fault
+	Request   *core.Request // nil for a health check or a fault
+	DeepCheck bool          // the health check asks whether the worker pool completes work
+	Close     bool          // the connection carries no further message
+	Fault     *Fault        // nil if the message is valid
 }
 
-// A Parser takes the bytes of a connection with one message at a time. Next returns the next whole message, or false if more bytes are
-// needed; after a fault it must not be called again.
+// A Parser parses the bytes of a connection that carries one message at a time. Next returns the next whole message,
+// or false if more bytes are needed; it must not be called again after a fault.
 type Parser interface {
 	Feed(p []byte)
 	Next() (Message, bool)
-	Buffered() int // bytes taken that belong to no message yet
+	Buffered() int // number of bytes fed but not yet parsed
 }
 
-// FaultMessage returns a message that is a fault.
+// FaultMessage returns a message that carries a fault.
 func FaultMessage(status int, code string) Message { return Message{Fault: &Fault{status, code}} }
 
-// ValidatorConfig is what a front must know to check a request.
+// ValidatorConfig holds the settings that requests are validated against.
 type ValidatorConfig struct {
-	ClassIndex  map[string]int // places of the classes by their names
+	ClassIndex  map[string]int // index of each class in Policy.Classes, by class name
 	Policy      whinrudder.Settings
-	KeptClasses map[int]string // classes whose requests may have a token; those of others are passed over
+	KeptClasses map[int]string // by class index; non-empty for classes whose tokens are used, other tokens are ignored
 }
 
-// Validator checks requests for all connections by the present configuration, which changes when new settings come.
+// Validator validates the requests of all connections against the current configuration, which a reload of the
+// settings replaces.
 type Validator struct {
-	terms atomic.Pointer[ValidatorConfig]
+	config atomic.Pointer[ValidatorConfig]
 }
 
-// NewValidator returns a validator for classes named in the order of the settings.
+// NewValidator returns a validator; names holds the class names in the order of s.Classes.
 func NewValidator(names []string, s whinrudder.Settings) *Validator {
-	t := ValidatorConfig{ClassIndex: map[string]int{}, Policy: s}
-	for i, n := range names {
-		t.ClassIndex[n] = i
+	config := ValidatorConfig{ClassIndex: map[string]int{}, Policy: s}
+	for i, name := range names {
+		config.ClassIndex[name] = i
 	}
-	site := &Validator{}
-	site.SetConfig(t)
-	return site
+	v := &Validator{}
+	v.SetConfig(config)
+	return v
 }
 
-// Config returns the present configuration. The caller must not change it.
-func (t *Validator) Config() *ValidatorConfig { return t.terms.Load() }
+// Config returns the current configuration. The caller must not modify it.
+func (v *Validator) Config() *ValidatorConfig { return v.config.Load() }
 
-// SetConfig replaces the configuration for all later checks.
-func (t *Validator) SetConfig(terms ValidatorConfig) { t.terms.Store(&terms) }
+// SetConfig replaces the configuration for all later validations.
+func (v *Validator) SetConfig(config ValidatorConfig) { v.config.Store(&config) }
 
-// Fields are the values of a request by their names on the platform's protocol, as they came.
+// Fields holds the unparsed values of the Req-* fields of a request.
 type Fields struct{ ID, Time, From, Wait, KB, Rank, Key, Token string }
 
-// Field returns the place for a field, or nil for one of no meaning. Case does not matter.
+// Field returns a pointer to the value of the named field, or nil if the name is not a request field. The name is
+// matched without regard to case.
 func (f *Fields) Field(name string) *string {
 	switch {
 	case strings.EqualFold(name, "Req-Id"):
@@ -97,17 +99,18 @@
 	return nil
 }
 
-// Set takes a field that came. Known tells whether it has a meaning, twice that it came before. A token that came twice is
-// no token: what that means hangs on whether the class has one.
-func (f *Fields) Set(name, value string) (known, twice bool) {
-	to := f.Field(name)
+// Set stores the value of a field. known reports whether the name is a request field, duplicate whether the field was
+// already set. A duplicate token is replaced by an invalid value instead of being reported: only classes with tokens
+// reject it, and the class is not known yet.
+func (f *Fields) Set(name, value string) (known, duplicate bool) {
+	field := f.Field(name)
 	switch {
-	case to == nil:
+	case field == nil:
 		return false, false
-	case *to == "":
-		*to = value
-	case to == &f.Token:
-		*to = "\x00"
+	case *field == "":
+		*field = value
+	case field == &f.Token:
+		*field = "\x00"
 	default:
 		return true, true
 	}
@@ -115,52 +118,52 @@
 }
 
 const (
-	maxKey = 256
-	// MaxTokenBytes bounds the name of an operation, which lasts.
+	maxKeyBytes = 256
+	// MaxTokenBytes is the length limit of a token, which is stored with its operation.
 	MaxTokenBytes = 64
-	maxWait       = 3600e3 // milliseconds: timers are kept for as long as a caller says that it waits
+	maxWaitMs     = 3600e3 // bounds the timers, which run for as long as the caller says it waits
 )
 
-// BuildMessage checks the fields and returns a message with the request or with the fault.
-func (s *Validator) BuildMessage(class string, f Fields, body []byte) Message {
-	t := s.Config()
-	n, ok := t.ClassIndex[class]
+// BuildMessage validates the fields of a request and returns a message with either the request or a fault.
+func (v *Validator) BuildMessage(class string, f Fields, body []byte) Message {
+	config := v.Config()
+	classIndex, ok := config.ClassIndex[class]
 	if !ok {
 		return FaultMessage(404, "bad-class")
 	}
 	if len(f.ID) != 16 || strings.Trim(f.ID, "0123456789abcdefABCDEF") != "" {
 		return FaultMessage(400, "bad-id")
 	}
-	from, err := strconv.ParseUint(f.From, 10, 31)
+	caller, err := strconv.ParseUint(f.From, 10, 31)
 	if err != nil {
 		return FaultMessage(400, "bad-from")
 	}
-	r := &core.Request{ID: f.ID, Class: n, Caller: int(from), Key: f.Key, Body: body}
+	r := &core.Request{ID: f.ID, Class: classIndex, Caller: int(caller), Key: f.Key, Body: body}
 	wait := 0.0
-	for _, v := range []struct {
+	for _, field := range []struct {
 		text, code string
-		to         *float64
-		ok         func(float64) bool
+		dest       *float64
+		valid      func(float64) bool
 	}{
-		{f.Time, "bad-time", &r.ArrivedAt, func(v float64) bool { return v > 0 && v < 1e15 }},
-		{f.KB, "bad-kb", &r.KB, func(v float64) bool { return v > 0 && v < 2000 }},
-		{f.Rank, "bad-rank", &r.Rank, func(v float64) bool { return v >= 0 && v < 1 }},
-		{f.Wait, "bad-wait", &wait, func(v float64) bool { return v > 0 && v <= maxWait }},
+		{f.Time, "bad-time", &r.ArrivedAt, func(x float64) bool { return x > 0 && x < 1e15 }},
+		{f.KB, "bad-kb", &r.KB, func(x float64) bool { return x > 0 && x < 2000 }},
+		{f.Rank, "bad-rank", &r.Rank, func(x float64) bool { return x >= 0 && x < 1 }},
+		{f.Wait, "bad-wait", &wait, func(x float64) bool { return x > 0 && x <= maxWaitMs }},
 	} {
-		if v.text == "" && v.to == &wait && !t.Policy.PassesDeadline {
-			wait = t.Policy.Classes[n].Deadline
+		if field.text == "" && field.dest == &wait && !config.Policy.PassesDeadline {
+			wait = config.Policy.Classes[classIndex].Deadline
 			continue
 		}
-		x, err := strconv.ParseFloat(v.text, 64)
-		if err != nil || math.IsNaN(x) || !v.ok(x) {
-			return FaultMessage(400, v.code)
+		x, err := strconv.ParseFloat(field.text, 64)
+		if err != nil || math.IsNaN(x) || !field.valid(x) {
+			return FaultMessage(400, field.code)
 		}
-		*v.to = x
+		*field.dest = x
 	}
-	if len(f.Key) > maxKey {
+	if len(f.Key) > maxKeyBytes {
 		return FaultMessage(400, "bad-key")
 	}
-	if f.Token != "" && t.KeptClasses[n] != "" {
+	if f.Token != "" && config.KeptClasses[classIndex] != "" {
 		if !ValidToken(f.Token) {
 			return FaultMessage(400, "bad-token")
 		}
@@ -170,20 +173,21 @@
 	return Message{Request: r}
 }
 
-// ValidToken tells whether a text can name an operation: up to MaxTokenBytes visible characters of ASCII.
+// ValidToken reports whether s is a token: 1 to MaxTokenBytes visible ASCII characters.
 func ValidToken(s string) bool {
 	return s != "" && len(s) <= MaxTokenBytes && strings.IndexFunc(s, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+// reasonPhrases maps status codes to the reason phrases of HTTP/1.1.
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	409: "Conflict", 411: "Length Required", 413: "Content Too Large", 422: "Unprocessable Content", 417: "Expectation Failed",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// AnswerStatus returns the status that tells the outcome of an answer.
+// AnswerStatus returns the HTTP status for the outcome of an answer.
 func AnswerStatus(a core.Answer) int {
 	if a.ID == "" && a.Outcome != core.Served {
-		return 503 // a check that is bad
+		return 503 // failed health check
 	}
 	switch a.Outcome {
 	case core.Served:
@@ -198,8 +202,8 @@
 	return 500
 }
 
-// appendAnswer appends an answer in the form of HTTP/1.1, which uwsgi shares. Last says that the connection
-// ends after it.
+// appendAnswer appends an answer in the format of HTTP/1.1, which uwsgi shares. last means that the connection closes
+// after it.
 func appendAnswer(b []byte, a core.Answer, last bool) []byte {
 	b = appendHead(b, AnswerStatus(a))
 	if a.Credit >= 0 {
@@ -223,21 +227,21 @@
 	return appendEnd(b, a.Result, last)
 }
 
-// AppendLoad appends the value of Srv-Load.
+// AppendLoad appends the value of Srv-Load: the credit, rounded to four decimals.
 func AppendLoad(b []byte, a core.Answer) []byte {
 	return strconv.AppendFloat(b, math.Round(a.Credit*1e4)/1e4, 'f', -1, 64)
 }
 
-// AppendWait appends the value of Srv-Wait-Ms.
+// AppendWait appends the value of Srv-Wait-Ms, in whole milliseconds, rounded up.
 func AppendWait(b []byte, a core.Answer) []byte {
 	return strconv.AppendInt(b, int64(math.Ceil(a.RetryAfter)), 10)
 }
 
-// appendFault appends the answer to what could not be read. The connection ends after it.
+// appendFault appends the answer to a malformed message. The connection closes after it.
 func appendFault(b []byte, f *Fault) []byte { return appendEnd(appendHead(b, f.Status), nil, true) }
 
 func appendHead(b []byte, status int) []byte {
-	return fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasons[status])
+	return fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasonPhrases[status])
 }
 
 func appendEnd(b, body []byte, last bool) []byte {
@@ -250,7 +254,8 @@
 	return append(b, body...)
 }
 
-// Route tells a check from a request by method and path; the class is the last part of the path.
+// Route maps method, path and query to a health check, a request of a class or a fault. For a request, class is the
+// last segment of the path; it is empty otherwise.
 func Route(method, path, query string) (check Message, class string, f *Fault) {
 	switch {
 	case path == "/health" && method == "GET":
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -2,96 +2,97 @@
 
 import "whinrudder/internal/core"
 
-// A Protocol is the state machine of one connection. It knows no socket and no clock: bytes and absolute times in Unix
-// milliseconds go in; messages for the core, and bytes to be written, come out. A connection may have many messages
-// in hand, each with a tag of its own.
+// A Protocol is the state machine of one connection. It uses no socket and no clock: its input is received bytes and
+// absolute times in Unix milliseconds, its output is messages for the core and bytes to send. A connection may have
+// several messages in progress; a tag, unique on the connection, identifies each.
 type Protocol interface {
-	// Feed takes bytes that were read.
+	// Feed processes received bytes.
 	Feed(now float64, b []byte)
-	// Next returns the next event for the core, or false if there is none for now.
+	// Next returns the next event for the core, or false if there is none yet.
 	Next(now float64) (Event, bool)
-	// Answer takes the final answer to the message of a tag. One that is not in hand any more is passed over.
+	// Answer accepts the final answer to the message with a tag. It is ignored if the message is no longer in progress.
 	Answer(now float64, tag uint32, a core.Answer)
-	// AppendOutput appends what is to be written now.
+	// AppendOutput appends the bytes to send now.
 	AppendOutput(now float64, b []byte) []byte
-	// StartDrain tells that the node wants no more requests.
+	// StartDrain announces to the peer that the node accepts no more requests.
 	StartDrain(now float64)
-	// NextDeadline returns when the machine must be looked at again if nothing comes, or 0 if it need not. A connection at rest
-	// may be idle for so long.
+	// NextDeadline returns the time at which HandleDeadline must be called if no bytes arrive before, or 0 if there is no
+	// deadline. idle is the time limit of a connection without messages in progress.
 	NextDeadline(idle float64) float64
-	// HandleDeadline is called at that time.
+	// HandleDeadline handles the deadlines that have passed.
 	HandleDeadline(now, idle float64)
-	// CloseReason returns the code of why the connection is to end once all of AppendOutput is written, or an empty one. After a linger the
-	// peer's bytes are read on for a moment, lest they reset what it was told.
+	// CloseReason returns the code of the reason to close the connection after all output is written, or "" to keep it
+	// open. linger asks the caller to read and discard the peer's bytes for a moment before closing: closing a socket
+	// with unread bytes resets the connection, and the peer may lose the last output.
 	CloseReason() (code string, linger bool)
-	// PeerCloseReason returns the code of a connection that the peer closed (eof) or broke.
+	// PeerCloseReason returns the code for the log when the peer closed (eof) or reset the connection.
 	PeerCloseReason(eof bool) string
-	// Served tells how many answers that are no faults were given, and when the last was, or the connection began.
+	// Served returns the number of answers other than faults, and the time of the last one, or of the accept if there
+	// is none.
 	Served() (n int, at float64)
 }
 
-// Event is something that a peer said or did.
+// Event is a message from the peer, the cancellation of one, or a fault to be logged.
 type Event struct {
 	Message
 	Tag       uint32
-	Cancelled bool // the message of the tag, in hand until now, is given up by its caller
-	// Code tells of a message of the tag that could not be read, on a connection that goes on: it leaves a line in the
-	// log, and that is all.
+	Cancelled bool // the caller gave up the message with the tag, which was in progress until now
+	// Code is set for a malformed message with the tag on a connection that stays open; it is only logged.
 	Code string
 }
 
-// Times of connections with one message in hand at a time, in milliseconds: how long such a connection has from its
-// accept to its first whole message, and how long a later message may take from its first byte to its last. Peers
-// send a message in one go.
+// Timeouts of connections with one message at a time. Peers send a message in one write.
 const (
-	firstFor = 2000
-	partFor  = 2000
+	firstMessageTimeoutMs = 2000 // from the accept to the end of the first message
+	messageTimeoutMs      = 2000 // from the first to the last byte of a later message
 )
 
-// maxAhead bounds what a peer may send while its request is in hand.
-const maxAhead = 16 << 10
+// maxPipelinedBytes bounds what a peer may send while its request is in progress.
+const maxPipelinedBytes = 16 << 10
 
 // SerialConn is the protocol of a connection that carries one message at a time, read by a Parser.
 type SerialConn struct {
-	parser Parser
-	since  float64 // when the last message ended, or the first byte of a part came
-	served int
-	tag    uint32
-	busy   bool // the message of the tag is in hand
-	owed   bool // and it is a request, whose caller may give up
-	last   bool // the connection ends after the answer
-	out    []byte
-	code   string // of the end
-	linger bool
+	parser      Parser
+	since       float64 // accept, last answer, or first byte of an incomplete message; Unix ms
+	served      int     // answers given
+	tag         uint32  // of the latest message
+	busy        bool    // the latest message is in progress
+	busyRequest bool    // the message in progress is a request, not a health check
+	last        bool    // the connection closes after the answer
+	out         []byte  // bytes to send
+	closeCode   string  // see Protocol.CloseReason
+	linger      bool
 }
 
-// NewSerialConn returns the protocol of a connection that was accepted at a time.
+// NewSerialConn returns the protocol of a connection that was accepted at now.
 func NewSerialConn(p Parser, now float64) *SerialConn { return &SerialConn{parser: p, since: now} }
 
-// ResumeSerialConn returns the protocol of a connection on which so many answers were given before, the last at a time.
+// ResumeSerialConn returns the protocol of a connection taken over from another process, which gave served answers on
+// it, the last one at since.
 func ResumeSerialConn(p Parser, served int, since float64) *SerialConn {
 	return &SerialConn{parser: p, since: since, served: served}
 }
 
-// Idle tells whether nothing is in hand, half read or to be written: another process may go on with the connection.
+// Idle reports whether no message is in progress or partly read and no output is pending, so that another process can
+// take over the connection.
 func (s *SerialConn) Idle() bool {
-	return !s.busy && s.code == "" && len(s.out) == 0 && s.parser.Buffered() == 0
+	return !s.busy && s.closeCode == "" && len(s.out) == 0 && s.parser.Buffered() == 0
 }
 
-// Feed takes bytes that were read.
+// Feed implements Protocol.
 func (s *SerialConn) Feed(now float64, b []byte) {
 	if !s.busy && s.parser.Buffered() == 0 && s.served > 0 {
 		s.since = now
 	}
 	s.parser.Feed(b)
-	if s.busy && s.parser.Buffered() > maxAhead && s.code == "" {
-		s.code = "ahead"
+	if s.busy && s.parser.Buffered() > maxPipelinedBytes && s.closeCode == "" {
+		s.closeCode = "ahead"
 	}
 }
 
-// Next returns the next message once the one before it is answered.
+// Next implements Protocol. It returns a message only after the previous one is answered.
 func (s *SerialConn) Next(float64) (Event, bool) {
-	if s.busy || s.code != "" {
+	if s.busy || s.closeCode != "" {
 		return Event{}, false
 	}
 	m, ok := s.parser.Next()
@@ -100,77 +101,77 @@
 	}
 	if m.Fault != nil {
 		s.out = appendFault(s.out, m.Fault)
-		s.code, s.linger = m.Fault.Code, true
+		s.closeCode, s.linger = m.Fault.Code, true
 		return Event{}, false
 	}
 	s.tag++
-	s.busy, s.owed, s.last = true, m.Request != nil, m.Close
+	s.busy, s.busyRequest, s.last = true, m.Request != nil, m.Close
 	return Event{Message: m, Tag: s.tag}, true
 }
 
-// Answer writes the final answer to what is in hand.
+// Answer implements Protocol.
 func (s *SerialConn) Answer(now float64, tag uint32, a core.Answer) {
 	if !s.busy || tag != s.tag {
 		return
 	}
 	last := s.last || a.Close || a.Outcome == core.Duplicate
-	s.busy, s.owed = false, false
+	s.busy, s.busyRequest = false, false
 	s.out = appendAnswer(s.out, a, last)
 	s.served++
 	s.since = now
 	switch {
-	case s.code != "":
+	case s.closeCode != "":
 	case a.Outcome == core.Duplicate:
-		s.code = "twice-id"
+		s.closeCode = "twice-id"
 	case last:
-		s.code = "close"
+		s.closeCode = "close"
 	}
 }
 
-// AppendOutput appends what is to be written.
+// AppendOutput implements Protocol.
 func (s *SerialConn) AppendOutput(_ float64, b []byte) []byte {
 	b = append(b, s.out...)
 	s.out = s.out[:0]
 	return b
 }
 
-// StartDrain does nothing: an answer tells the peer when the node wants no more requests.
+// StartDrain implements Protocol. It does nothing: the peer learns from an answer that the node drains.
 func (s *SerialConn) StartDrain(float64) {}
 
-// NextDeadline returns when the connection ends if nothing comes: never while an answer is owed.
+// NextDeadline implements Protocol. There is no deadline while a message is in progress.
 func (s *SerialConn) NextDeadline(idle float64) float64 {
 	switch {
 	case s.busy:
 		return 0
 	case s.served == 0:
-		return s.since + firstFor
+		return s.since + firstMessageTimeoutMs
 	case s.parser.Buffered() > 0:
-		return s.since + partFor
+		return s.since + messageTimeoutMs
 	}
 	return s.since + idle
 }
 
-// HandleDeadline ends a connection whose time is over.
+// HandleDeadline implements Protocol. It closes a connection that is past its deadline.
 func (s *SerialConn) HandleDeadline(now, idle float64) {
 	at := s.NextDeadline(idle)
 	switch {
-	case at == 0 || now < at || s.code != "":
+	case at == 0 || now < at || s.closeCode != "":
 	case s.parser.Buffered() > 0:
-		s.code = "slow"
+		s.closeCode = "slow"
 	case s.served == 0:
-		s.code = "silent"
+		s.closeCode = "silent"
 	default:
-		s.code = "idle"
+		s.closeCode = "idle"
 	}
 }
 
-// CloseReason returns the code of the end.
-func (s *SerialConn) CloseReason() (string, bool) { return s.code, s.linger }
+// CloseReason implements Protocol.
+func (s *SerialConn) CloseReason() (string, bool) { return s.closeCode, s.linger }
 
-// PeerCloseReason returns the code of an end by the peer.
+// PeerCloseReason implements Protocol.
 func (s *SerialConn) PeerCloseReason(eof bool) string {
 	switch {
-	case s.owed:
+	case s.busyRequest:
 		return "gone"
 	case eof && s.parser.Buffered() == 0:
 		return "eof"
@@ -180,5 +181,5 @@
 	return "reset"
 }
 
-// Served tells how many answers were given.
+// Served implements Protocol.
 func (s *SerialConn) Served() (int, float64) { return s.served, s.since }
--- a/internal/httpfront/httpfront.go
+++ b/internal/httpfront/httpfront.go
@@ -1,4 +1,5 @@
-// Package httpfront reads the platform's protocol: HTTP/1.1 with one request at a time on a connection.
+// Package httpfront parses requests of the HTTP/1.1 front. A connection carries one request at a time, and a body has
+// a Content-Length; chunked bodies are rejected.
 package httpfront
 
 import (
@@ -9,36 +10,36 @@
 	"whinrudder/internal/front"
 )
 
-// maxHead bounds the request line and the header block.
-const maxHead = 8 << 10
+// maxHeadBytes bounds the request line and the header fields together.
+const maxHeadBytes = 8 << 10
 
-// Parser is the state machine of one connection.
+// Parser is the front.Parser of one connection.
 type Parser struct {
-	site *front.Validator
-	buf  []byte
+	validator *front.Validator
+	buf       []byte // bytes fed and not yet parsed
 
-	head   bool // the head of a message was read; what follows is its body
-	length int
-	msg    front.Message // of a check
-	class  string
-	fields front.Fields
-	last   bool
+	headParsed bool          // the head of a message is parsed and its body comes next
+	bodyLength int           // Content-Length; 0 without one
+	check      front.Message // the message, if it is a health check
+	class      string        // class of a request; empty for a health check
+	fields     front.Fields
+	last       bool // the connection carries no further message
 }
 
 // New returns the parser of a new connection.
-func New(site *front.Validator) *Parser { return &Parser{site: site} }
+func New(v *front.Validator) *Parser { return &Parser{validator: v} }
 
-// Feed takes bytes that were read.
+// Feed appends received bytes to the buffer.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Buffered tells how many bytes wait.
+// Buffered returns the number of bytes fed and not yet parsed.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Next returns the next message once all its bytes are there.
+// Next returns the next message, or false until all its bytes have been fed.
 func (p *Parser) Next() (front.Message, bool) {
-	if !p.head {
+	if !p.headParsed {
 		end := bytes.Index(p.buf, []byte("\r\n\r\n"))
-		if end > maxHead || end < 0 && len(p.buf) > maxHead {
+		if end > maxHeadBytes || end < 0 && len(p.buf) > maxHeadBytes {
 			return front.FaultMessage(431, "long-head"), true
 		}
 		if end < 0 {
@@ -47,25 +48,26 @@
 		if f := p.readHead(string(p.buf[:end])); f != nil {
 			return front.Message{Fault: f}, true
 		}
-		p.head = true
-		p.take(end + 4)
+		p.headParsed = true
+		p.discard(end + 4)
 	}
-	if len(p.buf) < p.length {
+	if len(p.buf) < p.bodyLength {
 		return front.Message{}, false
 	}
-	p.head = false
-	m := p.msg
+	p.headParsed = false
+	m := p.check
 	if p.class != "" {
-		m = p.site.BuildMessage(p.class, p.fields, append([]byte{}, p.buf[:p.length]...))
+		m = p.validator.BuildMessage(p.class, p.fields, append([]byte{}, p.buf[:p.bodyLength]...))
 	}
 	m.Close = p.last
-	p.take(p.length)
+	p.discard(p.bodyLength)
 	return m, true
 }
 
-func (p *Parser) take(n int) { p.buf = p.buf[:copy(p.buf, p.buf[n:])] }
+// discard removes the first n bytes of the buffer.
+func (p *Parser) discard(n int) { p.buf = p.buf[:copy(p.buf, p.buf[n:])] }
 
-// readHead reads the request line and the headers.
+// readHead parses the request line and the header fields.
 func (p *Parser) readHead(head string) *front.Fault {
 	line, rest, _ := strings.Cut(head, "\r\n")
 	method, target, ok := strings.Cut(line, " ")
@@ -76,8 +78,8 @@
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
 		return &front.Fault{Status: 505, Code: "bad-version"}
 	}
-	p.fields, p.length, p.class, p.msg, p.last = front.Fields{}, 0, "", front.Message{}, version == "HTTP/1.0"
-	sized := false
+	p.fields, p.bodyLength, p.class, p.check, p.last = front.Fields{}, 0, "", front.Message{}, version == "HTTP/1.0"
+	hasLength := false
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
@@ -85,7 +87,7 @@
 			return &front.Fault{Status: 400, Code: "bad-header"}
 		}
 		value = strings.Trim(value, " \t")
-		if known, twice := p.fields.Set(name, value); twice {
+		if known, duplicate := p.fields.Set(name, value); duplicate {
 			return &front.Fault{Status: 400, Code: "twice-field"}
 		} else if known {
 			continue
@@ -93,10 +95,10 @@
 		switch {
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || sized && int(n) != p.length {
+			if err != nil || hasLength && int(n) != p.bodyLength {
 				return &front.Fault{Status: 400, Code: "bad-length"}
 			}
-			p.length, sized = int(n), true
+			p.bodyLength, hasLength = int(n), true
 		case strings.EqualFold(name, "Transfer-Encoding"):
 			return &front.Fault{Status: 501, Code: "bad-encoding"}
 		case strings.EqualFold(name, "Expect"):
@@ -105,14 +107,15 @@
 			p.last = p.last || strings.EqualFold(value, "close")
 		}
 	}
-	if p.length > front.MaxBodyBytes {
+	if p.bodyLength > front.MaxBodyBytes {
 		return &front.Fault{Status: 413, Code: "long-body"}
 	}
 	path, query, _ := strings.Cut(target, "?")
 	return p.route(method, path, query)
 }
 
+// route sets the health check or the class of the request.
 func (p *Parser) route(method, path, query string) (f *front.Fault) {
-	p.msg, p.class, f = front.Route(method, path, query)
+	p.check, p.class, f = front.Route(method, path, query)
 	return f
 }
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -1,6 +1,6 @@
-// Package uwsgi reads the uwsgi protocol: a packet of variables, then a body of CONTENT_LENGTH bytes. The fields
-// of a request are the platform's, as HTTP_ variables; the answer has the form of HTTP/1.1. A connection carries
-// one request, as gateways that speak uwsgi have it.
+// Package uwsgi parses requests of the uwsgi front: a packet of variables, then a body of CONTENT_LENGTH bytes. The
+// request fields arrive as HTTP_ variables, and the answer has the format of HTTP/1.1. A connection carries one
+// request, as is usual for uwsgi gateways.
 package uwsgi
 
 import (
@@ -12,46 +12,46 @@
 )
 
 const (
-	headSize = 4       // modifier1, size of the variables in little-endian order, modifier2
-	maxVars  = 8 << 10 // bounds the variables, as the HTTP front bounds its head
+	headerBytes  = 4       // modifier1, size of the variables (uint16, little-endian), modifier2
+	maxVarsBytes = 8 << 10 // the limit of the HTTP front for the request line and header fields
 )
 
-// Parser is the state machine of one connection.
+// Parser is the front.Parser of one connection.
 type Parser struct {
-	site *front.Validator
-	buf  []byte
-	done bool
+	validator *front.Validator
+	buf       []byte // bytes fed and not yet parsed
+	done      bool   // the only message of the connection was returned
 }
 
 // New returns the parser of a new connection.
-func New(site *front.Validator) *Parser { return &Parser{site: site} }
+func New(v *front.Validator) *Parser { return &Parser{validator: v} }
 
-// Feed takes bytes that were read.
+// Feed appends received bytes to the buffer.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Buffered tells how many bytes wait.
+// Buffered returns the number of bytes fed and not yet parsed.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Next returns the message once all its bytes are there.
+// Next returns the message, or false until all its bytes have been fed.
 func (p *Parser) Next() (front.Message, bool) {
-	if p.done || len(p.buf) < headSize {
+	if p.done || len(p.buf) < headerBytes {
 		return front.Message{}, false
 	}
 	size := int(binary.LittleEndian.Uint16(p.buf[1:]))
 	switch {
 	case p.buf[0] != 0 || p.buf[3] != 0:
-		return front.FaultMessage(501, "bad-modifier"), true // only plain requests are served
-	case size > maxVars:
+		return front.FaultMessage(501, "bad-modifier"), true // only plain HTTP requests are supported
+	case size > maxVarsBytes:
 		return front.FaultMessage(431, "long-head"), true
-	case len(p.buf) < headSize+size:
+	case len(p.buf) < headerBytes+size:
 		return front.Message{}, false
 	}
-	v, f := readVars(p.buf[headSize : headSize+size])
+	v, f := readVars(p.buf[headerBytes : headerBytes+size])
 	if f != nil {
 		return front.Message{Fault: f}, true
 	}
-	body := p.buf[headSize+size:]
-	if len(body) < v.length {
+	body := p.buf[headerBytes+size:]
+	if len(body) < v.bodyLength {
 		return front.Message{}, false
 	}
 	m, class, f := front.Route(v.method, v.path, v.query)
@@ -59,25 +59,26 @@
 	case f != nil:
 		m.Fault = f
 	case class != "":
-		m = p.site.BuildMessage(class, v.fields, append([]byte{}, body[:v.length]...))
+		m = p.validator.BuildMessage(class, v.fields, append([]byte{}, body[:v.bodyLength]...))
 	}
 	p.done, m.Close = true, true
 	p.buf = p.buf[:0]
 	return m, true
 }
 
+// vars holds the variables of a request that the front uses.
 type vars struct {
 	method, path, query string
-	length              int
+	bodyLength          int // CONTENT_LENGTH; 0 if missing or empty
 	fields              front.Fields
 }
 
-// readVars reads the pairs of name and value, each with its size before it.
+// readVars parses pairs of a name and a value, each preceded by its size as a little-endian uint16.
 func readVars(b []byte) (v vars, f *front.Fault) {
 	seen := map[string]bool{}
 	for len(b) > 0 {
-		var part [2]string
-		for i := range part {
+		var pair [2]string
+		for i := range pair {
 			if len(b) < 2 {
 				return v, &front.Fault{Status: 400, Code: "bad-packet"}
 			}
@@ -85,9 +86,9 @@
 			if len(b) < 2+n {
 				return v, &front.Fault{Status: 400, Code: "bad-packet"}
 			}
-			part[i], b = string(b[2:2+n]), b[2+n:]
+			pair[i], b = string(b[2:2+n]), b[2+n:]
 		}
-		name, value := part[0], part[1]
+		name, value := pair[0], pair[1]
 		if seen[name] {
 			return v, &front.Fault{Status: 400, Code: "twice-field"}
 		}
@@ -101,22 +102,22 @@
 			v.query = value
 		case "CONTENT_LENGTH":
 			if value == "" {
-				continue // gateways send it empty where there is no body
+				continue // gateways send an empty value for a request without a body
 			}
 			n, err := strconv.ParseUint(value, 10, 31)
 			if err != nil {
 				return v, &front.Fault{Status: 400, Code: "bad-length"}
 			}
-			v.length = int(n)
+			v.bodyLength = int(n)
 		default:
-			if h, ok := strings.CutPrefix(name, "HTTP_"); ok {
-				if to := v.fields.Field(strings.ReplaceAll(h, "_", "-")); to != nil {
-					*to = value
+			if header, ok := strings.CutPrefix(name, "HTTP_"); ok {
+				if field := v.fields.Field(strings.ReplaceAll(header, "_", "-")); field != nil {
+					*field = value
 				}
 			}
 		}
 	}
-	if v.length > front.MaxBodyBytes {
+	if v.bodyLength > front.MaxBodyBytes {
 		return v, &front.Fault{Status: 413, Code: "long-body"}
 	}
 	return v, nil
