--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -8,8 +8,8 @@
 	"whinrudder/internal/core"
 )
 
-// Whatever the worker pool says, in pieces of whatever size, the core is told the same, no notice is told twice, and no
-// more than a line is kept.
+// FuzzLink checks for arbitrary input from the worker pool that the inputs for the core are deterministic, that neither
+// their number nor the error depends on how the bytes are split, and that no more than one line is buffered.
 func FuzzLink(f *testing.F) {
 	f.Add([]byte(`{"msg":"bound","how":"WARM","duration":5}` + "\n" + `{"msg":"polled","cookie":"fence1","stats":[1,1,0.1,4]}` + "\n" +
 		`{"msg":"finished","serial":1,"call":"a","how":"OK","duration":3,"blob":"b2s="}` + "\n" +
@@ -20,39 +20,40 @@
 		if len(b) > 1<<16 {
 			return
 		}
-		read := func(piece int) (all []core.Input, bad bool) {
+		read := func(pieceSize int) (inputs []core.Input, failed bool) {
 			l := New([]string{"status"}, []string{"cpu_busy", "runnable", "mem_used", "sockets"})
 			l.StartConnection()
 			l.Enqueue(core.Spawn{ID: "a"})
 			for rest := b; len(rest) > 0; {
-				n := min(piece, len(rest))
-				tell, _, err := l.Feed(rest[:n])
+				n := min(pieceSize, len(rest))
+				fed, _, err := l.Feed(rest[:n])
 				rest = rest[n:]
-				all = append(all, tell...)
+				inputs = append(inputs, fed...)
 				if err != nil {
-					return all, true
+					return inputs, true
 				}
-				if len(l.in) > maxLine {
-					t.Fatalf("%d bytes are kept", len(l.in))
+				if len(l.in) > maxLineBytes {
+					t.Fatalf("the link buffers %d bytes, limit %d", len(l.in), maxLineBytes)
 				}
 				l.AppendCommands(nil)
 			}
-			return all, false
+			return inputs, false
 		}
-		all, bad := read(4096)
-		again, badAgain := read(4096)
-		if diff := cmp.Diff(all, again); diff != "" || bad != badAgain {
-			t.Fatal(diff, bad, badAgain)
+		first, firstFailed := read(4096)
+		second, secondFailed := read(4096)
+		if diff := cmp.Diff(first, second); diff != "" || firstFailed != secondFailed {
+			t.Fatalf("two readings of the same input differ: failed %t and %t\n%s", firstFailed, secondFailed, diff)
 		}
 		ends := map[string]int{}
-		for _, i := range all {
+		for _, i := range first {
 			if e, ok := i.(core.RunFinished); ok {
 				ends[e.ID]++
 			}
 		}
-		single, badSingle := read(1)
-		if bad != badSingle || !bad && len(single) != len(all) {
-			t.Fatalf("in large pieces %d, %t; byte by byte %d, %t", len(all), bad, len(single), badSingle)
+		bytewise, bytewiseFailed := read(1)
+		if firstFailed != bytewiseFailed || !firstFailed && len(bytewise) != len(first) {
+			t.Fatalf("in pieces of 4096 bytes: %d inputs, failed %t; byte by byte: %d inputs, failed %t",
+				len(first), firstFailed, len(bytewise), bytewiseFailed)
 		}
 	})
 }
