--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -10,156 +10,163 @@
 	"whinrudder/internal/front"
 )
 
-// Limits of a connection, and its deadlines in milliseconds.
+// Limits of a connection.
 const (
-	MaxStreams   = 128      // streams at a time, however large the credit
-	firstStreams = 16       // before any credit was told
-	streamWindow = 32 << 10 // offered to each stream: a body of 2 KiB and what is over it until it is refused
-	firstFor     = 2000     // from the accept to the preface and the first settings
-	partFor      = 2000     // from the first byte of a request to its last, and of a header block
-	roundTrip    = 1000     // the answer to the ping of a drain is not waited for any longer
-	answerGrace  = 80       // an answer later than this after it fell due is not sent
-	smallFor     = 100      // a check or a fault counts for so long against the limit of streams
-	keptClosed   = 256      // closed streams whose end is remembered
+	MaxStreams         = 128      // concurrent streams, however large the credit
+	initialStreams     = 16       // concurrent streams before the first credit
+	streamWindowBytes  = 32 << 10 // receive window of a stream: a body of 2 KiB and the excess until it is rejected
+	handshakeTimeoutMs = 2000     // from the accept to the first SETTINGS frame, and for blocked answers without due time
+	requestTimeoutMs   = 2000     // from the first to the last byte of a request, and of a header block
+	drainPingTimeoutMs = 1000     // for the acknowledgement of the PING of a drain
+	answerGraceMs      = 80       // an answer this long past its due time is not sent
+	smallWindowMs      = 100      // a health check or a fault counts against the stream limit for this long
+	maxClosedStreams   = 256      // closed streams that are remembered
 )
 
-// how a stream was closed.
-type closing uint8
+// closeKind is the way in which a stream was closed. The zero value means that it was not closed.
+type closeKind uint8
 
 const (
-	endedBoth closing = iota + 1 // whole request, whole answer
+	completed closeKind = iota + 1 // request and answer are complete
 	resetByPeer
 	resetByUs
 )
 
 // stream is one request and its answer.
 type stream struct {
-	id      uint32
-	req     *request
-	body    []byte
-	length  int64   // of DATA so far
-	whole   bool    // the peer has ended its side
-	inHand  bool    // the core owes an answer
-	since   float64 // when its headers came
-	due     float64 // when its caller stops waiting; 0: a check or a fault
-	receive int     // what the peer may still send
-	send    int64   // what we may still send; below 0 after a smaller setting
-	answer  *core.Answer
-	status  int
-	fault   bool   // the request could not be read: the answer tells so
-	begun   bool   // the headers of the answer were sent
-	rest    []byte // of the result
-	blocked bool   // waits for a window
+	id              uint32
+	req             *request
+	body            []byte
+	received        int64   // bytes of DATA so far, without padding
+	requestComplete bool    // the peer has ended its side of the stream
+	inProgress      bool    // the core has not answered yet
+	openedAt        float64 // when the HEADERS frame arrived
+	due             float64 // when the caller stops waiting; 0 for a health check or a fault
+	receiveWindow   int     // bytes that the peer may still send
+	sendWindow      int64   // bytes that may still be sent; negative after the peer lowered its initial window size
+	answer          *core.Answer
+	status          int
+	isFault         bool   // the answer reports a malformed request
+	headersSent     bool   // the HEADERS frame of the answer was sent
+	unsent          []byte // remainder of the result
+	blocked         bool   // waits for a window update
 }
 
-// Conn is the state machine of one connection: a front.Protocol. Create it with New.
+// Conn is the state machine of one connection. It implements front.Protocol. Create it with New.
 type Conn struct {
-	site *front.Validator
-	now  float64
-	in   []byte
+	validator *front.Validator
+	now       float64 // latest time passed in, Unix ms
+	in        []byte  // received bytes of an incomplete frame
 
-	since      float64 // when the connection was accepted
-	prefaced   bool
-	configured bool // the peer's first settings came
-	streams    map[uint32]*stream
-	partial    int    // streams whose request is not whole
-	highest    uint32 // id that the peer has opened
-	accepted   uint32 // highest id that was taken on
-	closed     map[uint32]closing
-	closedIDs  []uint32 // in order of their ends
-	block      *block
-	dec        *hpack.Decoder
-	enc        *hpack.Encoder
-	encoded    bytes.Buffer
+	acceptedAt   float64
+	prefaceRead  bool
+	settingsRead bool // the peer's first SETTINGS frame was read
+	streams      map[uint32]*stream
+	incomplete   int    // streams whose request is not complete
+	highestID    uint32 // highest stream id that the peer has opened
+	acceptedID   uint32 // highest stream id that was not refused, as reported by GOAWAY
+	closed       map[uint32]closeKind
+	closedIDs    []uint32     // keys of closed, oldest first
+	block        *headerBlock // the incomplete header block, or nil
+	dec          *hpack.Decoder
+	enc          *hpack.Encoder
+	encoded      bytes.Buffer // output of enc
 
-	peerFrame  int
-	peerWindow int64
-	send       int64 // connection windows
-	receive    int
+	peerMaxFrame      int   // the peer's SETTINGS_MAX_FRAME_SIZE
+	peerInitialWindow int64 // the peer's SETTINGS_INITIAL_WINDOW_SIZE
+	sendWindow        int64 // of the connection
+	receiveWindow     int   // of the connection
 
-	limit  uint32   // of streams, as acknowledged
-	limits []uint32 // sent and not acknowledged, one for each of our settings
-	ackBy  float64
-	want   uint32 // limit that the credit asks for
+	streamLimit   uint32   // the last SETTINGS_MAX_CONCURRENT_STREAMS that the peer acknowledged
+	unackedLimits []uint32 // the limits not yet acknowledged, one for each SETTINGS frame sent
+	ackDeadline   float64  // for the oldest unacknowledged SETTINGS frame; 0 if there is none
+	wantedLimit   uint32   // stream limit derived from the credit
 
-	control []byte
-	ready   []*stream // with something to send, in turn
-	blocked []*stream // with something to send, that wait for a window
+	control []byte    // control frames to send
+	ready   []*stream // streams that can send, in round-robin order
+	blocked []*stream // streams that wait for a window update to send
 	events  []front.Event
-	smalls  []float64 // when the last checks and faults came
+	smalls  []float64 // arrival times of the health checks and faults of the last smallWindowMs
 
 	pings, settings, empties, updates, priorities, unknowns, resets, refusals, faults, strays budget
 
-	served   int
-	servedAt float64
-	leaving  bool
-	pingBy   float64 // of the drain
-	final    bool    // the last GOAWAY was sent
-	code     string
-	linger   bool
+	served       int     // answers other than faults
+	servedAt     float64 // when the last stream ended, or the accept
+	draining     bool
+	pingDeadline float64 // for the acknowledgement of the PING of the drain
+	finalGoAway  bool    // the GOAWAY frame with the last accepted id was sent
+	closeCode    string  // see front.Protocol.CloseReason
+	linger       bool
 }
 
-// New returns the machine of a connection that was accepted at a time.
-func New(site *front.Validator, now float64) *Conn {
-	c := &Conn{site: site, now: now, since: now, servedAt: now, streams: map[uint32]*stream{}, closed: map[uint32]closing{},
-		peerFrame: minFrame, peerWindow: initialWindow, send: initialWindow, receive: initialWindow, limit: math.MaxUint32,
-		want: firstStreams}
-	c.pings, c.settings = budget{name: "ping", most: 64, second: 8}, budget{name: "settings", most: 64, second: 8}
-	c.empties, c.updates = budget{name: "empty", most: 64, second: 16}, budget{name: "update", most: 2048, second: 2048}
-	c.priorities, c.unknowns = budget{name: "priority", most: 256, second: 64}, budget{name: "unknown", most: 64, second: 8}
-	c.resets, c.refusals = budget{name: "reset", most: 128, second: 32}, budget{name: "refused", most: 256, second: 64}
-	c.faults, c.strays = budget{name: "fault", most: 128, second: 32}, budget{name: "stray", most: 256, second: 64}
-	c.dec = hpack.NewDecoder(maxTable, nil)
-	c.dec.SetMaxStringLength(maxHeaderStr)
+// New returns the state machine of a connection that was accepted at now.
+func New(v *front.Validator, now float64) *Conn {
+	c := &Conn{validator: v, now: now, acceptedAt: now, servedAt: now, streams: map[uint32]*stream{},
+		closed: map[uint32]closeKind{}, peerMaxFrame: minFrameBytes, peerInitialWindow: initialWindowBytes,
+		sendWindow: initialWindowBytes, receiveWindow: initialWindowBytes, streamLimit: math.MaxUint32,
+		wantedLimit: initialStreams}
+	c.pings, c.settings = budget{name: "ping", burst: 64, perSecond: 8},
+		budget{name: "settings", burst: 64, perSecond: 8}
+	c.empties, c.updates = budget{name: "empty", burst: 64, perSecond: 16},
+		budget{name: "update", burst: 2048, perSecond: 2048}
+	c.priorities, c.unknowns = budget{name: "priority", burst: 256, perSecond: 64},
+		budget{name: "unknown", burst: 64, perSecond: 8}
+	c.resets, c.refusals = budget{name: "reset", burst: 128, perSecond: 32},
+		budget{name: "refused", burst: 256, perSecond: 64}
+	c.faults, c.strays = budget{name: "fault", burst: 128, perSecond: 32},
+		budget{name: "stray", burst: 256, perSecond: 64}
+	c.dec = hpack.NewDecoder(maxTableBytes, nil)
+	c.dec.SetMaxStringLength(maxStringBytes)
 	c.enc = hpack.NewEncoder(&c.encoded)
-	c.enc.SetMaxDynamicTableSizeLimit(maxTable)
-	c.control = appendSettings(c.control, settingStreams, firstStreams, settingWindow, streamWindow, settingHeaderList, maxList)
-	c.limits, c.ackBy = []uint32{firstStreams}, now+settingsAckFor
+	c.enc.SetMaxDynamicTableSizeLimit(maxTableBytes)
+	c.control = appendSettings(c.control, settingMaxConcurrentStreams, initialStreams,
+		settingInitialWindowSize, streamWindowBytes, settingMaxHeaderListSize, maxListBytes)
+	c.unackedLimits, c.ackDeadline = []uint32{initialStreams}, now+settingsAckTimeoutMs
 	return c
 }
 
-// fail ends the connection with an error code for the peer and a code for the log.
+// fail closes the connection with an error code for the peer and a code for the log.
 func (c *Conn) fail(e ErrCode, code string) {
-	if c.code != "" {
+	if c.closeCode != "" {
 		return
 	}
-	c.control = appendGoAway(c.control, c.accepted, e, code)
-	c.code, c.linger = code, true
+	c.control = appendGoAway(c.control, c.acceptedID, e, code)
+	c.closeCode, c.linger = code, true
 	c.ready, c.blocked, c.events = nil, nil, nil
 }
 
-// reset ends a stream with an error code. If its request is in hand, its caller has given it up.
-func (c *Conn) reset(id uint32, e ErrCode) {
-	c.control = appendRst(c.control, id, e)
-	c.drop(id, resetByUs)
+// resetStream resets a stream with an error code. A request in progress is cancelled.
+func (c *Conn) resetStream(id uint32, e ErrCode) {
+	c.control = appendRstStream(c.control, id, e)
+	c.closeStream(id, resetByUs)
 }
 
-// drop forgets a stream and remembers how it ended.
-func (c *Conn) drop(id uint32, how closing) {
+// closeStream removes a stream and records how it was closed.
+func (c *Conn) closeStream(id uint32, kind closeKind) {
 	if s := c.streams[id]; s != nil {
 		delete(c.streams, id)
-		if !s.whole {
-			c.partial--
+		if !s.requestComplete {
+			c.incomplete--
 		}
-		if s.inHand {
-			s.inHand = false
-			c.gone(id)
+		if s.inProgress {
+			s.inProgress = false
+			c.cancel(id)
 		}
-		s.answer, s.rest, s.body = nil, nil, nil
-		c.servedAt = c.now // the connection rests from here on, if this was the last
+		s.answer, s.unsent, s.body = nil, nil, nil
+		c.servedAt = c.now // start of the idle time if no stream is left
 	}
 	if _, ok := c.closed[id]; !ok {
-		if len(c.closedIDs) >= keptClosed {
+		if len(c.closedIDs) >= maxClosedStreams {
 			delete(c.closed, c.closedIDs[0])
 			c.closedIDs = c.closedIDs[1:]
 		}
 		c.closedIDs = append(c.closedIDs, id)
 	}
-	c.closed[id] = how
+	c.closed[id] = kind
 }
 
-// gone tells the core that a caller gave up, or, of a request that it has not heard of yet, nothing at all.
-func (c *Conn) gone(id uint32) {
+// cancel withdraws a request that the core has not received yet, or else tells the core that the caller gave up.
+func (c *Conn) cancel(id uint32) {
 	for i, e := range c.events {
 		if e.Tag == id {
 			c.events = append(c.events[:i], c.events[i+1:]...)
@@ -169,24 +176,24 @@
 	c.events = append(c.events, front.Event{Tag: id, Cancelled: true})
 }
 
-// spend takes one of a budget, or ends the connection.
+// spend takes one event from a budget. If the budget is exhausted, it closes the connection and returns false.
 func (c *Conn) spend(b *budget) bool {
-	if b.take(c.now) {
+	if b.spend(c.now) {
 		return true
 	}
 	c.fail(EnhanceYourCalm, b.code())
 	return false
 }
 
-// Feed takes bytes that were read.
+// Feed implements front.Protocol.
 func (c *Conn) Feed(now float64, b []byte) {
 	c.now = max(c.now, now)
-	if c.code != "" {
+	if c.closeCode != "" {
 		return
 	}
 	c.in = append(c.in, b...)
-	at := 0
-	if !c.prefaced {
+	offset := 0
+	if !c.prefaceRead {
 		n := min(len(c.in), len(preface))
 		if string(c.in[:n]) != preface[:n] {
 			c.fail(ProtocolError, "bad-preface")
@@ -195,26 +202,26 @@
 		if n < len(preface) {
 			return
 		}
-		c.prefaced, at = true, n
+		c.prefaceRead, offset = true, n
 	}
-	for c.code == "" && len(c.in)-at >= headSize {
-		h := readHead(c.in[at:])
-		if h.length > minFrame {
+	for c.closeCode == "" && len(c.in)-offset >= frameHeaderBytes {
+		h := parseFrameHeader(c.in[offset:])
+		if h.length > minFrameBytes {
 			c.fail(FrameSizeError, "long-frame") // RFC 9113, 4.2
 			break
 		}
-		if len(c.in)-at < headSize+h.length {
+		if len(c.in)-offset < frameHeaderBytes+h.length {
 			break
 		}
-		c.frame(h, c.in[at+headSize:at+headSize+h.length])
-		at += headSize + h.length
+		c.handleFrame(h, c.in[offset+frameHeaderBytes:offset+frameHeaderBytes+h.length])
+		offset += frameHeaderBytes + h.length
 	}
-	c.in = c.in[:copy(c.in, c.in[at:])]
+	c.in = c.in[:copy(c.in, c.in[offset:])]
 }
 
-// frame takes one whole frame.
-func (c *Conn) frame(h head, p []byte) {
-	if !c.configured && (h.kind != frameSettings || h.has(flagAck)) {
+// handleFrame processes one frame.
+func (c *Conn) handleFrame(h frameHeader, p []byte) {
+	if !c.settingsRead && (h.kind != frameSettings || h.has(flagAck)) {
 		c.fail(ProtocolError, "bad-preface")
 		return
 	}
@@ -224,19 +231,19 @@
 	}
 	switch h.kind {
 	case frameData:
-		c.data(h, p)
+		c.handleData(h, p)
 	case frameHeaders:
-		c.headers(h, p)
+		c.handleHeaders(h, p)
 	case framePriority:
-		c.priority(h, p)
+		c.handlePriority(h, p)
 	case frameRstStream:
-		c.rstStream(h, p)
+		c.handleRstStream(h, p)
 	case frameSettings:
-		c.setting(h, p)
+		c.handleSettings(h, p)
 	case framePushPromise:
 		c.fail(ProtocolError, "bad-push")
 	case framePing:
-		c.ping(h, p)
+		c.handlePing(h, p)
 	case frameGoAway:
 		switch {
 		case h.stream != 0:
@@ -247,7 +254,7 @@
 			c.spend(&c.unknowns)
 		}
 	case frameWindowUpdate:
-		c.windowUpdate(h, p)
+		c.handleWindowUpdate(h, p)
 	case frameContinuation:
 		if c.block == nil {
 			c.fail(ProtocolError, "bad-continuation")
@@ -256,27 +263,28 @@
 		if len(p) == 0 && !h.has(flagEndHeaders) && !c.spend(&c.empties) {
 			return
 		}
-		c.block.parts++
-		c.fragment(h, p)
+		c.block.continuations++
+		c.handleFragment(h, p)
 	default:
-		c.spend(&c.unknowns) // RFC 9113, 4.1: passed over
+		c.spend(&c.unknowns) // RFC 9113, 4.1: unknown frames are ignored
 	}
 }
 
-// stray takes a frame on a stream that is not open. One that we reset may have frames on their way.
-func (c *Conn) stray(h head, headers bool) {
-	switch how := c.closed[h.stream]; {
-	case h.stream > c.highest:
+// handleStrayFrame processes a frame on a stream that is not open. The peer may have sent it before it received our
+// reset.
+func (c *Conn) handleStrayFrame(h frameHeader, headers bool) {
+	switch kind := c.closed[h.stream]; {
+	case h.stream > c.highestID:
 		c.fail(ProtocolError, "idle-stream")
-	case how == resetByUs:
-		c.spend(&c.strays) // it was on its way
-	case how == resetByPeer:
+	case kind == resetByUs:
+		c.spend(&c.strays) // sent before the peer received the reset
+	case kind == resetByPeer:
 		if c.spend(&c.strays) {
-			c.control = appendRst(c.control, h.stream, StreamClosed)
+			c.control = appendRstStream(c.control, h.stream, StreamClosed)
 		}
-	case how == endedBoth || !headers:
+	case kind == completed || !headers:
 		c.fail(StreamClosed, "closed-stream")
 	default:
-		c.fail(ProtocolError, "bad-stream") // an id below the highest that was never opened
+		c.fail(ProtocolError, "bad-stream") // an id below the highest one that was never opened
 	}
 }
--- a/internal/h2/control.go
+++ b/internal/h2/control.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-func (c *Conn) priority(h head, p []byte) {
+// handlePriority checks a PRIORITY frame, which has no effect otherwise (RFC 9113, 6.3).
+func (c *Conn) handlePriority(h frameHeader, p []byte) {
 	if h.stream == 0 {
 		c.fail(ProtocolError, "bad-stream")
 		return
@@ -10,35 +11,37 @@
 	e := NoError
 	if len(p) != 5 {
 		e = FrameSizeError
-	} else if binary.BigEndian.Uint32(p)&maxWindow == h.stream {
+	} else if binary.BigEndian.Uint32(p)&maxUint31 == h.stream {
 		e = ProtocolError
 	}
 	switch {
 	case e != NoError && c.streams[h.stream] != nil:
-		c.reset(h.stream, e)
-	case e == FrameSizeError || e != NoError && h.stream > c.highest:
-		c.fail(e, "bad-priority") // a stream that is not open can't be reset
+		c.resetStream(h.stream, e)
+	case e == FrameSizeError || e != NoError && h.stream > c.highestID:
+		c.fail(e, "bad-priority") // a stream that is not open cannot be reset
 	default:
-		c.spend(&c.priorities) // deprecated: read and passed over
+		c.spend(&c.priorities) // deprecated and ignored
 	}
 }
 
-func (c *Conn) rstStream(h head, p []byte) {
+// handleRstStream processes a RST_STREAM frame (RFC 9113, 6.4).
+func (c *Conn) handleRstStream(h frameHeader, p []byte) {
 	switch {
 	case h.stream == 0:
 		c.fail(ProtocolError, "bad-stream")
 	case len(p) != 4:
 		c.fail(FrameSizeError, "bad-size")
-	case h.stream > c.highest:
+	case h.stream > c.highestID:
 		c.fail(ProtocolError, "idle-stream")
 	case c.streams[h.stream] == nil:
-		c.spend(&c.strays) // it crossed the end
+		c.spend(&c.strays) // sent before the peer learned that the stream is closed
 	case c.spend(&c.resets):
-		c.drop(h.stream, resetByPeer)
+		c.closeStream(h.stream, resetByPeer)
 	}
 }
 
-func (c *Conn) setting(h head, p []byte) {
+// handleSettings processes a SETTINGS frame (RFC 9113, 6.5).
+func (c *Conn) handleSettings(h frameHeader, p []byte) {
 	switch {
 	case h.stream != 0:
 		c.fail(ProtocolError, "bad-stream")
@@ -46,10 +49,10 @@
 	case h.has(flagAck):
 		if len(p) != 0 {
 			c.fail(FrameSizeError, "bad-size")
-		} else if len(c.limits) > 0 {
-			c.limit, c.limits = c.limits[0], c.limits[1:]
-			if c.ackBy = 0; len(c.limits) > 0 {
-				c.ackBy = c.now + settingsAckFor
+		} else if len(c.unackedLimits) > 0 {
+			c.streamLimit, c.unackedLimits = c.unackedLimits[0], c.unackedLimits[1:]
+			if c.ackDeadline = 0; len(c.unackedLimits) > 0 {
+				c.ackDeadline = c.now + settingsAckTimeoutMs
 			}
 		}
 		return
@@ -59,70 +62,72 @@
 	case !c.spend(&c.settings):
 		return
 	}
-	c.configured = true
+	c.settingsRead = true
 	for ; len(p) > 0; p = p[6:] {
 		v := binary.BigEndian.Uint32(p[2:])
 		switch binary.BigEndian.Uint16(p) {
-		case settingTable:
-			c.enc.SetMaxDynamicTableSize(min(v, maxTable))
-		case settingPush:
+		case settingHeaderTableSize:
+			c.enc.SetMaxDynamicTableSize(min(v, maxTableBytes))
+		case settingEnablePush:
 			if v > 1 {
 				c.fail(ProtocolError, "bad-setting")
 				return
 			}
-		case settingWindow:
-			if v > maxWindow {
+		case settingInitialWindowSize:
+			if v > maxUint31 {
 				c.fail(FlowControlError, "bad-setting")
 				return
 			}
-			by := int64(v) - c.peerWindow
-			c.peerWindow = int64(v)
+			delta := int64(v) - c.peerInitialWindow
+			c.peerInitialWindow = int64(v)
 			for _, s := range c.streams {
-				if s.send += by; s.send > maxWindow {
+				if s.sendWindow += delta; s.sendWindow > maxUint31 {
 					c.fail(FlowControlError, "flow-control")
 					return
 				}
 			}
 			c.unblock()
-		case settingFrame:
-			if v < minFrame || v > maxFrame {
+		case settingMaxFrameSize:
+			if v < minFrameBytes || v > maxFrameBytes {
 				c.fail(ProtocolError, "bad-setting")
 				return
 			}
-			c.peerFrame = int(v)
+			c.peerMaxFrame = int(v)
 		}
 	}
-	c.control = appendHead(c.control, 0, frameSettings, flagAck, 0)
+	c.control = appendFrameHeader(c.control, 0, frameSettings, flagAck, 0)
 }
 
-func (c *Conn) ping(h head, p []byte) {
+// handlePing processes a PING frame (RFC 9113, 6.7).
+func (c *Conn) handlePing(h frameHeader, p []byte) {
 	switch {
 	case h.stream != 0:
 		c.fail(ProtocolError, "bad-stream")
 	case len(p) != 8:
 		c.fail(FrameSizeError, "bad-size")
 	case h.has(flagAck):
-		if c.leaving && string(p) == drainPing {
-			c.lastGoAway()
+		if c.draining && string(p) == drainPingData {
+			c.sendFinalGoAway()
 		}
 	case c.spend(&c.pings):
-		c.control = append(appendHead(c.control, 8, framePing, flagAck, 0), p...)
+		c.control = append(appendFrameHeader(c.control, 8, framePing, flagAck, 0), p...)
 	}
 }
 
-func (c *Conn) windowUpdate(h head, p []byte) {
+// handleWindowUpdate processes a WINDOW_UPDATE frame (RFC 9113, 6.9).
+func (c *Conn) handleWindowUpdate(h frameHeader, p []byte) {
 	if len(p) != 4 {
 		c.fail(FrameSizeError, "bad-size")
 		return
 	}
-	by, s := int64(binary.BigEndian.Uint32(p)&maxWindow), c.streams[h.stream]
+	increment, s := int64(binary.BigEndian.Uint32(p)&maxUint31), c.streams[h.stream]
 	switch {
-	case h.stream > c.highest:
+	case h.stream > c.highestID:
 		c.fail(ProtocolError, "idle-stream")
-	case h.stream == 0 && by == 0:
+	case h.stream == 0 && increment == 0:
 		c.fail(ProtocolError, "bad-update")
 	case h.stream == 0:
-		if c.send += by; c.send > maxWindow {
+		if c.sendWindow += increment; c.sendWindow > maxUint31 {
 			c.fail(FlowControlError, "flow-control")
 			return
 		}
@@ -130,11 +135,11 @@
 		c.spend(&c.updates)
 	case s == nil:
 		c.spend(&c.strays)
-	case by == 0:
-		c.reset(s.id, ProtocolError)
+	case increment == 0:
+		c.resetStream(s.id, ProtocolError)
 	default:
-		if s.send += by; s.send > maxWindow {
-			c.reset(s.id, FlowControlError)
+		if s.sendWindow += increment; s.sendWindow > maxUint31 {
+			c.resetStream(s.id, FlowControlError)
 			return
 		}
 		c.unblock()
--- a/internal/h2/header.go
+++ b/internal/h2/header.go
@@ -11,91 +11,93 @@
 
 // Limits of header blocks.
 const (
-	maxBlock     = 32 << 10 // compressed bytes of one block
-	maxParts     = 16       // CONTINUATION frames of one block
-	maxList      = 8 << 10  // bytes of a list that is served, as the other fronts bound their heads
-	maxExpanded  = 128 << 10
-	maxTable     = 4096 // of the dynamic table, either way
-	entryCost    = 32   // of a field in a list (RFC 9113, 6.5.2)
-	maxHeaderStr = 16 << 10
+	maxBlockBytes      = 32 << 10  // compressed size of one block
+	maxContinuations   = 16        // CONTINUATION frames of one block
+	maxListBytes       = 8 << 10   // field list of a request, the same limit as in the other fronts
+	maxExpandedBytes   = 128 << 10 // field list that is decoded at all; a longer one closes the connection
+	maxTableBytes      = 4096      // dynamic table, in both directions
+	fieldOverheadBytes = 32        // added for each field of a list (RFC 9113, 6.5.2)
+	maxStringBytes     = 16 << 10  // one name or value
 )
 
-// block is a header block under way.
-type block struct {
-	stream    uint32
-	endStream bool
-	self      bool // the stream is said to depend on itself
-	buf       []byte
-	parts     int
-	since     float64
+// headerBlock is an incomplete header block.
+type headerBlock struct {
+	stream        uint32
+	endStream     bool
+	selfDependent bool // the priority declares that the stream depends on itself
+	buf           []byte
+	continuations int     // CONTINUATION frames so far
+	startedAt     float64 // when the HEADERS frame arrived
 }
 
-// request is what a header block asks for.
+// request holds the decoded fields of a request.
 type request struct {
 	method, scheme, path string
-	pseudo               map[string]bool
-	regular              bool // a field that is no pseudo field came
+	pseudo               map[string]bool // names of the pseudo fields so far
+	hasRegular           bool            // a regular field was decoded
 	fields               front.Fields
-	length               int64 // content-length; -1: none
-	expect               bool
-	size                 int    // of the list
-	malformed            string // why the request is malformed
-	fault                *front.Fault
+	contentLength        int64        // -1 if the field is missing
+	expectContinue       bool         // the peer waits for status 100 before it sends the body
+	listBytes            int          // size of the field list, with fieldOverheadBytes for each field
+	malformed            string       // why the request is malformed, or empty
+	fault                *front.Fault // why the request is rejected, or nil
 }
 
-func newRequest() *request { return &request{pseudo: map[string]bool{}, length: -1} }
+func newRequest() *request { return &request{pseudo: map[string]bool{}, contentLength: -1} }
 
-func (r *request) bad(why string) {
+// markMalformed marks the request as malformed and keeps the first reason.
+func (r *request) markMalformed(reason string) {
 	if r.malformed == "" {
-		r.malformed = why
+		r.malformed = reason
 	}
 }
 
-// field takes one field of a request's list (RFC 9113, 8.2 and 8.3).
-func (r *request) field(f hpack.HeaderField) {
-	r.size += len(f.Name) + len(f.Value) + entryCost
-	if r.size > maxList {
+// addField processes one field of a request (RFC 9113, 8.2 and 8.3).
+func (r *request) addField(f hpack.HeaderField) {
+	r.listBytes += len(f.Name) + len(f.Value) + fieldOverheadBytes
+	if r.listBytes > maxListBytes {
 		r.fault = &front.Fault{Status: 431, Code: "long-head"}
 		return
 	}
 	if !validName(f.Name) || !validValue(f.Value) {
-		r.bad("field " + strconv.Quote(f.Name))
+		r.markMalformed("field " + strconv.Quote(f.Name))
 		return
 	}
 	if f.Name[0] == ':' {
-		r.pseudoField(f)
+		r.addPseudoField(f)
 		return
 	}
-	r.regular = true
+	r.hasRegular = true
 	switch f.Name {
 	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
-		r.bad("connection-specific " + f.Name)
+		r.markMalformed("connection-specific " + f.Name)
 	case "te":
 		if f.Value != "trailers" {
-			r.bad("te")
+			r.markMalformed("te")
 		}
 	case "content-length":
 		n, err := strconv.ParseUint(f.Value, 10, 31)
-		if err != nil || r.length >= 0 && r.length != int64(n) {
-			r.bad("content-length")
+		if err != nil || r.contentLength >= 0 && r.contentLength != int64(n) {
+			r.markMalformed("content-length")
 			return
 		}
-		r.length = int64(n)
+		r.contentLength = int64(n)
 	case "expect":
-		r.expect = strings.EqualFold(f.Value, "100-continue")
-		if !r.expect {
+		r.expectContinue = strings.EqualFold(f.Value, "100-continue")
+		if !r.expectContinue {
 			r.fault = &front.Fault{Status: 417, Code: "bad-expect"}
 		}
 	default:
-		if _, twice := r.fields.Set(f.Name, f.Value); twice {
+		if _, duplicate := r.fields.Set(f.Name, f.Value); duplicate {
 			r.fault = &front.Fault{Status: 400, Code: "twice-field"}
 		}
 	}
 }
 
-func (r *request) pseudoField(f hpack.HeaderField) {
-	if r.regular || r.pseudo[f.Name] {
-		r.bad("pseudo field " + f.Name)
+// addPseudoField processes one pseudo field (RFC 9113, 8.3.1).
+func (r *request) addPseudoField(f hpack.HeaderField) {
+	if r.hasRegular || r.pseudo[f.Name] {
+		r.markMalformed("pseudo field " + f.Name)
 		return
 	}
 	r.pseudo[f.Name] = true
@@ -108,28 +110,28 @@
 		r.path = f.Value
 	case ":authority":
 	default:
-		r.bad("pseudo field " + f.Name)
+		r.markMalformed("pseudo field " + f.Name)
 	}
 }
 
-// finish checks what must be there once the list is whole.
-func (r *request) finish() {
+// checkPseudoFields checks for missing or invalid pseudo fields after the whole list is decoded.
+func (r *request) checkPseudoFields() {
 	switch {
 	case r.method == "CONNECT":
 		if r.pseudo[":scheme"] || r.pseudo[":path"] || !r.pseudo[":authority"] {
-			r.bad("connect")
+			r.markMalformed("connect")
 		}
 	case r.method == "" || r.scheme == "" || r.path == "":
-		if r.fault == nil { // a list that was too long was not read whole
-			r.bad("a pseudo field is missing")
+		if r.fault == nil { // the rest of a list over the limit was skipped
+			r.markMalformed("a pseudo field is missing")
 		}
 	case r.path[0] != '/' && !(r.path == "*" && r.method == "OPTIONS"):
-		r.bad("path")
+		r.markMalformed("path")
 	}
 }
 
-// message makes a message of a whole request.
-func (r *request) message(site *front.Validator, body []byte) front.Message {
+// buildMessage returns the message for a complete request.
+func (r *request) buildMessage(v *front.Validator, body []byte) front.Message {
 	if r.fault != nil {
 		return front.Message{Fault: r.fault}
 	}
@@ -139,13 +141,13 @@
 	case fault != nil:
 		return front.Message{Fault: fault}
 	case class != "":
-		return site.BuildMessage(class, r.fields, body)
+		return v.BuildMessage(class, r.fields, body)
 	}
 	return check
 }
 
-// validName tells whether a name is one of RFC 9113, 8.2.1: a token without upper case, with a colon in front of pseudo
-// fields alone.
+// validName reports whether s is a field name as of RFC 9113, 8.2.1: a token without upper-case letters. A colon may
+// only be its first character, as in the names of pseudo fields.
 func validName(s string) bool {
 	if s == "" || s == ":" {
 		return false
@@ -161,7 +163,7 @@
 	return true
 }
 
-// validValue tells whether a value has no NUL, CR or LF and no white space at its ends.
+// validValue reports whether s contains no NUL, CR or LF and no leading or trailing white space.
 func validValue(s string) bool {
 	if strings.ContainsAny(s, "\x00\r\n") {
 		return false
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -9,23 +9,24 @@
 	"whinrudder/internal/front"
 )
 
-func (c *Conn) data(h head, p []byte) {
+// handleData processes a DATA frame (RFC 9113, 6.1).
+func (c *Conn) handleData(h frameHeader, p []byte) {
 	if h.stream == 0 {
 		c.fail(ProtocolError, "bad-stream")
 		return
 	}
-	c.receive -= len(p)
-	if c.receive < 0 {
+	c.receiveWindow -= len(p)
+	if c.receiveWindow < 0 {
 		c.fail(FlowControlError, "flow-control")
 		return
 	}
-	// Bodies are kept for a stream at a time and bounded there: the connection's window is given back at once.
-	if c.receive < initialWindow/2 {
-		c.control = appendUpdate(c.control, 0, initialWindow-c.receive)
-		c.receive = initialWindow
+	// Bodies are bounded for each stream, so the connection's window is restored without waiting for the core.
+	if c.receiveWindow < initialWindowBytes/2 {
+		c.control = appendWindowUpdate(c.control, 0, initialWindowBytes-c.receiveWindow)
+		c.receiveWindow = initialWindowBytes
 	}
 	size := len(p)
-	p, ok := unpad(h, p)
+	p, ok := stripPadding(h, p)
 	if !ok {
 		c.fail(ProtocolError, "bad-padding")
 		return
@@ -33,70 +34,71 @@
 	s := c.streams[h.stream]
 	switch {
 	case s == nil:
-		c.stray(h, false)
+		c.handleStrayFrame(h, false)
 		return
-	case s.whole:
-		c.reset(s.id, StreamClosed)
+	case s.requestComplete:
+		c.resetStream(s.id, StreamClosed)
 		return
 	case len(p) == 0 && !h.has(flagEndStream) && !c.spend(&c.empties):
 		return
 	}
-	s.receive -= size
-	if s.receive < 0 {
-		c.reset(s.id, FlowControlError)
+	s.receiveWindow -= size
+	if s.receiveWindow < 0 {
+		c.resetStream(s.id, FlowControlError)
 		return
 	}
-	if s.answer != nil { // it was refused already: the rest is not wanted
+	if s.answer != nil { // already rejected: the rest of the body is ignored
 		return
 	}
-	s.length += int64(len(p))
-	if s.req.length >= 0 && s.length > s.req.length {
-		c.reset(s.id, ProtocolError)
+	s.received += int64(len(p))
+	if s.req.contentLength >= 0 && s.received > s.req.contentLength {
+		c.resetStream(s.id, ProtocolError)
 		return
 	}
-	if s.length > front.MaxBodyBytes {
-		c.tell(s, &front.Fault{Status: 413, Code: "long-body"})
+	if s.received > front.MaxBodyBytes {
+		c.answerFault(s, &front.Fault{Status: 413, Code: "long-body"})
 		return
 	}
 	s.body = append(s.body, p...)
 	if h.has(flagEndStream) {
-		c.wholeRequest(s)
+		c.completeRequest(s)
 	}
 }
 
-func (c *Conn) headers(h head, p []byte) {
+// handleHeaders processes a HEADERS frame (RFC 9113, 6.2).
+func (c *Conn) handleHeaders(h frameHeader, p []byte) {
 	if h.stream == 0 || h.stream%2 == 0 {
 		c.fail(ProtocolError, "bad-stream")
 		return
 	}
-	p, ok := unpad(h, p)
+	p, ok := stripPadding(h, p)
 	if !ok {
 		c.fail(ProtocolError, "bad-padding")
 		return
 	}
-	b := &block{stream: h.stream, endStream: h.has(flagEndStream), since: c.now}
+	b := &headerBlock{stream: h.stream, endStream: h.has(flagEndStream), startedAt: c.now}
 	if h.has(flagPriority) {
 		if len(p) < 5 {
 			c.fail(FrameSizeError, "bad-size")
 			return
 		}
-		b.self = binary.BigEndian.Uint32(p)&maxWindow == h.stream
+		b.selfDependent = binary.BigEndian.Uint32(p)&maxUint31 == h.stream
 		p = p[5:]
 	}
-	if c.streams[h.stream] == nil && h.stream <= c.highest {
-		if how := c.closed[h.stream]; how == endedBoth || how == 0 {
-			c.stray(h, true)
+	if c.streams[h.stream] == nil && h.stream <= c.highestID {
+		if kind := c.closed[h.stream]; kind == completed || kind == 0 {
+			c.handleStrayFrame(h, true)
 			return
 		}
 	}
 	c.block = b
-	c.fragment(h, p)
+	c.handleFragment(h, p)
 }
 
-// fragment takes a part of a header block, and the block once it is whole.
-func (c *Conn) fragment(h head, p []byte) {
+// handleFragment appends a fragment to the header block and decodes the block once it is complete.
+func (c *Conn) handleFragment(h frameHeader, p []byte) {
 	b := c.block
-	if len(b.buf)+len(p) > maxBlock || b.parts > maxParts {
+	if len(b.buf)+len(p) > maxBlockBytes || b.continuations > maxContinuations {
 		c.fail(EnhanceYourCalm, "flood-continuation")
 		return
 	}
@@ -108,9 +110,9 @@
 	r := newRequest()
 	expanded := 0
 	c.dec.SetEmitFunc(func(f hpack.HeaderField) {
-		expanded += len(f.Name) + len(f.Value) + entryCost
-		if expanded <= maxExpanded {
-			r.field(f)
+		expanded += len(f.Name) + len(f.Value) + fieldOverheadBytes
+		if expanded <= maxExpandedBytes {
+			r.addField(f)
 		}
 	})
 	_, err := c.dec.Write(b.buf)
@@ -120,114 +122,116 @@
 	switch {
 	case err != nil:
 		c.fail(CompressionError, "bad-hpack")
-	case expanded > maxExpanded:
+	case expanded > maxExpandedBytes:
 		c.fail(EnhanceYourCalm, "flood-hpack")
 	default:
-		c.list(b, r)
+		c.handleFieldList(b, r)
 	}
 }
 
-// list takes the list of fields of a whole header block: it opens a stream, or ends one as trailers.
-func (c *Conn) list(b *block, r *request) {
+// handleFieldList processes the decoded fields of a header block: they open a stream, or end one as trailers.
+func (c *Conn) handleFieldList(b *headerBlock, r *request) {
 	s := c.streams[b.stream]
 	switch {
-	case s != nil && s.whole:
-		c.reset(s.id, StreamClosed)
+	case s != nil && s.requestComplete:
+		c.resetStream(s.id, StreamClosed)
 		return
 	case s != nil:
-		if !b.endStream || len(r.pseudo) > 0 || r.malformed != "" || b.self {
-			c.reset(s.id, ProtocolError)
+		if !b.endStream || len(r.pseudo) > 0 || r.malformed != "" || b.selfDependent {
+			c.resetStream(s.id, ProtocolError)
 			return
 		}
-		c.wholeRequest(s)
+		c.completeRequest(s)
 		return
-	case b.stream <= c.highest:
-		c.stray(head{stream: b.stream}, true)
+	case b.stream <= c.highestID:
+		c.handleStrayFrame(frameHeader{stream: b.stream}, true)
 		return
 	}
-	c.highest = b.stream
-	if c.final || uint32(len(c.streams)) >= c.most() {
+	c.highestID = b.stream
+	if c.finalGoAway || uint32(len(c.streams)) >= c.maxOpenStreams() {
 		if c.spend(&c.refusals) {
-			c.reset(b.stream, RefusedStream) // nothing of it was run
+			c.resetStream(b.stream, RefusedStream) // the peer may retry: the request was not processed
 		}
 		return
 	}
-	c.accepted = b.stream
-	r.finish()
-	s = &stream{id: b.stream, req: r, since: c.now, receive: streamWindow, send: c.peerWindow}
+	c.acceptedID = b.stream
+	r.checkPseudoFields()
+	s = &stream{id: b.stream, req: r, openedAt: c.now, receiveWindow: streamWindowBytes, sendWindow: c.peerInitialWindow}
 	c.streams[s.id] = s
-	c.partial++
-	if r.malformed != "" || b.self {
+	c.incomplete++
+	if r.malformed != "" || b.selfDependent {
 		if c.spend(&c.faults) {
-			c.reset(s.id, ProtocolError)
+			c.resetStream(s.id, ProtocolError)
 		}
 		return
 	}
-	if r.expect && !b.endStream {
+	if r.expectContinue && !b.endStream {
 		c.control = c.appendHeaders(c.control, s.id, hpack.HeaderField{Name: ":status", Value: "100"})
 	}
 	if b.endStream {
-		c.wholeRequest(s)
+		c.completeRequest(s)
 	}
 }
 
-// most is how many streams the peer may have open: a lower limit holds once the peer has acknowledged it.
-func (c *Conn) most() uint32 {
-	most := min(c.limit, MaxStreams)
-	for _, l := range c.limits {
-		most = max(most, min(l, MaxStreams))
-	}
-	return most
+// maxOpenStreams returns how many streams the peer may have open. A lower limit takes effect when the peer has
+// acknowledged it, a higher one at once.
+func (c *Conn) maxOpenStreams() uint32 {
+	limit := min(c.streamLimit, MaxStreams)
+	for _, unacked := range c.unackedLimits {
+		limit = max(limit, min(unacked, MaxStreams))
+	}
+	return limit
 }
 
-// wholeRequest hands a request to the core, or answers what is wrong with it.
-func (c *Conn) wholeRequest(s *stream) {
+// completeRequest queues a complete request for the core, or answers it with a fault.
+func (c *Conn) completeRequest(s *stream) {
 	if s.answer != nil {
 		return
 	}
-	if s.req.length >= 0 && s.length != s.req.length {
-		c.reset(s.id, ProtocolError)
+	if s.req.contentLength >= 0 && s.received != s.req.contentLength {
+		c.resetStream(s.id, ProtocolError)
 		return
 	}
-	s.whole = true
-	c.partial--
-	m := s.req.message(c.site, s.body)
+	s.requestComplete = true
+	c.incomplete--
+	m := s.req.buildMessage(c.validator, s.body)
 	s.body = nil
-	if m.Request == nil && !c.small() {
+	if m.Request == nil && !c.admitSmall() {
 		if c.spend(&c.refusals) {
-			c.reset(s.id, RefusedStream)
+			c.resetStream(s.id, RefusedStream)
 		}
 		return
 	}
 	if m.Fault != nil {
 		if c.spend(&c.faults) {
-			c.tell(s, m.Fault)
+			c.answerFault(s, m.Fault)
 		}
 		return
 	}
 	if m.Request != nil {
-		s.due = min(max(m.Request.Due, c.now), c.now+c.site.Config().Policy.Classes[m.Request.Class].Deadline)
+		s.due = min(max(m.Request.Due, c.now), c.now+c.validator.Config().Policy.Classes[m.Request.Class].Deadline)
 	}
-	s.inHand = true
+	s.inProgress = true
 	c.events = append(c.events, front.Event{Message: m, Tag: s.id})
 }
 
-// small takes a check or a fault. They are answered so fast that hardly two of them are ever open at a time: the limit
-// of streams would not hold for them. So each counts for smallFor, and what is over the limit then is refused.
-func (c *Conn) small() bool {
-	for len(c.smalls) > 0 && c.smalls[0] <= c.now-smallFor {
+// admitSmall records a health check or a fault and returns false if it exceeds the stream limit. These are answered so
+// fast that hardly two of them are open at a time, so the limit on open streams does not bound them. Instead, each
+// counts against the limit for smallWindowMs.
+func (c *Conn) admitSmall() bool {
+	for len(c.smalls) > 0 && c.smalls[0] <= c.now-smallWindowMs {
 		c.smalls = c.smalls[1:]
 	}
-	if uint32(len(c.smalls)) >= max(firstStreams, c.most()) {
+	if uint32(len(c.smalls)) >= max(initialStreams, c.maxOpenStreams()) {
 		return false
 	}
 	c.smalls = append(c.smalls, c.now)
 	return true
 }
 
-// tell answers what can't be read. The connection goes on.
-func (c *Conn) tell(s *stream, f *front.Fault) {
-	s.status, s.answer, s.fault = f.Status, &core.Answer{Credit: -1}, true
+// answerFault answers a malformed request. The connection stays open.
+func (c *Conn) answerFault(s *stream, f *front.Fault) {
+	s.status, s.answer, s.isFault = f.Status, &core.Answer{Credit: -1}, true
 	s.body = nil
 	c.ready = append(c.ready, s)
 	c.events = append(c.events, front.Event{Tag: s.id, Code: f.Code})
--- a/internal/h2/write.go
+++ b/internal/h2/write.go
@@ -12,16 +12,15 @@
 	"whinrudder/internal/front"
 )
 
-// quantum is how much of a result a stream sends in its turn, and maxOut about how much is written at a time.
 const (
-	quantum = 1 << 10
-	maxOut  = 32 << 10
+	quantumBytes   = 1 << 10  // largest DATA frame that a stream sends in its turn
+	maxOutputBytes = 32 << 10 // AppendOutput starts no further turn beyond this size
 )
 
-// Next returns the next event for the core.
+// Next implements front.Protocol.
 func (c *Conn) Next(now float64) (front.Event, bool) {
 	c.now = max(c.now, now)
-	if len(c.events) == 0 || c.code != "" {
+	if len(c.events) == 0 || c.closeCode != "" {
 		return front.Event{}, false
 	}
 	e := c.events[0]
@@ -32,46 +31,47 @@
 	return e, true
 }
 
-// Answer takes the final answer to the request of a stream.
+// Answer implements front.Protocol; the tag is the stream id.
 func (c *Conn) Answer(now float64, tag uint32, a core.Answer) {
 	c.now = max(c.now, now)
-	c.heed(a.Credit)
+	c.followCredit(a.Credit)
 	s := c.streams[tag]
-	if s == nil || !s.inHand || c.code != "" {
-		return // it was given up
+	if s == nil || !s.inProgress || c.closeCode != "" {
+		return // the stream or the connection was closed meanwhile
 	}
-	s.inHand = false
+	s.inProgress = false
 	if a.Outcome == core.Duplicate {
 		c.events = append(c.events, front.Event{Tag: tag, Code: "twice-id"})
 	}
-	s.status, s.answer, s.rest = front.AnswerStatus(a), &a, a.Result
+	s.status, s.answer, s.unsent = front.AnswerStatus(a), &a, a.Result
 	c.ready = append(c.ready, s)
 }
 
-// heed lets the limit of streams follow the credit, in steps that are worth telling.
-func (c *Conn) heed(load float64) {
-	if load < 0 {
+// followCredit derives the stream limit from the credit and announces it if it rises by more than a quarter or
+// falls by more than a fifth.
+func (c *Conn) followCredit(credit float64) {
+	if credit < 0 {
 		return
 	}
-	want := uint32(min(MaxStreams, max(1, math.Ceil(load))))
-	if 4*want > 5*c.want || 5*want < 4*c.want {
-		c.want = want
-		if len(c.limits) < 8 { // a peer that acknowledges nothing hears no more of it
-			c.control = appendSettings(c.control, settingStreams, want)
-			if c.limits = append(c.limits, want); c.ackBy == 0 {
-				c.ackBy = c.now + settingsAckFor
+	limit := uint32(min(MaxStreams, max(1, math.Ceil(credit))))
+	if 4*limit > 5*c.wantedLimit || 5*limit < 4*c.wantedLimit {
+		c.wantedLimit = limit
+		if len(c.unackedLimits) < 8 { // a peer that does not acknowledge gets no further SETTINGS frames
+			c.control = appendSettings(c.control, settingMaxConcurrentStreams, limit)
+			if c.unackedLimits = append(c.unackedLimits, limit); c.ackDeadline == 0 {
+				c.ackDeadline = c.now + settingsAckTimeoutMs
 			}
 		}
 	}
 }
 
-// unblock lets all that waits for windows try again.
+// unblock moves the blocked streams that can send again to the ready queue.
 func (c *Conn) unblock() {
 	waiting := c.blocked[:0]
 	for _, s := range c.blocked {
 		switch {
-		case s.answer == nil: // reset meanwhile
-		case s.send > 0 && c.send > 0:
+		case s.answer == nil: // the stream was reset
+		case s.sendWindow > 0 && c.sendWindow > 0:
 			s.blocked = false
 			c.ready = append(c.ready, s)
 		default:
@@ -82,78 +82,80 @@
 	c.blocked = waiting
 }
 
-// AppendOutput appends what is to be written: control frames first, then the answers that are ready, a quantum each in turn.
+// AppendOutput implements front.Protocol. Control frames come first, then the ready streams send a quantum each
+// in turn.
 func (c *Conn) AppendOutput(now float64, b []byte) []byte {
 	c.now = max(c.now, now)
 	b = append(b, c.control...)
 	c.control = c.control[:0]
-	for len(c.ready) > 0 && len(b) < maxOut {
+	for len(c.ready) > 0 && len(b) < maxOutputBytes {
 		s := c.ready[0]
 		c.ready[0] = nil
 		if c.ready = c.ready[1:]; len(c.ready) == 0 {
 			c.ready = nil
 		}
 		if s.answer == nil {
-			continue // reset meanwhile
+			continue // the stream was reset
 		}
-		b = c.turn(b, s)
+		b = c.sendQuantum(b, s)
 	}
-	b = append(b, c.control...) // of streams that were reset in their turn
+	b = append(b, c.control...) // resets of streams whose answer came too late
 	c.control = c.control[:0]
-	if c.final && len(c.streams) == 0 && len(c.events) == 0 && c.code == "" {
-		c.code, c.linger = "close", true
+	if c.finalGoAway && len(c.streams) == 0 && len(c.events) == 0 && c.closeCode == "" {
+		c.closeCode, c.linger = "close", true
 	}
 	return b
 }
 
-// turn lets a stream send what it may.
-func (c *Conn) turn(b []byte, s *stream) []byte {
-	if s.due > 0 && c.now > s.due+answerGrace {
-		c.reset(s.id, Cancel)
+// sendQuantum sends the headers of an answer if they are not sent yet, and the next part of the result.
+func (c *Conn) sendQuantum(b []byte, s *stream) []byte {
+	if s.due > 0 && c.now > s.due+answerGraceMs {
+		c.resetStream(s.id, Cancel)
 		return b
 	}
-	if !s.begun {
-		s.begun = true
-		b = c.appendAnswer(b, s)
-		if len(s.rest) == 0 { // an empty DATA frame needs no window; suites want to see one
-			return c.done(appendHead(b, 0, frameData, flagEndStream, s.id), s)
+	if !s.headersSent {
+		s.headersSent = true
+		b = c.appendAnswerHeaders(b, s)
+		if len(s.unsent) == 0 { // an empty DATA frame needs no window; HTTP/2 conformance suites expect one
+			return c.finishStream(appendFrameHeader(b, 0, frameData, flagEndStream, s.id), s)
 		}
 	}
-	n := int(min(int64(len(s.rest)), s.send, c.send, int64(c.peerFrame), quantum))
+	n := int(min(int64(len(s.unsent)), s.sendWindow, c.sendWindow, int64(c.peerMaxFrame), quantumBytes))
 	if n <= 0 {
 		s.blocked = true
 		c.blocked = append(c.blocked, s)
 		return b
 	}
-	s.send -= int64(n)
-	c.send -= int64(n)
+	s.sendWindow -= int64(n)
+	c.sendWindow -= int64(n)
 	flags := byte(0)
-	if n == len(s.rest) {
+	if n == len(s.unsent) {
 		flags = flagEndStream
 	}
-	b = append(appendHead(b, n, frameData, flags, s.id), s.rest[:n]...)
-	if s.rest = s.rest[n:]; len(s.rest) == 0 {
-		return c.done(b, s)
+	b = append(appendFrameHeader(b, n, frameData, flags, s.id), s.unsent[:n]...)
+	if s.unsent = s.unsent[n:]; len(s.unsent) == 0 {
+		return c.finishStream(b, s)
 	}
 	c.ready = append(c.ready, s)
 	return b
 }
 
-// done closes a stream whose answer is whole. One whose request is not is not wanted any more (RFC 9113, 8.1).
-func (c *Conn) done(b []byte, s *stream) []byte {
-	how := endedBoth
-	if !s.whole {
-		b, how = appendRst(b, s.id, NoError), resetByUs
-	}
-	if !s.fault {
+// finishStream closes a stream whose answer is complete. If the request is not complete, a reset asks the peer to stop
+// sending it (RFC 9113, 8.1).
+func (c *Conn) finishStream(b []byte, s *stream) []byte {
+	kind := completed
+	if !s.requestComplete {
+		b, kind = appendRstStream(b, s.id, NoError), resetByUs
+	}
+	if !s.isFault {
 		c.served++
 	}
-	c.drop(s.id, how)
+	c.closeStream(s.id, kind)
 	return b
 }
 
-// appendAnswer appends the headers of an answer.
-func (c *Conn) appendAnswer(b []byte, s *stream) []byte {
+// appendAnswerHeaders appends the HEADERS frame of an answer.
+func (c *Conn) appendAnswerHeaders(b []byte, s *stream) []byte {
 	var fields [6]hpack.HeaderField
 	f := append(fields[:0], hpack.HeaderField{Name: ":status", Value: strconv.Itoa(s.status)})
 	a := s.answer
@@ -169,124 +171,129 @@
 	if a.Kept != "" {
 		f = append(f, hpack.HeaderField{Name: "srv-kept", Value: a.Kept})
 	}
-	f = append(f, hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(s.rest))})
+	f = append(f, hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(s.unsent))})
 	return c.appendHeaders(b, s.id, f...)
 }
 
-// appendHeaders appends one HEADERS frame; our lists are far below the least frame size.
+// appendHeaders appends a field list as one HEADERS frame. The lists are far shorter than the minimum of the peer's
+// frame size limit, so they need no CONTINUATION frames.
 func (c *Conn) appendHeaders(b []byte, id uint32, fields ...hpack.HeaderField) []byte {
 	c.encoded.Reset()
 	for _, f := range fields {
 		c.enc.WriteField(f)
 	}
-	return append(appendHead(b, c.encoded.Len(), frameHeaders, flagEndHeaders, id), c.encoded.Bytes()...)
+	return append(appendFrameHeader(b, c.encoded.Len(), frameHeaders, flagEndHeaders, id), c.encoded.Bytes()...)
 }
 
-// StartDrain begins the drain: the highest id that there can be first, so that what is on its way still counts, and once a
-// ping has come back the last that was taken on.
+// StartDrain implements front.Protocol. It sends a GOAWAY frame with the highest possible id, so that requests in
+// flight are still served, and a PING. Once the PING is acknowledged, another GOAWAY names the last accepted id.
 func (c *Conn) StartDrain(now float64) {
 	c.now = max(c.now, now)
-	if c.leaving || c.code != "" {
+	if c.draining || c.closeCode != "" {
 		return
 	}
-	c.leaving, c.pingBy = true, c.now+roundTrip
-	c.control = appendGoAway(c.control, maxWindow, NoError, "")
-	c.control = append(appendHead(c.control, 8, framePing, 0, 0), drainPing...)
+	c.draining, c.pingDeadline = true, c.now+drainPingTimeoutMs
+	c.control = appendGoAway(c.control, maxUint31, NoError, "")
+	c.control = append(appendFrameHeader(c.control, 8, framePing, 0, 0), drainPingData...)
 }
 
-func (c *Conn) lastGoAway() {
-	if !c.final {
-		c.final = true
-		c.control = appendGoAway(c.control, c.accepted, NoError, "")
+// sendFinalGoAway sends the GOAWAY frame with the last accepted id; later streams are refused.
+func (c *Conn) sendFinalGoAway() {
+	if !c.finalGoAway {
+		c.finalGoAway = true
+		c.control = appendGoAway(c.control, c.acceptedID, NoError, "")
 	}
 }
 
-// NextDeadline returns when the machine must be looked at again.
+// NextDeadline implements front.Protocol.
 func (c *Conn) NextDeadline(idle float64) float64 {
 	next := 0.0
-	sooner := func(at float64) {
-		if next == 0 || at < next {
-			next = at
+	sooner := func(deadline float64) {
+		if next == 0 || deadline < next {
+			next = deadline
 		}
 	}
-	if !c.configured {
-		sooner(c.since + firstFor)
+	if !c.settingsRead {
+		sooner(c.acceptedAt + handshakeTimeoutMs)
 	}
 	if c.block != nil {
-		sooner(c.block.since + partFor)
+		sooner(c.block.startedAt + requestTimeoutMs)
 	}
-	if c.ackBy > 0 {
-		sooner(c.ackBy)
+	if c.ackDeadline > 0 {
+		sooner(c.ackDeadline)
 	}
-	if c.leaving && !c.final {
-		sooner(c.pingBy)
+	if c.draining && !c.finalGoAway {
+		sooner(c.pingDeadline)
 	}
 	if len(c.streams) == 0 {
-		sooner(c.restBy(idle))
+		sooner(c.idleDeadline(idle))
 		return next
 	}
 	for _, s := range c.streams {
-		if !s.whole {
-			sooner(s.since + partFor)
+		if !s.requestComplete {
+			sooner(s.openedAt + requestTimeoutMs)
 		} else if s.blocked && s.due > 0 {
-			sooner(s.due + answerGrace + 1)
+			sooner(s.due + answerGraceMs + 1)
 		} else if s.blocked {
-			sooner(s.since + firstFor)
+			sooner(s.openedAt + handshakeTimeoutMs)
 		}
 	}
 	return next
 }
 
-// restBy is when a connection without streams has rested for long enough. A new one has the time for its first request.
-func (c *Conn) restBy(idle float64) float64 { return max(c.servedAt+idle, c.since+firstFor) }
+// idleDeadline returns when a connection without streams is closed. A new connection gets at least handshakeTimeoutMs
+// for its first request.
+func (c *Conn) idleDeadline(idle float64) float64 {
+	return max(c.servedAt+idle, c.acceptedAt+handshakeTimeoutMs)
+}
 
-// HandleDeadline does what falls due.
+// HandleDeadline implements front.Protocol. It closes the connection or resets streams that are past a deadline.
 func (c *Conn) HandleDeadline(now, idle float64) {
 	c.now = max(c.now, now)
 	switch {
-	case c.code != "":
+	case c.closeCode != "":
 		return
-	case !c.configured && c.now >= c.since+firstFor:
-		if len(c.in) == 0 && !c.prefaced {
-			c.code = "silent"
+	case !c.settingsRead && c.now >= c.acceptedAt+handshakeTimeoutMs:
+		if len(c.in) == 0 && !c.prefaceRead {
+			c.closeCode = "silent"
 		} else {
 			c.fail(ProtocolError, "slow")
 		}
 		return
-	case c.block != nil && c.now >= c.block.since+partFor:
+	case c.block != nil && c.now >= c.block.startedAt+requestTimeoutMs:
 		c.fail(EnhanceYourCalm, "slow")
 		return
-	case c.ackBy > 0 && c.now >= c.ackBy:
+	case c.ackDeadline > 0 && c.now >= c.ackDeadline:
 		c.fail(SettingsTimeout, "settings-timeout")
 		return
-	case c.leaving && !c.final && c.now >= c.pingBy:
-		c.lastGoAway()
-	case len(c.streams) == 0 && c.now >= c.restBy(idle):
+	case c.draining && !c.finalGoAway && c.now >= c.pingDeadline:
+		c.sendFinalGoAway()
+	case len(c.streams) == 0 && c.now >= c.idleDeadline(idle):
 		c.fail(NoError, "idle")
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.streams)) {
 		s := c.streams[id]
-		late := !s.whole && c.now >= s.since+partFor ||
-			s.blocked && (s.due > 0 && c.now > s.due+answerGrace || s.due == 0 && c.now >= s.since+firstFor)
-		if late {
-			c.reset(id, Cancel)
+		expired := !s.requestComplete && c.now >= s.openedAt+requestTimeoutMs ||
+			s.blocked && (s.due > 0 && c.now > s.due+answerGraceMs || s.due == 0 && c.now >= s.openedAt+handshakeTimeoutMs)
+		if expired {
+			c.resetStream(id, Cancel)
 		}
 	}
 }
 
-// CloseReason returns the code of the end.
-func (c *Conn) CloseReason() (string, bool) { return c.code, c.linger }
+// CloseReason implements front.Protocol.
+func (c *Conn) CloseReason() (string, bool) { return c.closeCode, c.linger }
 
-// PeerCloseReason returns the code of an end by the peer.
+// PeerCloseReason implements front.Protocol.
 func (c *Conn) PeerCloseReason(eof bool) string {
 	for _, s := range c.streams {
-		if s.inHand {
+		if s.inProgress {
 			return "gone"
 		}
 	}
 	switch {
-	case eof && len(c.in) == 0 && c.block == nil && c.partial == 0:
+	case eof && len(c.in) == 0 && c.block == nil && c.incomplete == 0:
 		return "eof"
 	case eof:
 		return "part"
@@ -294,5 +301,5 @@
 	return "reset"
 }
 
-// Served tells how many answers were given.
+// Served implements front.Protocol.
 func (c *Conn) Served() (int, float64) { return c.served, c.servedAt }
