--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink connects policies to the simulator: it keeps one Policy for each instance and passes
-// events and actions on. It decides nothing.
+// Command benchlink connects policies to the simulator over standard input and output. It keeps one whinrudder.Policy
+// for each instance, passes it the events of the simulator and returns its actions.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve replies to batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	dec := simproto.NewDecoder(in)
 	policies := map[int]*whinrudder.Policy{}
@@ -27,7 +27,7 @@
 		batch   simproto.Batch
 		reply   simproto.Reply
 		events  = map[int][]whinrudder.Event{}
-		order   []int
+		order   []int // instances of the batch in order of their first message
 		actions []whinrudder.Action
 	)
 	for {
@@ -52,15 +52,15 @@
 				policies[it.Instance] = p
 				events[it.Instance] = events[it.Instance][:0]
 			case policies[it.Instance] == nil:
-				continue // an event of a life that is over
+				continue // an event for an instance that has stopped
 			default:
 				events[it.Instance] = append(events[it.Instance], it.Event)
 			}
-			seen := false
+			listed := false
 			for _, i := range order {
-				seen = seen || i == it.Instance
+				listed = listed || i == it.Instance
 			}
-			if !seen {
+			if !listed {
 				order = append(order, it.Instance)
 			}
 		}
@@ -69,11 +69,11 @@
 			if p == nil {
 				continue
 			}
-			var fault string
-			actions, fault = step(p, batch.Now, events[i], actions[:0])
+			var failure string
+			actions, failure = step(p, batch.Now, events[i], actions[:0])
 			events[i] = events[i][:0]
-			if fault != "" {
-				reply.AppendCrash(i, fmt.Sprintf("instance %d: %s", i, fault))
+			if failure != "" {
+				reply.AppendCrash(i, fmt.Sprintf("instance %d: %s", i, failure))
 				continue
 			}
 			reply.AppendActions(i, actions)
@@ -84,13 +84,13 @@
 	}
 }
 
-// step runs one step of a policy and turns a panic into the text of a fault.
-func step(p *whinrudder.Policy, now float64, ev []whinrudder.Event, to []whinrudder.Action) (
-	actions []whinrudder.Action, fault string) {
+// step runs one step of a policy and appends its actions to buf. If the policy panics, failure describes the panic.
+func step(p *whinrudder.Policy, now float64, events []whinrudder.Event, buf []whinrudder.Action) (
+	actions []whinrudder.Action, failure string) {
 	defer func() {
 		if r := recover(); r != nil {
-			fault = fmt.Sprintf("panic: %v", r)
+			failure = fmt.Sprintf("panic: %v", r)
 		}
 	}()
-	return p.Step(now, ev, to), ""
+	return p.Step(now, events, buf), ""
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -11,7 +11,7 @@
 	"whinrudder"
 )
 
-const start = `PROVISION 42 {"new_key":[1],"specifics":{"cores":6,"halt":"suspend","say":"window","below":"shared",` +
+const provision = `PROVISION 42 {"new_key":[1],"specifics":{"cores":6,"halt":"suspend","say":"window","below":"shared",` +
 	`"class_calls":[true],"class_skip_worth":[0.3],"ram_kb":100},"profiles":[{"aim_ms":1,"deadline_ms":2,` +
 	`"repeat":"by_key","memory_span_ms":9}],"allowed":{"retry_after":true,"max_retry_after_ms":7},"worth_by":"work"}`
 
@@ -23,7 +23,7 @@
 }
 
 func TestDecodeTranscript(t *testing.T) {
-	b, err := decode(t, "TICK 8412.25\nAT 3\n"+start+"\n"+
+	b, err := decode(t, "TICK 8412.25\nAT 3\n"+provision+"\n"+
 		"ACCEPT 774f54295d3a91c4 8652.25 17 1.85 5 2ecc51910e6f2b19 acct/k 24.5 12.0 0.625 1 2\n"+
 		"ACCEPT 774f54295d3a91c5 - 17 1.85 0 - - 24.5 - - - 0\n"+
 		"TIMEOUT_FIRED 77 cpu_busy:0.62,runnable:3,news:9,sockets:120\n"+
@@ -35,29 +35,30 @@
 	s := b.Items[0].Start.Settings
 	if b.Items[0].Start.Seed != 42 || s.Cores != 6 || s.Halt != whinrudder.StopPause || !s.WorthByWork ||
 		s.MaxRetryAfter != 7 || !s.Classes[0].CallsDependency || s.Classes[0].Window != 9 {
-		t.Errorf("settings: %+v", s)
+		t.Errorf("got seed %d and settings %+v, want those of the PROVISION line", b.Items[0].Start.Seed, s)
 	}
-	const a, g = whinrudder.RequestID("774f54295d3a91c4"), whinrudder.RequestID("2ecc51910e6f2b19")
+	const id, earlierID = whinrudder.RequestID("774f54295d3a91c4"), whinrudder.RequestID("2ecc51910e6f2b19")
 	want := []whinrudder.Event{
-		whinrudder.Arrival{ID: a, Due: 8652.25, Caller: 17, ReadDelay: 1.85, WorkKnown: true, Write: true, RepeatOf: g,
+		whinrudder.Arrival{ID: id, Due: 8652.25, Caller: 17, ReadDelay: 1.85, WorkKnown: true, Write: true, RepeatOf: earlierID,
 			Key: "acct/k", MemoryKB: 24.5, Work: 12, Rank: 0.625, Tenant: 1, Class: 2},
 		whinrudder.Arrival{ID: "774f54295d3a91c5", Caller: 17, ReadDelay: 1.85, MemoryKB: 24.5},
 		whinrudder.Timer{Token: 77, Gauges: whinrudder.Gauges{CPU: 0.62, Runnable: 3, Conns: 120}},
-		whinrudder.Ended{ID: a, Code: whinrudder.OK, Latency: 18.5},
-		whinrudder.Called{ID: a, Code: whinrudder.Timeout, Latency: 80},
-		whinrudder.AtCall{ID: a}, whinrudder.Notice{StopAt: 11912.25}, whinrudder.Gone{ID: g},
+		whinrudder.Ended{ID: id, Code: whinrudder.OK, Latency: 18.5},
+		whinrudder.Called{ID: id, Code: whinrudder.Timeout, Latency: 80},
+		whinrudder.AtCall{ID: id}, whinrudder.Notice{StopAt: 11912.25}, whinrudder.Gone{ID: earlierID},
 	}
 	for i, w := range want {
 		if it := b.Items[i+1]; !reflect.DeepEqual(it.Event, w) {
-			t.Errorf("event %d: %+v, want %+v", i, it.Event, w)
+			t.Errorf("event %d: got %+v, want %+v", i, it.Event, w)
 		}
 	}
 	if n := len(b.Items); b.Now != 8412.25 || n != 10 || !b.Items[n-1].Stopped || b.Items[n-1].Instance != 5 {
-		t.Errorf("batch: %+v", b)
+		t.Errorf("got time %v and %d items, want 8412.25 and 10 with a stop of instance 5 at the end: %+v", b.Now, n, b)
 	}
 }
 
-func TestMalformedInputNamesTheLine(t *testing.T) {
+// Errors name the line and what is wrong with it. Only an empty input, or the end between two batches, gives io.EOF.
+func TestMalformedInput(t *testing.T) {
 	for in, want := range map[string]string{
 		"TOCK 1\n":                                 "line 1: want TICK",
 		"TICK x\n":                                 `line 1: TICK: bad number "x"`,
@@ -68,18 +69,18 @@
 		"TICK 1\nAT 1\nWITHDRAWN xyz\nEOF_BATCH\n": "bad request id",
 		"TICK 1\nAT 1\nRESULT 774f54295d3a91c4 WELL 1\nEOF_BATCH\n": `unknown outcome "WELL"`,
 		"TICK 1\nAT 1\nRESULT 774f54295d3a91c4 GOOD\nEOF_BATCH\n":   "too few values",
-		"TICK 1\nAT 1\nNOTICE 5 6\nEOF_BATCH\n":                     "values left over",
+		"TICK 1\nAT 1\nNOTICE 5 6\nEOF_BATCH\n":                     "too many values",
 		"TICK 1\nAT 1\nPROVISION 1 {\nEOF_BATCH\n":                  "line 3: PROVISION: settings",
 		"TICK 1\nAT 1\n": "ends within a batch",
 		"TICK 1":         "ends within a line",
 		"TICK 1\nAT 1\nPROVISION 1 " + `{"specifics":{"halt":"maybe"}}` + "\nEOF_BATCH\n": "unknown halt",
 	} {
 		if _, err := decode(t, in); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v, want %q", in, err, want)
+			t.Errorf("%q: got error %v, want one with %q", in, err, want)
 		}
 	}
 	if _, err := decode(t, ""); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("empty input: got error %v, want io.EOF", err)
 	}
 }
 
@@ -105,8 +106,9 @@
 	}
 }
 
+// FuzzDecode checks for arbitrary input that Decode does not panic and that every item has an instance and a message.
 func FuzzDecode(f *testing.F) {
-	f.Add("TICK 1\nAT 3\n" + start + "\nEOF_BATCH\n")
+	f.Add("TICK 1\nAT 3\n" + provision + "\nEOF_BATCH\n")
 	f.Add("TICK 1\nAT 1\nTIMEOUT_FIRED 7 cpu_busy:1\nEOF_BATCH\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		d := NewDecoder(strings.NewReader(in))
@@ -114,7 +116,7 @@
 		for d.Decode(&b) == nil {
 			for _, it := range b.Items {
 				if it.Instance < 0 || (it.Start == nil && !it.Stopped && it.Event == nil) {
-					t.Fatalf("empty item %+v", it)
+					t.Fatalf("item without an instance or a message: %+v", it)
 				}
 			}
 		}
