--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -46,7 +46,7 @@
 type ValidatorConfig struct {
 	ClassIndex  map[string]int // index of each class in Policy.Classes, by class name
 	Policy      whinrudder.Settings
-	KeptClasses map[int]string // by class index; non-empty for classes whose tokens are used, other tokens are ignored
+	KeptClasses map[int]string // names of the classes that keep results, by class index; other classes ignore tokens
 }
 
 // Validator validates the requests of all connections against the current configuration, which a reload of the
@@ -180,8 +180,8 @@
 
 // reasonPhrases maps status codes to the reason phrases of HTTP/1.1.
 var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	409: "Conflict", 411: "Length Required", 413: "Content Too Large", 422: "Unprocessable Content", 417: "Expectation Failed",
-	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
+	409: "Conflict", 411: "Length Required", 413: "Content Too Large", 422: "Unprocessable Content",
+	417: "Expectation Failed", 431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
 // AnswerStatus returns the HTTP status for the outcome of an answer.
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -16,8 +16,8 @@
 	AppendOutput(now float64, b []byte) []byte
 	// StartDrain announces to the peer that the node accepts no more requests.
 	StartDrain(now float64)
-	// NextDeadline returns the time at which HandleDeadline must be called if no bytes arrive before, or 0 if there is no
-	// deadline. idle is the time limit of a connection without messages in progress.
+	// NextDeadline returns the time at which HandleDeadline must be called if no bytes arrive before, or 0 if there is
+	// no deadline. idle is the time limit of a connection without messages in progress.
 	NextDeadline(idle float64) float64
 	// HandleDeadline handles the deadlines that have passed.
 	HandleDeadline(now, idle float64)
@@ -37,7 +37,8 @@
 	Message
 	Tag       uint32
 	Cancelled bool // the caller gave up the message with the tag, which was in progress until now
-	// Code is set for a malformed message with the tag on a connection that stays open; it is only logged.
+	// Code is the log code of a fault in the message with the tag, such as a malformed request or an id that is already
+	// in use, on a connection that stays open. The event is only logged.
 	Code string
 }
 
