--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -8,17 +8,19 @@
 	"github.com/valyala/fastjson"
 )
 
-// shape is the set of keys that a file has, by their paths: a.b for a key of an object, a[].b for one that all objects
-// of a list have.
-type shape map[string]bool
+// keySet is the set of the paths of the keys that a file has: a.b for a key of an object, a[].b for a key that all
+// objects of a list have.
+type keySet map[string]bool
 
-func shapeOf(v *fastjson.Value) shape {
-	s := shape{}
+// keysOf returns the paths of all keys of v.
+func keysOf(v *fastjson.Value) keySet {
+	s := keySet{}
 	s.add("", v)
 	return s
 }
 
-func (s shape) add(path string, v *fastjson.Value) {
+// add adds the paths of the keys of v, which is at path.
+func (s keySet) add(path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeObject:
 		v.GetObject().Visit(func(key []byte, v *fastjson.Value) {
@@ -27,16 +29,16 @@
 			s.add(p, v)
 		})
 	case fastjson.TypeArray:
-		var common shape
+		var common keySet
 		for _, e := range v.GetArray() {
-			of := shape{}
-			of.add(path+"[]", e)
+			keys := keySet{}
+			keys.add(path+"[]", e)
 			if common == nil {
-				common = of
+				common = keys
 				continue
 			}
 			for p := range common {
-				if !of[p] {
+				if !keys[p] {
 					delete(common, p)
 				}
 			}
@@ -47,14 +49,14 @@
 	}
 }
 
-// CheckMissingKeys names the keys that an earlier configuration had and this one has not. One that takes the place of
-// another must have them all: an absent key would pass for 0, and the node would serve by a file that lost a part on
-// its way. An empty list says nothing of what is in it.
+// CheckMissingKeys returns an error that lists the keys that an earlier configuration has and this one lacks. A
+// reloaded configuration must have all keys of the one before it: a missing key would be read as 0, and the node would
+// serve with a file that lost a part. Keys of the objects in a list are not checked if the list is empty now.
 func (c Config) CheckMissingKeys(earlier Config) error {
 	var missing []string
-	for p := range earlier.shape {
+	for p := range earlier.keys {
 		last := strings.LastIndex(p, "[].")
-		if !c.shape[p] && (last < 0 || c.hasItems(p[:last])) {
+		if !c.keys[p] && (last < 0 || c.hasItems(p[:last])) {
 			missing = append(missing, p)
 		}
 	}
@@ -62,12 +64,12 @@
 		return nil
 	}
 	slices.Sort(missing)
-	return fmt.Errorf("config: lacks %s, which the configuration before it has", strings.Join(missing, ", "))
+	return fmt.Errorf("config: missing keys that the previous configuration has: %s", strings.Join(missing, ", "))
 }
 
-// hasItems tells whether a list has objects with keys in common.
+// hasItems reports whether the list at a path has objects with keys in common.
 func (c Config) hasItems(list string) bool {
-	for p := range c.shape {
+	for p := range c.keys {
 		if strings.HasPrefix(p, list+"[].") {
 			return true
 		}
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -8,35 +8,37 @@
 	"github.com/valyala/fastjson"
 )
 
-// A new configuration must have the keys of the one before it, wherever they are; more is no fault, and classes may
-// come and go.
-func TestLacks(t *testing.T) {
-	const whole = `{"name":"r1","limits":{"cores":1},"settings":{"profiles":[{"name":"a","aim_ms":1},{"name":"b","aim_ms":1,"worth":2}],"parties":[]}}`
-	of := func(text string) Config {
+// A reloaded configuration must have every key of the previous one, at any depth: a missing key would be read as 0.
+// Additional keys are accepted, and classes may be added and removed.
+func TestCheckMissingKeys(t *testing.T) {
+	const complete = `{"name":"r1","limits":{"cores":1},"settings":{"profiles":[{"name":"a","aim_ms":1},` +
+		`{"name":"b","aim_ms":1,"worth":2}],"parties":[]}}`
+	parse := func(text string) Config {
 		v, err := fastjson.Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return Config{shape: shapeOf(v)}
+		return Config{keys: keysOf(v)}
 	}
 	for _, c := range []struct{ name, from, to, want string }{
 		{"same", "", "", ""},
-		{"more", `"cores":1`, `"cores":1,"new":{"x":1}`, ""},
+		{"keys added", `"cores":1`, `"cores":1,"new":{"x":1}`, ""},
 		{"class dropped", `{"name":"a","aim_ms":1},`, ``, ""},
 		{"class added", `{"name":"a","aim_ms":1},`, `{"name":"a","aim_ms":1},{"name":"c","aim_ms":1},`, ""},
-		{"key that some classes have", `,"worth":2`, ``, ""},
+		{"key of only some classes dropped", `,"worth":2`, ``, ""},
 		{"all classes dropped", `{"name":"a","aim_ms":1},{"name":"b","aim_ms":1,"worth":2}`, ``, ""},
 		{"list filled", `"parties":[]`, `"parties":[{"quota":1}]`, ""},
-		{"key at the top", `"name":"r1"`, `"nome":"r1"`, "name"},
-		{"key of an object", `"cores":1`, ``, "limits.cores"},
-		{"object", `"limits":{"cores":1},`, ``, "limits, limits.cores"},
-		{"key of one class", `"name":"b","aim_ms":1`, `"name":"b"`, "settings.profiles[].aim_ms"},
-		{"list", `"profiles":[{"name":"a","aim_ms":1},{"name":"b","aim_ms":1,"worth":2}],`, ``, "settings.profiles"},
+		{"top-level key missing", `"name":"r1"`, `"nome":"r1"`, "name"},
+		{"key of an object missing", `"cores":1`, ``, "limits.cores"},
+		{"object missing", `"limits":{"cores":1},`, ``, "limits, limits.cores"},
+		{"key of one class missing", `"name":"b","aim_ms":1`, `"name":"b"`, "settings.profiles[].aim_ms"},
+		{"list missing", `"profiles":[{"name":"a","aim_ms":1},{"name":"b","aim_ms":1,"worth":2}],`, ``, "settings.profiles"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := ""
-			if err := of(strings.Replace(whole, c.from, c.to, 1)).CheckMissingKeys(of(whole)); err != nil {
-				got = strings.TrimSuffix(strings.TrimPrefix(err.Error(), "config: lacks "), ", which the configuration before it has")
+			if err := parse(strings.Replace(complete, c.from, c.to, 1)).CheckMissingKeys(parse(complete)); err != nil {
+				got = strings.TrimPrefix(err.Error(),
+					"config: missing keys that the previous configuration has: ")
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
--- a/internal/settings/suggestion.go
+++ b/internal/settings/suggestion.go
@@ -7,7 +7,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// UnknownCommandError names a sub-command that does not exist, and the nearest that does.
+// UnknownCommandError returns an error for a sub-command that does not exist. It suggests the command with the most
+// similar name.
 func UnknownCommandError(c *cli.Command, word string) error {
 	var names []string
 	for _, s := range c.Commands {
@@ -16,12 +17,13 @@
 	return fmt.Errorf("no command %q%s", word, Suggestion(word, names))
 }
 
-// Suggestion returns a remark that names the known word that is nearest to one, or nothing if none is near.
+// Suggestion returns ", did you mean ...?" with the known word of the least edit distance to word, or an empty string if
+// no known word is similar.
 func Suggestion(word string, known []string) string {
-	best, least := "", len(word)/2+1
+	best, bestDistance := "", len(word)/2+1
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(word, k); d < least {
-			best, least = k, d
+		if d := levenshtein.ComputeDistance(word, k); d < bestDistance {
+			best, bestDistance = k, d
 		}
 	}
 	if best == "" {
