--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -14,8 +14,8 @@
 
 // Config is the configuration that a payout node reads when it starts.
 type Config struct {
-	// Name is the node's name. Listen, Pool and Announce are the addresses of its HTTP port, of the worker pool and of the
-	// announce service.
+	// Name is the node's name. Listen, Pool and Announce are the addresses of its HTTP port, of the worker pool and of
+	// the announce service.
 	Name, Listen, Pool, Announce string
 	Admin                        string  // address of the operators' admin port; empty: none
 	Seed                         uint64  // seed of the node's random decisions
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -31,7 +31,8 @@
 	Listen   string   // address of the peer port, where other nodes fetch the learned state; empty: no peer port
 	Donors   []string // addresses of the peer ports of donors
 	Discover bool     // donors are also looked up among the znodes of the ensemble
-	// CertFile, KeyFile and AuthorityFile are TLS files. PeerName is the name that the certificate of each peer must have.
+	// CertFile, KeyFile and AuthorityFile are TLS files. PeerName is the name that the certificate of each peer must
+	// have.
 	CertFile, KeyFile, AuthorityFile, PeerName string
 	Plaintext                                  bool    // connections without TLS; on loopback addresses only
 	FetchTimeoutMs                             float64 // fetching from donors ends this long after the start
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -32,7 +32,8 @@
 		{"key of an object missing", `"cores":1`, ``, "limits.cores"},
 		{"object missing", `"limits":{"cores":1},`, ``, "limits, limits.cores"},
 		{"key of one class missing", `"name":"b","aim_ms":1`, `"name":"b"`, "settings.profiles[].aim_ms"},
-		{"list missing", `"profiles":[{"name":"a","aim_ms":1},{"name":"b","aim_ms":1,"worth":2}],`, ``, "settings.profiles"},
+		{"list missing", `"profiles":[{"name":"a","aim_ms":1},{"name":"b","aim_ms":1,"worth":2}],`, ``,
+			"settings.profiles"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := ""
--- a/internal/settings/suggestion.go
+++ b/internal/settings/suggestion.go
@@ -17,8 +17,8 @@
 	return fmt.Errorf("no command %q%s", word, Suggestion(word, names))
 }
 
-// Suggestion returns ", did you mean ...?" with the known word of the least edit distance to word, or an empty string if
-// no known word is similar.
+// Suggestion returns ", did you mean ...?" with the known word of the least edit distance to word, or an empty string
+// if no known word is similar.
 func Suggestion(word string, known []string) string {
 	best, bestDistance := "", len(word)/2+1
 	for _, k := range known {
--- a/internal/template/template.go
+++ b/internal/template/template.go
@@ -47,7 +47,8 @@
 	read map[string]jsonnet.Contents // files that were read, by name
 }
 
-// Import implements jsonnet.Importer. It reads each file once: the library requires the same contents for the same name.
+// Import implements jsonnet.Importer. It reads each file once: the library requires the same contents for the same
+// name.
 func (i *folderImporter) Import(_, name string) (jsonnet.Contents, string, error) {
 	if c, ok := i.read[name]; ok {
 		return c, name, nil
