--- a/internal/zk/auth.go
+++ b/internal/zk/auth.go
@@ -9,11 +9,11 @@
 	"github.com/go-zookeeper/zk"
 )
 
-// maxAuth bounds a file of credentials, in bytes.
-const maxAuth = 1 << 10
+// maxAuthBytes is the maximum size of the credentials.
+const maxAuthBytes = 1 << 10
 
-// ReadAuth reads USER:PASSWORD of ZooKeeper's digest scheme from a file of one line. No error names what is in it. An empty path
-// is no credentials.
+// ReadAuth reads credentials of ZooKeeper's digest scheme, USER:PASSWORD, from a file of one line. No error text
+// contains what is in the file. With an empty path it returns nil: no credentials.
 func ReadAuth(path string) ([]byte, error) {
 	if path == "" {
 		return nil, nil
@@ -24,14 +24,16 @@
 	}
 	b = bytes.TrimRight(b, "\r\n")
 	user, password, ok := bytes.Cut(b, []byte(":"))
-	if !ok || len(user) == 0 || len(password) == 0 || len(b) > maxAuth || bytes.ContainsAny(b, "\r\n\x00") {
-		return nil, fmt.Errorf("zookeeper.auth_file: %s holds no line USER:PASSWORD of %d bytes at most", path, maxAuth)
+	if !ok || len(user) == 0 || len(password) == 0 || len(b) > maxAuthBytes || bytes.ContainsAny(b, "\r\n\x00") {
+		return nil, fmt.Errorf("zookeeper.auth_file: %s is not one line USER:PASSWORD of at most %d bytes",
+			path, maxAuthBytes)
 	}
 	return b, nil
 }
 
-// rights are who may do what to the znodes that are made: with credentials, whoever has them everything, and all others read.
-func rights(auth []byte) []zk.ACL {
+// aclFor returns the access rights of the znodes that a node creates: with credentials, their owner may do everything
+// and all others may read; without, everybody may do everything.
+func aclFor(auth []byte) []zk.ACL {
 	user, password, ok := strings.Cut(string(auth), ":")
 	if !ok {
 		return zk.WorldACL(zk.PermAll)
--- a/internal/zk/zk.go
+++ b/internal/zk/zk.go
@@ -1,5 +1,6 @@
-// Package zk registers a node in a ZooKeeper ensemble: an ephemeral znode that stands while the node serves. It
-// runs beside the service and never in its way: an ensemble that is lost, slow or full costs the znode alone.
+// Package zk registers a node in a ZooKeeper ensemble with an ephemeral znode that exists while the node serves.
+// Package membership decides what to do with the znode, and this package carries it out. It never blocks the node's
+// service: if the ensemble is unreachable, slow or full, only the znode is missing.
 package zk
 
 import (
@@ -15,36 +16,42 @@
 	"whinrudder/internal/membership"
 )
 
-// maxPacket bounds what is read from the ensemble at a time.
-const maxPacket = 64 << 10
+// maxPacketBytes is the maximum size of a packet from the ensemble.
+const maxPacketBytes = 64 << 10
 
-// Registration is one znode. Create it with Register.
+// Registration keeps one znode. Create it with Register.
 type Registration struct {
-	conn  *zk.Conn
-	path  string
-	auth  []byte // for the ensemble; nil: none
-	known bool   // the ensemble has it; of the goroutine of the steps
-	log   eventlog.Log
-	nudge chan struct{}
-	over  chan struct{} // closed at the end
-	ready chan struct{} // closed once conn is set
+	conn     *zk.Conn
+	path     string
+	auth     []byte // credentials; nil: none
+	authSent bool   // the library has the credentials; used only by the goroutine of run
+	log      eventlog.Log
+	wake     chan struct{} // makes run ask the machine for its next step
+	closed   chan struct{} // closed when the session is closed at the end
+	ready    chan struct{} // closed once conn is set
 
-	mu      sync.Mutex // of all below
+	mu      sync.Mutex // guards the fields below
 	machine *membership.Machine
-	phase   membership.Phase // as it was logged last
+	phase   membership.Phase // the phase that run saw last
 }
 
-func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
+// nowMs returns the present time in Unix milliseconds.
+func nowMs() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-func at(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
+// timeAt converts Unix milliseconds to a time.
+func timeAt(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
 
-// Register makes the znode parent/name with the entry, and again after each expiry of its session or if somebody
-// removes it, with the credentials that ReadAuth returns. It returns at once. The ensemble removes the znode sessionMs after it heard of the node last.
-func Register(servers []string, sessionMs float64, parent string, self membership.Entry, auth []byte, log eventlog.Log) *Registration {
-	r := &Registration{path: parent + "/" + self.Name, auth: auth, log: log, nudge: make(chan struct{}, 1), over: make(chan struct{}), ready: make(chan struct{}),
+// Register creates the znode parent/name with the entry, and creates it again whenever its session expires or somebody
+// removes it. Auth are the credentials that ReadAuth returned. It returns at once and works in the background. The
+// ensemble removes the znode sessionMs after it last heard from the node.
+func Register(servers []string, sessionMs float64, parent string, self membership.Entry, auth []byte,
+	log eventlog.Log) *Registration {
+	r := &Registration{path: parent + "/" + self.Name, auth: auth, log: log, wake: make(chan struct{}, 1),
+		closed: make(chan struct{}), ready: make(chan struct{}),
 		machine: membership.New(self, sessionMs, rand.Uint64())}
 	conn, _, err := zk.Connect(servers, time.Duration(sessionMs*float64(time.Millisecond)), zk.WithLogInfo(false),
-		zk.WithLogger(quiet{}), zk.WithMaxBufferSize(maxPacket), zk.WithEventCallback(r.event), zk.WithDialer(r.dial))
+		zk.WithLogger(noLog{}), zk.WithMaxBufferSize(maxPacketBytes), zk.WithEventCallback(r.event),
+		zk.WithDialer(r.dial))
 	if err != nil {
 		log("zk", "path", r.path, "code", "off", "error", err)
 		return r
@@ -55,162 +62,164 @@
 	return r
 }
 
-// tell tells the machine something, and lets the goroutine of the steps look again.
-func (r *Registration) tell(what func(m *membership.Machine, now float64)) {
+// update passes an event to the machine and wakes run.
+func (r *Registration) update(event func(m *membership.Machine, now float64)) {
 	r.mu.Lock()
-	what(r.machine, now())
+	event(r.machine, nowMs())
 	r.mu.Unlock()
 	select {
-	case r.nudge <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SetDraining marks the node as draining, or takes that back.
+// SetDraining marks the entry as draining, or removes the mark.
 func (r *Registration) SetDraining(on bool) {
-	r.tell(func(m *membership.Machine, now float64) { m.Drain(now, on) })
+	r.update(func(m *membership.Machine, now float64) { m.Drain(now, on) })
 }
 
-// Remove marks the node as draining and removes the znode at an absolute time, in Unix milliseconds. It returns at once. Where the
-// ensemble does not answer, the connection is given up leaveFor later.
-func (r *Registration) Remove(by float64) {
-	if r.conn != nil { // a step that is out may wait for longer
-		time.AfterFunc(time.Until(at(by+leaveFor)), r.conn.Close)
+// Remove marks the entry as draining and removes the znode at the time removeAt, in Unix milliseconds. It returns at
+// once. If the ensemble does not answer, the connection is closed removalTimeoutMs after that time.
+func (r *Registration) Remove(removeAt float64) {
+	if r.conn != nil { // a step in progress may wait for longer
+		time.AfterFunc(time.Until(timeAt(removeAt+removalTimeoutMs)), r.conn.Close)
 	}
-	r.tell(func(m *membership.Machine, now float64) { m.Leave(now, by) })
+	r.update(func(m *membership.Machine, now float64) { m.Leave(now, removeAt) })
 }
 
-// leaveFor is how long the removal may take, in milliseconds.
-const leaveFor = 500
+// removalTimeoutMs is how long the removal of the znode may take.
+const removalTimeoutMs = 500
 
-// SetYielded leaves the znode to another process of the same node, or takes it back. The session goes on: it keeps no znode
-// that the other has made its own.
+// SetYielded leaves the znode to another process of the same node, or takes it back. The session goes on. It does not
+// keep the znode alive once the other process has replaced it with its own.
 func (r *Registration) SetYielded(on bool) {
-	r.tell(func(m *membership.Machine, now float64) { m.Yield(now, on) })
+	r.update(func(m *membership.Machine, now float64) { m.Yield(now, on) })
 }
 
-// quiet drops the library's remarks: what matters is told by events.
-type quiet struct{}
+// noLog discards the log of the library. What matters is logged from its events.
+type noLog struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (noLog) Printf(string, ...any) {}
 
-// event notes what happens to the session. It is called by the library and must not wait.
+// event passes an event of the session to the machine. The library calls it, and it must not block.
 func (r *Registration) event(e zk.Event) {
 	switch {
 	case e.Type == zk.EventSession && e.State == zk.StateExpired:
 		r.log("zk", "path", r.path, "code", "expired")
-		r.tell((*membership.Machine).ConnectionClosed)
+		r.update((*membership.Machine).ConnectionClosed)
 	case e.Type == zk.EventSession && e.State == zk.StateDisconnected:
 		r.log("zk", "path", r.path, "code", "disconnected")
-		r.tell((*membership.Machine).ConnectionClosed)
+		r.update((*membership.Machine).ConnectionClosed)
 	case e.Type == zk.EventSession && e.State == zk.StateHasSession:
-		r.tell(func(m *membership.Machine, now float64) { m.SessionOpened(now, r.conn.SessionID()) })
+		r.update(func(m *membership.Machine, now float64) { m.SessionOpened(now, r.conn.SessionID()) })
 	case e.Type == zk.EventNodeDeleted, e.Type == zk.EventNodeDataChanged:
-		r.tell((*membership.Machine).EntryChanged)
+		r.update((*membership.Machine).EntryChanged)
 	}
 }
 
-// dial waits until the machine lets a connection be tried, and tries it. It is called by the library.
-func (r *Registration) dial(network, addr string, wait time.Duration) (net.Conn, error) {
-	<-r.ready // no session, and so no event that needs conn, before this
+// dial waits until the machine permits the next connection, and connects. The library calls it.
+func (r *Registration) dial(network, addr string, timeout time.Duration) (net.Conn, error) {
+	<-r.ready // there must be no session before conn is set: event uses conn
 	r.mu.Lock()
-	when := r.machine.DialAt(now())
+	dialAt := r.machine.DialAt(nowMs())
 	r.mu.Unlock()
-	t := time.NewTimer(time.Until(at(when)))
+	t := time.NewTimer(time.Until(timeAt(dialAt)))
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-r.over:
+	case <-r.closed:
 		return nil, net.ErrClosed
 	}
-	d := net.Dialer{Deadline: time.Now().Add(wait)}
+	d := net.Dialer{Deadline: time.Now().Add(timeout)}
 	c, err := d.Dial(network, addr)
 	if err != nil {
-		r.tell((*membership.Machine).ConnectionClosed)
+		r.update((*membership.Machine).ConnectionClosed)
 		return nil, err
 	}
-	return &bounded{Conn: c}, nil
+	return &boundedConn{Conn: c}, nil
 }
 
-// bounded is a connection whose first frame is within maxPacket: the library trusts the length that it names.
-type bounded struct {
+// boundedConn is a connection that fails if its first packet is longer than maxPacketBytes: the library allocates as
+// much as the length field of the first packet says.
+type boundedConn struct {
 	net.Conn
-	size uint32
-	seen int
+	size uint32 // length of the first packet, as far as it was read
+	seen int    // bytes of the length field that were read
 }
 
 // Read implements io.Reader.
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *boundedConn) Read(p []byte) (int, error) {
 	n, err := b.Conn.Read(p)
 	for i := 0; i < n && b.seen < 4; i++ {
 		b.size, b.seen = b.size<<8|uint32(p[i]), b.seen+1
 	}
-	if b.seen == 4 && b.size > maxPacket {
-		return 0, errors.New("a frame of an absurd length")
+	if b.seen == 4 && b.size > maxPacketBytes {
+		return 0, errors.New("the first packet of the ensemble exceeds the size limit")
 	}
 	return n, err
 }
 
-// run takes the machine's steps, one at a time.
+// run carries out the steps of the machine, one at a time, until the session is closed.
 func (r *Registration) run() {
-	wait := time.NewTimer(time.Hour)
-	defer wait.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		r.mu.Lock()
-		t := now()
-		s, ok, wake := r.machine.NextStep(t)
-		phase, was := r.machine.Phase(), r.phase
+		now := nowMs()
+		s, ok, wakeAt := r.machine.NextStep(now)
+		phase, previous := r.machine.Phase(), r.phase
 		r.phase = phase
 		r.mu.Unlock()
-		if phase != was && phase == membership.Foreign {
+		if phase != previous && phase == membership.Foreign {
 			r.log("zk", "path", r.path, "code", "foreign")
 		}
 		if ok && s.Action == membership.CloseSession {
-			close(r.over)
+			close(r.closed)
 			r.log("zk", "path", r.path, "code", "left")
 			r.conn.Close()
 			return
 		}
 		if ok {
 			result, err := r.step(s)
-			r.said(s, result, err)
+			r.logStep(s, result, err)
 			r.mu.Lock()
-			r.machine.StepDone(now(), s, result)
+			r.machine.StepDone(nowMs(), s, result)
 			r.mu.Unlock()
 			continue
 		}
-		if wake > 0 {
-			wait.Reset(time.Until(at(wake)))
+		if wakeAt > 0 {
+			timer.Reset(time.Until(timeAt(wakeAt)))
 		} else {
-			wait.Reset(time.Hour)
+			timer.Reset(time.Hour)
 		}
 		select {
-		case <-r.nudge:
-		case <-wait.C:
+		case <-r.wake:
+		case <-timer.C:
 		}
 	}
 }
 
-// words are the codes in the log of steps that were taken.
-var words = map[membership.Action]string{membership.Create: "registered", membership.Replace: "taken", membership.Write: "written",
-	membership.Remove: "removed"}
+// stepCodes are the log codes of the steps that change the znode.
+var stepCodes = map[membership.Action]string{membership.Create: "registered", membership.Replace: "taken",
+	membership.Write: "written", membership.Remove: "removed"}
 
-func (r *Registration) said(s membership.Step, result membership.Result, err error) {
-	switch word := words[s.Action]; {
+// logStep logs the result of a step that changed the znode or failed.
+func (r *Registration) logStep(s membership.Step, result membership.Result, err error) {
+	switch stepCode := stepCodes[s.Action]; {
 	case result.Code == membership.Failed || result.Code == membership.Conflict:
 		r.log("zk", "path", r.path, "code", "failed", "error", err)
-	case result.Code == membership.OK && word != "":
-		r.log("zk", "path", r.path, "code", word, "draining", s.Content.Draining)
+	case result.Code == membership.OK && stepCode != "":
+		r.log("zk", "path", r.path, "code", stepCode, "draining", s.Content.Draining)
 	}
 }
 
 // step carries out one step.
 func (r *Registration) step(s membership.Step) (out membership.Result, err error) {
-	if r.auth != nil && !r.known {
+	if r.auth != nil && !r.authSent {
 		if err := r.conn.AddAuth("digest", r.auth); err != nil {
-			return membership.Result{Code: code(err)}, err
+			return membership.Result{Code: resultCode(err)}, err
 		}
-		r.known = true // the library tells it again on each connection
+		r.authSent = true // the library sends them again on each connection
 	}
 	switch s.Action {
 	case membership.Read:
@@ -221,21 +230,21 @@
 			out.Content, out.Valid = membership.ParseEntry(data)
 		}
 	case membership.Create:
-		err = r.make(s.Content.Append(nil))
+		err = r.create(s.Content.Append(nil))
 	case membership.Replace:
 		_, err = r.conn.Multi(&zk.DeleteRequest{Path: r.path, Version: s.Version},
-			&zk.CreateRequest{Path: r.path, Data: s.Content.Append(nil), Acl: rights(r.auth), Flags: zk.FlagEphemeral})
+			&zk.CreateRequest{Path: r.path, Data: s.Content.Append(nil), Acl: aclFor(r.auth), Flags: zk.FlagEphemeral})
 	case membership.Write:
 		_, err = r.conn.Set(r.path, s.Content.Append(nil), s.Version)
 	case membership.Remove:
 		err = r.conn.Delete(r.path, s.Version)
 	}
-	out.Code = code(err)
+	out.Code = resultCode(err)
 	return out, err
 }
 
-// code tells what an answer of the ensemble means to the machine.
-func code(err error) membership.Code {
+// resultCode translates an error of the library to a code for the machine.
+func resultCode(err error) membership.Code {
 	switch {
 	case err == nil:
 		return membership.OK
@@ -250,9 +259,9 @@
 	return membership.Failed
 }
 
-// make makes the znode, and its parents, which last.
-func (r *Registration) make(data []byte) error {
-	acl := rights(r.auth)
+// create creates the znode, and its missing parents, which are persistent.
+func (r *Registration) create(data []byte) error {
+	acl := aclFor(r.auth)
 	for i := 1; i < len(r.path); i++ {
 		if r.path[i] != '/' {
 			continue
@@ -265,44 +274,45 @@
 	return err
 }
 
-// maxFound bounds the znodes that ReadChildren reads.
-const maxFound = 64
+// maxChildren is the maximum number of znodes that ReadChildren reads.
+const maxChildren = 64
 
-// ReadChildren returns the data of the znodes under a parent, at most maxFound of them, each as it stands. It ends by an absolute
-// time in Unix milliseconds, with what it has read by then.
-func ReadChildren(servers []string, sessionMs float64, parent string, by float64) ([][]byte, error) {
+// ReadChildren returns the data of at most maxChildren znodes under parent, without checking it. It returns an error if
+// the ensemble has not answered at the deadline, in Unix milliseconds. On other errors it also returns what it has
+// read.
+func ReadChildren(servers []string, sessionMs float64, parent string, deadline float64) ([][]byte, error) {
 	conn, _, err := zk.Connect(servers, time.Duration(sessionMs*float64(time.Millisecond)), zk.WithLogInfo(false),
-		zk.WithLogger(quiet{}), zk.WithMaxBufferSize(maxPacket))
+		zk.WithLogger(noLog{}), zk.WithMaxBufferSize(maxPacketBytes))
 	if err != nil {
 		return nil, err
 	}
-	type answer struct {
+	type result struct {
 		data [][]byte
 		err  error
 	}
-	done := make(chan answer, 1)
+	done := make(chan result, 1)
 	go func() {
-		var a answer
+		var found result
 		names, _, err := conn.Children(parent)
-		a.err = err
-		for _, n := range names[:min(len(names), maxFound)] {
+		found.err = err
+		for _, n := range names[:min(len(names), maxChildren)] {
 			if data, _, err := conn.Get(parent + "/" + n); err == nil {
-				a.data = append(a.data, data)
+				found.data = append(found.data, data)
 			} else if !errors.Is(err, zk.ErrNoNode) {
-				a.err = err
+				found.err = err
 				break
 			}
 		}
-		done <- a
+		done <- found
 	}()
 	defer conn.Close()
 	select {
-	case a := <-done:
-		if errors.Is(a.err, zk.ErrNoNode) {
-			a.err = nil // nobody has registered yet
+	case found := <-done:
+		if errors.Is(found.err, zk.ErrNoNode) {
+			found.err = nil // no node has registered yet
 		}
-		return a.data, a.err
-	case <-time.After(time.Until(time.UnixMicro(int64(by * 1e3)))):
-		return nil, errors.New("the ensemble did not answer in time")
+		return found.data, found.err
+	case <-time.After(time.Until(time.UnixMicro(int64(deadline * 1e3)))):
+		return nil, errors.New("the ensemble did not answer before the deadline")
 	}
 }
--- a/internal/zk/zk_test.go
+++ b/internal/zk/zk_test.go
@@ -11,58 +11,59 @@
 	"whinrudder/internal/membership"
 )
 
-// A step that waits for an ensemble which fell silent must not hold up the end: the connection is given up in time, also where the
-// notice to leave came after the step had begun.
-func TestSilenceDoesNotHoldUpTheEnd(t *testing.T) {
+// An ensemble that stops answering must not delay the shutdown: Remove closes the connection in time, also if a step
+// was already waiting for an answer when Remove was called.
+func TestSilentEnsembleDoesNotDelayRemoval(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	asked := make(chan struct{})
+	requested := make(chan struct{})
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
 		defer c.Close()
-		c.Read(make([]byte, 256))                   // the opening of a session, which is granted:
-		b := binary.BigEndian.AppendUint32(nil, 36) // a frame of version, time, session and password
-		b = binary.BigEndian.AppendUint64(b, 60000) // version 0, milliseconds
-		b = binary.BigEndian.AppendUint64(b, 101)   // session
+		c.Read(make([]byte, 256))                   // the request for a session, which is granted
+		b := binary.BigEndian.AppendUint32(nil, 36) // length of the answer: version, timeout, session and password
+		b = binary.BigEndian.AppendUint64(b, 60000) // version 0, timeout in milliseconds
+		b = binary.BigEndian.AppendUint64(b, 101)   // session ID
 		b = binary.BigEndian.AppendUint32(b, 16)    // length of the password
-		c.Write(append(b, make([]byte, 16)...))     // and no word more
+		c.Write(append(b, make([]byte, 16)...))     // after this the ensemble sends nothing
 		c.Read(make([]byte, 256))
-		close(asked)
+		close(requested)
 		io.Copy(io.Discard, c)
 	}()
-	lines := make(chan string, 64)
-	r := Register([]string{l.Addr().String()}, 60000, "/nodes", membership.Entry{Name: "n1"}, nil, func(_ string, pairs ...any) {
-		lines <- pairs[3].(string)
-	})
-	<-asked
-	r.Remove(now())
+	codes := make(chan string, 64)
+	r := Register([]string{l.Addr().String()}, 60000, "/nodes", membership.Entry{Name: "n1"}, nil,
+		func(_ string, pairs ...any) {
+			codes <- pairs[3].(string)
+		})
+	<-requested
+	r.Remove(nowMs())
 	for {
 		select {
-		case line := <-lines:
-			if line == "left" {
+		case code := <-codes:
+			if code == "left" {
 				return
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("did not leave")
+			t.Fatal("the session is not closed 10 s after Remove")
 		}
 	}
 }
 
-// An ensemble that answers with a frame of an absurd length costs its connection: the library would make room for 2 GB. The node
-// says what it lost, tries again later, and leaves in time.
-func TestAbsurdLengthCostsTheConnection(t *testing.T) {
+// An ensemble that announces an overlong packet loses its connection: the library would allocate 2 GB for it. After
+// that the session can still be closed in time.
+func TestOverlongPacketClosesTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	cut := make(chan error, 1)
+	closed := make(chan error, 1)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -72,32 +73,33 @@
 		c.Write(binary.BigEndian.AppendUint32(nil, 0x7ffffff0))
 		_, err = io.Copy(io.Discard, c) // until the other side ends the connection
 		select {
-		case cut <- err:
+		case closed <- err:
 		default:
 		}
 	}()
-	lines := make(chan string, 64)
-	r := Register([]string{l.Addr().String()}, 1000, "/nodes", membership.Entry{Name: "n1"}, nil, func(_ string, pairs ...any) {
-		select {
-		case lines <- pairs[3].(string):
-		default:
-		}
-	})
+	codes := make(chan string, 64)
+	r := Register([]string{l.Addr().String()}, 1000, "/nodes", membership.Entry{Name: "n1"}, nil,
+		func(_ string, pairs ...any) {
+			select {
+			case codes <- pairs[3].(string):
+			default:
+			}
+		})
 	select {
-	case <-cut:
+	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection stands, waiting for 2 GB")
+		t.Fatal("the connection is still open 10 s after the announcement of 2 GB")
 	}
-	r.Remove(now())
-	for said := ""; ; {
+	r.Remove(nowMs())
+	for seen := ""; ; {
 		select {
-		case line := <-lines:
-			said += line + " "
-			if line == "left" {
+		case code := <-codes:
+			seen += code + " "
+			if code == "left" {
 				return
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("did not leave: %s", strings.TrimSpace(said))
+			t.Fatalf("the session is not closed 10 s after Remove; codes in the log: %s", strings.TrimSpace(seen))
 		}
 	}
 }
