--- a/internal/peertls/authority.go
+++ b/internal/peertls/authority.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// Authority is a small authority for trying things out. Its key is kept nowhere: what it has not signed by the end of
-// the command it never will.
+// Authority is a certificate authority for tests and trials. Its private key is never stored, so that it can issue
+// certificates only while the process runs.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that is good from one time to another.
+// NewAuthority creates an authority whose certificate is valid between two times.
 func NewAuthority(from, to time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -37,12 +37,14 @@
 	return &Authority{cert, key}, err
 }
 
+// template returns a certificate template with a random serial number.
 func template(name string, from, to time.Time) *x509.Certificate {
 	serial, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	return &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: from, NotAfter: to}
 }
 
-// Issue writes a certificate for a name and its key as FILE.pem and FILE.key, and the authority's as authority.pem.
+// Issue writes a certificate for the DNS name and its private key as FILE.pem and FILE.key in dir, and the authority's
+// certificate as authority.pem.
 func (a *Authority) Issue(dir, file, name string, from, to time.Time) (Files, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -55,15 +57,16 @@
 	if err != nil {
 		return Files{}, err
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	privateKey, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return Files{}, err
 	}
-	f := Files{filepath.Join(dir, file+".pem"), filepath.Join(dir, file+".key"), filepath.Join(dir, "authority.pem"), name}
+	f := Files{filepath.Join(dir, file+".pem"), filepath.Join(dir, file+".key"),
+		filepath.Join(dir, "authority.pem"), name}
 	for _, p := range []struct {
 		path, kind string
 		der        []byte
-	}{{f.Cert, "CERTIFICATE", der}, {f.Key, "PRIVATE KEY", secret}, {f.Authority, "CERTIFICATE", a.cert.Raw}} {
+	}{{f.Cert, "CERTIFICATE", der}, {f.Key, "PRIVATE KEY", privateKey}, {f.Authority, "CERTIFICATE", a.cert.Raw}} {
 		if err := os.WriteFile(p.path, pem.EncodeToMemory(&pem.Block{Type: p.kind, Bytes: p.der}), 0o600); err != nil {
 			return Files{}, err
 		}
@@ -71,7 +74,8 @@
 	return f, nil
 }
 
-// GenerateFiles makes an authority in a folder, and a certificate for each node, all good for so many days.
+// GenerateFiles creates an authority and writes a certificate for each node to dir. All are valid for a number of days
+// and have the same DNS name.
 func GenerateFiles(dir string, nodes []string, name string, days int) error {
 	if len(nodes) == 0 || days < 1 || days > 3650 {
 		return fmt.Errorf("keys: want at least one node and 1 to 3650 days, got %d nodes, %d days", len(nodes), days)
@@ -87,7 +91,7 @@
 	}
 	for _, n := range nodes {
 		if n != filepath.Base(n) || n == "authority" || n == "." {
-			return fmt.Errorf("keys: %q is no name for a node's files", n)
+			return fmt.Errorf("keys: %q can't be the name of a node's files", n)
 		}
 		if _, err := a.Issue(dir, n, name, from, to); err != nil {
 			return err
