--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,7 +1,7 @@
-// Package warmup drives what a node learns from other nodes and gives to them: the peer port, the connections to
-// donors and the snapshot. It decides nothing: whom to take from is peer.SourceSelection's, what giving may cost peer.Budget's,
-// what the donors say together knowledge.Merge's, and what of it holds knowledge.PriorValidator's in the core.
-// It never keeps the node from being ready.
+// Package warmup does the I/O of the exchange of learned state between nodes: the peer port, the connections to sources
+// and the snapshot. The decisions are made elsewhere: peer.SourceSelection selects the sources, peer.Budget limits what
+// serving receivers may cost, knowledge.Merge combines the reports of several sources to a prior, and the core checks
+// that prior with knowledge.PriorValidator. A node never waits for this package before it is ready.
 package warmup
 
 import (
@@ -23,67 +23,73 @@
 	"whinrudder/internal/settings"
 )
 
-// Times in milliseconds.
+// Time limits.
 const (
-	askFor   = 1000 // the core has told what it knows by then, or the taker is put off
-	freshFor = 250  // what the core told serves all takers for so long
-	dialFor  = 1000 // a donor that is not connected and welcoming by then has failed
+	queryTimeoutMs   = 1000 // if the core does not answer a query within this time, the receiver is asked to retry
+	reportTTLMs      = 250  // an answer of the core is reused for all receivers during this time
+	connectTimeoutMs = 1000 // a source that has not sent its welcome within this time has failed
 )
 
-// maxTakers bounds the connections of takers at a time, those that are put off included.
-const maxTakers = 32
+// maxReceivers limits the concurrent connections of receivers, including those that are asked to retry.
+const maxReceivers = 32
 
-// Host is what the node is to this package.
+// Host is the interface of this package to its node.
 type Host struct {
 	Name string
-	// CurrentSettings returns the present settings and the names of the classes, by their places; a place whose class is no more
-	// has no name.
+	// CurrentSettings returns the present settings and the names of the classes by class index. An index whose class
+	// was removed has an empty name.
 	CurrentSettings func() (names []string, s whinrudder.Settings)
-	Seed            uint64
-	Submit          func(core.Input) // hands something to the core; must not be called from the core
+	Seed            uint64           // seed of the order in which sources are asked
+	Submit          func(core.Input) // passes an input to the core; must not be called from the core
 	Log             eventlog.Log
-	PendingRequests func() int                              // requests that are owed an answer
-	Listen          func(addr string) (net.Listener, error) // of the peer port; nil: the usual
-	DiscoverSources func(by float64) ([]string, error)      // addresses of donors among the znodes; nil without an ensemble
+	PendingRequests func() int                              // returns the number of requests that are not answered yet
+	Listen          func(addr string) (net.Listener, error) // opens the peer port; nil: net.Listen
+	// DiscoverSources returns the addresses of sources from the znodes, until an absolute time in Unix milliseconds. It
+	// is nil without an ensemble.
+	DiscoverSources func(deadline float64) ([]string, error)
 }
 
-// WarmUp is this part of one node. Create it with Start.
+// WarmUp exchanges learned state with other nodes on behalf of one node. Create it with Start.
 type WarmUp struct {
-	h     Host
-	cfg   settings.PeerConfig
-	ring  *peertls.Credentials // nil where peers are met in plain text
-	l     net.Listener
-	over  chan struct{} // closed by EndShutdown
-	stop  chan struct{} // closed by BeginShutdown: nothing more is taken
-	write chan struct{} // a snapshot is wanted now
-	wait  sync.WaitGroup
-	ask   sync.Mutex // held while the core is asked: what it tells serves all that wait
+	host        Host
+	cfg         settings.PeerConfig
+	credentials *peertls.Credentials // nil: connections without TLS
+	listener    net.Listener         // the peer port; nil: none
+	ended       chan struct{}        // closed by EndShutdown
+	stopFetch   chan struct{}        // closed by BeginShutdown: fetching stops
+	writeNow    chan struct{}        // requests the last snapshot
+	goroutines  sync.WaitGroup
+	queryMu     sync.Mutex // held during a query of the core, so that its answer serves all callers that wait
 
-	mu       sync.Mutex // of all below
-	budget   *peer.Budget
-	takers   map[net.Conn]bool
-	ready    float64 // when service began; 0: not yet
-	warmAt   float64 // when the worker pool is warm at the latest
-	leaving  bool
-	ended    bool
-	report   knowledge.Report
-	reportAt float64 // when the core told it; 0: never
+	mu        sync.Mutex // guards the fields below
+	budget    *peer.Budget
+	receivers map[net.Conn]bool // open connections of receivers
+	readyAt   float64           // when service began; 0: not yet
+	warmAt    float64           // when the worker pool is warm at the latest
+	draining  bool              // set by BeginShutdown
+	shutDown  bool              // set by EndShutdown
+	report    knowledge.Report  // last answer of the core
+	reportAt  float64           // time of that answer; 0: none yet
 }
 
-func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
+// nowMs returns the present time in Unix milliseconds.
+func nowMs() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-func at(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
+// timeAt converts Unix milliseconds to a time.
+func timeAt(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
 
-// Start opens the peer port and begins to ask donors. An error means that nothing was started.
+// Start opens the peer port and starts to fetch from sources. On an error nothing was started.
 func Start(h Host, cfg settings.PeerConfig) (*WarmUp, error) {
-	w := &WarmUp{h: h, cfg: cfg, over: make(chan struct{}), stop: make(chan struct{}), write: make(chan struct{}, 1),
-		budget: peer.NewBudget(now()), takers: map[net.Conn]bool{}}
+	w := &WarmUp{host: h, cfg: cfg, ended: make(chan struct{}), stopFetch: make(chan struct{}),
+		writeNow: make(chan struct{}, 1), budget: peer.NewBudget(nowMs()),
+		receivers: map[net.Conn]bool{}}
 	if cfg.CertFile != "" {
-		ring, err := peertls.Load(peertls.Files{Cert: cfg.CertFile, Key: cfg.KeyFile, Authority: cfg.AuthorityFile, PeerName: cfg.PeerName})
+		credentials, err := peertls.Load(peertls.Files{Cert: cfg.CertFile, Key: cfg.KeyFile,
+			Authority: cfg.AuthorityFile, PeerName: cfg.PeerName})
 		if err != nil {
 			return nil, err
 		}
-		w.ring = ring
+		w.credentials = credentials
 	}
 	if cfg.Listen != "" {
 		listen := h.Listen
@@ -94,166 +100,170 @@
 		if err != nil {
 			return nil, err
 		}
-		w.l = l
-		h.Log("peer", "side", "give", "code", "listen", "listen", l.Addr(), "tls", w.ring != nil)
-		w.wait.Go(w.accept)
+		w.listener = l
+		h.Log("peer", "side", "give", "code", "listen", "listen", l.Addr(), "tls", w.credentials != nil)
+		w.goroutines.Go(w.accept)
 	}
-	w.wait.Go(w.learn)
+	w.goroutines.Go(w.fetchPrior)
 	if cfg.SnapshotFile != "" {
-		w.wait.Go(w.snapshots)
+		w.goroutines.Go(w.writeSnapshots)
 	}
 	return w, nil
 }
 
-// Addr returns the address of the peer port, or an empty one.
+// Addr returns the address of the peer port, or an empty string if there is none.
 func (w *WarmUp) Addr() string {
-	if w.l == nil {
+	if w.listener == nil {
 		return ""
 	}
-	return w.l.Addr().String()
+	return w.listener.Addr().String()
 }
 
-// Ready notes that the worker pool is up.
+// Ready records that the worker pool is up. A cold pool counts as warm after the ramp time of the settings.
 func (w *WarmUp) Ready(cold bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ready = now()
-	w.warmAt = w.ready
+	w.readyAt = nowMs()
+	w.warmAt = w.readyAt
 	if cold {
-		_, s := w.h.CurrentSettings()
+		_, s := w.host.CurrentSettings()
 		w.warmAt += s.Rules.RampTime
 	}
 }
 
-// Reload reads the keys again. Transfers under way go on with the old ones.
+// Reload reads the TLS files again. Transfers in progress go on with the old ones.
 func (w *WarmUp) Reload() {
-	if w.ring == nil {
+	if w.credentials == nil {
 		return
 	}
-	if err := w.ring.Reload(); err != nil {
-		w.h.Log("peer", "code", "keys-faulty", "error", err)
+	if err := w.credentials.Reload(); err != nil {
+		w.host.Log("peer", "code", "keys-faulty", "error", err)
 		return
 	}
-	w.h.Log("peer", "code", "keys-read")
+	w.host.Log("peer", "code", "keys-read")
 }
 
-// BeginShutdown ends all taking, and tells takers from now on that this node drains. What it knows is kept once more.
+// BeginShutdown stops fetching, requests a last snapshot, and from now on refuses receivers because the node is
+// draining.
 func (w *WarmUp) BeginShutdown() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.leaving {
+	if w.draining {
 		return
 	}
-	w.leaving = true
-	close(w.stop)
+	w.draining = true
+	close(w.stopFetch)
 	select {
-	case w.write <- struct{}{}:
+	case w.writeNow <- struct{}{}:
 	default:
 	}
 }
 
-// EndShutdown closes what is open and waits for the lines that connections leave, until an absolute time.
-func (w *WarmUp) EndShutdown(by float64) {
+// EndShutdown closes the peer port and all connections, and waits until their ends are logged, at most until deadline,
+// an absolute time in Unix milliseconds.
+func (w *WarmUp) EndShutdown(deadline float64) {
 	w.BeginShutdown()
 	w.mu.Lock()
-	if w.ended {
+	if w.shutDown {
 		w.mu.Unlock()
 		return
 	}
-	w.ended = true
-	close(w.over)
-	if w.l != nil {
-		w.l.Close()
+	w.shutDown = true
+	close(w.ended)
+	if w.listener != nil {
+		w.listener.Close()
 	}
-	for c := range w.takers {
-		c.SetDeadline(at(1))
+	for c := range w.receivers {
+		c.SetDeadline(timeAt(1))
 	}
 	w.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		w.wait.Wait()
+		w.goroutines.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
-	case <-time.After(time.Until(at(by))):
+	case <-time.After(time.Until(timeAt(deadline))):
 	}
 }
 
-// known returns what this node would give now. The core is asked at most every freshFor, so that many takers at once
-// cost it one export.
-func (w *WarmUp) known() (r knowledge.Report, ok bool) {
-	w.ask.Lock()
-	defer w.ask.Unlock()
+// currentReport returns the present knowledge of this node. It queries the core at most once per reportTTLMs, so that
+// many concurrent receivers cost the core one export.
+func (w *WarmUp) currentReport() (r knowledge.Report, ok bool) {
+	w.queryMu.Lock()
+	defer w.queryMu.Unlock()
 	w.mu.Lock()
-	t := now()
-	if w.reportAt > 0 && t < w.reportAt+freshFor {
-		r = w.report.AgedBy(t - w.reportAt)
+	now := nowMs()
+	if w.reportAt > 0 && now < w.reportAt+reportTTLMs {
+		r = w.report.AgedBy(now - w.reportAt)
 		w.mu.Unlock()
-		return w.dress(r), true
+		return w.withNodeState(r), true
 	}
 	w.mu.Unlock()
-	type told struct {
+	type answer struct {
 		k     whinrudder.Knowledge
 		known bool
 	}
-	heard := make(chan told, 1)
-	go w.h.Submit(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, known bool) { heard <- told{k, known} }})
+	answers := make(chan answer, 1)
+	go w.host.Submit(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, known bool) {
+		answers <- answer{k, known}
+	}})
 	select {
-	case a := <-heard:
+	case a := <-answers:
 		if !a.known {
 			return r, false
 		}
-		names, _ := w.h.CurrentSettings()
+		names, _ := w.host.CurrentSettings()
 		r = knowledge.NewReport(names, a.k)
-	case <-time.After(time.Until(at(t + askFor))):
+	case <-time.After(time.Until(timeAt(now + queryTimeoutMs))):
 		return r, false
-	case <-w.over:
+	case <-w.ended:
 		return r, false
 	}
 	w.mu.Lock()
-	w.report, w.reportAt = r, now()
+	w.report, w.reportAt = r, nowMs()
 	w.mu.Unlock()
-	return w.dress(r), true
+	return w.withNodeState(r), true
 }
 
-// dress adds to a report what it says of the node.
-func (w *WarmUp) dress(r knowledge.Report) knowledge.Report {
+// withNodeState returns a report with the name, cores, uptime and state of this node filled in.
+func (w *WarmUp) withNodeState(r knowledge.Report) knowledge.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, s := w.h.CurrentSettings()
-	r.Node, r.Cores, r.Draining = w.h.Name, s.Cores, w.leaving
-	if w.ready > 0 {
-		r.Uptime, r.Warm = now()-w.ready, now() >= w.warmAt
+	_, s := w.host.CurrentSettings()
+	r.Node, r.Cores, r.Draining = w.host.Name, s.Cores, w.draining
+	if w.readyAt > 0 {
+		r.Uptime, r.Warm = nowMs()-w.readyAt, nowMs() >= w.warmAt
 	}
 	return r
 }
 
-// full tells whether the node is at its limit, by the present report.
-func (w *WarmUp) full() bool {
+// atLimit reports whether the node has as many pending requests as the concurrency limit of its last report allows.
+func (w *WarmUp) atLimit() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, s := w.h.CurrentSettings()
+	_, s := w.host.CurrentSettings()
 	limit := w.report.Limit.Value * float64(s.Cores)
-	return w.reportAt > 0 && limit > 0 && float64(w.h.PendingRequests()) >= limit
+	return w.reportAt > 0 && limit > 0 && float64(w.host.PendingRequests()) >= limit
 }
 
-// snapshots writes what the node knows to its file, now and then and once when it leaves.
-func (w *WarmUp) snapshots() {
+// writeSnapshots writes the knowledge of the node to the snapshot file periodically and once at the shutdown.
+func (w *WarmUp) writeSnapshots() {
 	for {
 		last := false
 		select {
-		case <-w.over:
+		case <-w.ended:
 			return
-		case <-w.write:
+		case <-w.writeNow:
 			last = true
-		case <-time.After(time.Until(at(now() + w.cfg.SnapshotIntervalMs))):
+		case <-time.After(time.Until(timeAt(nowMs() + w.cfg.SnapshotIntervalMs))):
 		}
-		if r, ok := w.known(); ok && r.Runs() > 0 {
-			if err := renameio.WriteFile(w.cfg.SnapshotFile, peer.AppendSnapshot(nil, r, now()), 0o600); err != nil {
-				w.h.Log("peer", "side", "snapshot", "code", "write-failed", "error", err)
+		if r, ok := w.currentReport(); ok && r.Runs() > 0 {
+			if err := renameio.WriteFile(w.cfg.SnapshotFile, peer.AppendSnapshot(nil, r, nowMs()), 0o600); err != nil {
+				w.host.Log("peer", "side", "snapshot", "code", "write-failed", "error", err)
 			} else if last {
-				w.h.Log("peer", "side", "snapshot", "code", "written", "runs", r.Runs())
+				w.host.Log("peer", "side", "snapshot", "code", "written", "runs", r.Runs())
 			}
 		}
 		if last {
@@ -262,63 +272,64 @@
 	}
 }
 
-// former reads what an earlier life of this node left.
-func (w *WarmUp) former() (out []knowledge.Report) {
+// readSnapshot returns the report in the snapshot file that an earlier process of this node wrote, if there is one.
+func (w *WarmUp) readSnapshot() (out []knowledge.Report) {
 	if w.cfg.SnapshotFile == "" {
 		return nil
 	}
 	text, err := readFile(w.cfg.SnapshotFile)
 	if os.IsNotExist(err) {
-		w.h.Log("peer", "side", "snapshot", "code", "none")
+		w.host.Log("peer", "side", "snapshot", "code", "none")
 		return nil
 	}
 	if err != nil {
-		w.h.Log("peer", "side", "snapshot", "code", "unread", "error", err)
+		w.host.Log("peer", "side", "snapshot", "code", "unread", "error", err)
 		return nil
 	}
-	r, bad := peer.ReadSnapshot(text, w.h.Name, now())
-	if bad != nil {
-		w.h.Log("peer", "side", "snapshot", "code", bad.Code, "error", bad.Text)
+	r, fault := peer.ReadSnapshot(text, w.host.Name, nowMs())
+	if fault != nil {
+		w.host.Log("peer", "side", "snapshot", "code", fault.Code, "error", fault.Text)
 		return nil
 	}
-	w.h.Log("peer", "side", "snapshot", "code", "read", "runs", r.Runs())
+	w.host.Log("peer", "side", "snapshot", "code", "read", "runs", r.Runs())
 	return []knowledge.Report{r}
 }
 
-// maxSnapshot is the most that a file of this format can hold.
-const maxSnapshot = (peer.MaxSections + 3) * (peer.MaxPayloadBytes + 16)
+// maxSnapshotBytes is the maximum size of a snapshot file: its format limits the number and the size of the frames.
+const maxSnapshotBytes = (peer.MaxSections + 3) * (peer.MaxPayloadBytes + 16)
 
+// readFile reads a regular file of at most maxSnapshotBytes.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > maxSnapshot {
-		return nil, fmt.Errorf("%s is no plain file of at most %d bytes", path, maxSnapshot)
+	if !info.Mode().IsRegular() || info.Size() > maxSnapshotBytes {
+		return nil, fmt.Errorf("%s is not a regular file of at most %d bytes", path, maxSnapshotBytes)
 	}
 	return os.ReadFile(path)
 }
 
-// trust is how far others are believed.
-func (w *WarmUp) trust() knowledge.TrustParams {
+// trustParams returns the default parameters with the half-life and the maximum age that the operator set.
+func (w *WarmUp) trustParams() knowledge.TrustParams {
 	t := knowledge.DefaultTrustParams
 	t.HalfLife, t.MaxAge = w.cfg.HalfLifeMs, w.cfg.MaxAgeMs
 	return t
 }
 
-// teach merges reports and hands the prior to the core.
-func (w *WarmUp) teach(reports []knowledge.Report) {
+// submitPrior merges reports to a prior and passes it to the core.
+func (w *WarmUp) submitPrior(reports []knowledge.Report) {
 	if len(reports) == 0 {
 		return
 	}
-	names, s := w.h.CurrentSettings()
-	prior, remarks := knowledge.Merge(w.trust(), knowledge.Recipient{ClassNames: names, Settings: s}, reports)
+	names, s := w.host.CurrentSettings()
+	prior, remarks := knowledge.Merge(w.trustParams(), knowledge.Recipient{ClassNames: names, Settings: s}, reports)
 	for _, r := range remarks {
-		w.h.Log("prior", r.Pairs()...)
+		w.host.Log("prior", r.Pairs()...)
 	}
 	if prior.Empty() {
-		w.h.Log("prior", "code", "empty", "donors", strings.Join(prior.Donors, ","))
+		w.host.Log("prior", "code", "empty", "donors", strings.Join(prior.Donors, ","))
 		return
 	}
-	w.h.Submit(core.AdoptPrior{Prior: prior})
+	w.host.Submit(core.AdoptPrior{Prior: prior})
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -26,23 +26,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds each wait. It decides no outcome.
-const patience = 10 * time.Second
+// testTimeout limits each wait. A test that passes does not depend on it.
+const testTimeout = 10 * time.Second
 
-// toy is a node around the part under test: its core knows two classes.
-type toy struct {
-	t      *testing.T
-	w      *WarmUp
-	mu     sync.Mutex
-	lines  []string
-	priors []knowledge.Prior
-	asked  int
-	known  bool
-	inHand int
+// fakeNode is a test double of the node around a WarmUp. Its core has knowledge of two classes.
+type fakeNode struct {
+	t       *testing.T
+	w       *WarmUp
+	mu      sync.Mutex
+	lines   []string          // log
+	priors  []knowledge.Prior // priors that were submitted to the core
+	queries int               // queries of the core's knowledge
+	known   bool              // the core answers that it has knowledge
+	pending int               // pending requests
 }
 
-func node(t *testing.T, name string, cfg settings.PeerConfig) *toy {
-	n := &toy{t: t, known: true}
+// startNode starts a fakeNode with default times where cfg sets none. The node ends with the test.
+func startNode(t *testing.T, name string, cfg settings.PeerConfig) *fakeNode {
+	n := &fakeNode{t: t, known: true}
 	cfg.HalfLifeMs, cfg.MaxAgeMs = 180e3, 900e3
 	if cfg.FetchTimeoutMs == 0 {
 		cfg.FetchTimeoutMs = 5000
@@ -51,7 +52,7 @@
 		cfg.SnapshotIntervalMs = 3600e3
 	}
 	class := whinrudder.Class{Aim: 1000, Deadline: 3000, Repeat: whinrudder.Safe}
-	h := Host{Name: name, Submit: n.tell, Log: n.log, PendingRequests: func() int { return n.inHand },
+	h := Host{Name: name, Submit: n.submit, Log: n.log, PendingRequests: func() int { return n.pending },
 		CurrentSettings: func() ([]string, whinrudder.Settings) {
 			return []string{"status", "book"}, whinrudder.Settings{Cores: 4, Classes: []whinrudder.Class{class, class}}
 		}}
@@ -60,16 +61,16 @@
 		t.Fatal(err)
 	}
 	n.w = w
-	t.Cleanup(func() { w.EndShutdown(now() + 5000) })
+	t.Cleanup(func() { w.EndShutdown(nowMs() + 5000) })
 	return n
 }
 
-func (n *toy) tell(i core.Input) {
+func (n *fakeNode) submit(i core.Input) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch i := i.(type) {
 	case core.QueryKnowledge:
-		n.asked++
+		n.queries++
 		i.Reply(whinrudder.Knowledge{Limit: whinrudder.Estimate{Value: 2, N: 9}, Classes: []whinrudder.ClassKnowledge{
 			{Cost: whinrudder.CostModel{N: 100, Time: 200}}, {Cost: whinrudder.CostModel{N: 50, Time: 300}}}}, n.known)
 	case core.AdoptPrior:
@@ -77,17 +78,17 @@
 	}
 }
 
-func (n *toy) log(word string, pairs ...any) {
+func (n *fakeNode) log(word string, pairs ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	line := strings.TrimSpace(string(eventlog.AppendText(nil, time.Now(), word, pairs)))
 	n.lines = append(n.lines, line[strings.IndexByte(line, ' ')+1:])
 }
 
-// line waits for a line that holds all of some words.
-func (n *toy) line(words ...string) string {
+// waitForLine waits until the log has a line that contains all of the words, and returns it.
+func (n *fakeNode) waitForLine(words ...string) string {
 	n.t.Helper()
-	for late := time.Now().Add(patience); time.Now().Before(late); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		n.mu.Lock()
 		for _, l := range n.lines {
 			all := true
@@ -101,12 +102,12 @@
 		}
 		n.mu.Unlock()
 	}
-	n.t.Fatalf("no line with %q in %q", words, n.lines)
+	n.t.Fatalf("no log line contains all of %q: %q", words, n.lines)
 	return ""
 }
 
-// lend makes the keys of a node by an authority, good from one time to another.
-func lend(t *testing.T, a *peertls.Authority, name string, from, to time.Duration) peertls.Files {
+// issueFiles issues a certificate that is valid between two times, relative to now.
+func issueFiles(t *testing.T, a *peertls.Authority, name string, from, to time.Duration) peertls.Files {
 	t.Helper()
 	f, err := a.Issue(t.TempDir(), "k", name, time.Now().Add(from), time.Now().Add(to))
 	if err != nil {
@@ -115,7 +116,7 @@
 	return f
 }
 
-func authority(t *testing.T) *peertls.Authority {
+func newAuthority(t *testing.T) *peertls.Authority {
 	t.Helper()
 	a, err := peertls.NewAuthority(time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
 	if err != nil {
@@ -124,90 +125,93 @@
 	return a
 }
 
-func with(f peertls.Files, p settings.PeerConfig) settings.PeerConfig {
+func withFiles(f peertls.Files, p settings.PeerConfig) settings.PeerConfig {
 	p.CertFile, p.KeyFile, p.AuthorityFile, p.PeerName = f.Cert, f.Key, f.Authority, f.PeerName
 	return p
 }
 
-func ask(n *toy, f peertls.Files) (knowledge.Report, string) {
+// fetchFrom fetches the report of a node over TLS, or without if f is empty, and returns the code of the error.
+func fetchFrom(n *fakeNode, f peertls.Files) (knowledge.Report, string) {
 	n.t.Helper()
-	var ring *peertls.Credentials
+	var credentials *peertls.Credentials
 	if f.Cert != "" {
 		var err error
-		if ring, err = peertls.Load(f); err != nil {
+		if credentials, err = peertls.Load(f); err != nil {
 			n.t.Fatal(err)
 		}
 	}
-	r, err := FetchReport(n.w.Addr(), "taker", ring, now()+5000)
-	var bad *peer.Fault
-	if errors.As(err, &bad) {
-		return r, bad.Code
+	r, err := FetchReport(n.w.Addr(), "receiver", credentials, nowMs()+5000)
+	var fault *peer.Fault
+	if errors.As(err, &fault) {
+		return r, fault.Code
 	}
 	return r, ""
 }
 
-// Who has not the right certificate gets a close and a code on both sides, and learns nothing.
-func TestKeys(t *testing.T) {
-	ours, theirs := authority(t), authority(t)
-	good := lend(t, ours, "fleet", -time.Hour, time.Hour)
-	mixed := good // their certificate, our authority: the giver can't be blamed
-	foreign := lend(t, theirs, "fleet", -time.Hour, time.Hour)
+// A peer without a valid certificate must not learn anything: the connection is closed, and both sides get a code for
+// the reason.
+func TestCertificates(t *testing.T) {
+	ownAuthority, otherAuthority := newAuthority(t), newAuthority(t)
+	good := issueFiles(t, ownAuthority, "fleet", -time.Hour, time.Hour)
+	mixed := good // foreign certificate and key, but the right authority: the receiver accepts the source
+	foreign := issueFiles(t, otherAuthority, "fleet", -time.Hour, time.Hour)
 	mixed.Cert, mixed.Key = foreign.Cert, foreign.Key
 	for _, c := range []struct {
-		name         string
-		files        peertls.Files
-		taker, giver string
+		name                     string
+		files                    peertls.Files
+		receiverCode, sourceCode string
 	}{
-		{"good", good, "", "given"},
-		{"another good one", lend(t, ours, "fleet", -time.Hour, time.Hour), "", "given"},
-		{"expired", lend(t, ours, "fleet", -2*time.Hour, -time.Hour), "cert-refused", "cert-expired"},
-		{"not yet good", lend(t, ours, "fleet", time.Hour, 2*time.Hour), "cert-refused", "cert-expired"},
-		{"another authority's", mixed, "cert-refused", "cert-foreign"},
-		{"of another authority altogether", foreign, "cert-foreign", "cert-refused"},
+		{"valid", good, "", "given"},
+		{"another valid certificate", issueFiles(t, ownAuthority, "fleet", -time.Hour, time.Hour), "", "given"},
+		{"expired", issueFiles(t, ownAuthority, "fleet", -2*time.Hour, -time.Hour), "cert-refused", "cert-expired"},
+		{"not yet valid", issueFiles(t, ownAuthority, "fleet", time.Hour, 2*time.Hour), "cert-refused", "cert-expired"},
+		{"certificate of another authority", mixed, "cert-refused", "cert-foreign"},
+		{"certificate and authority files of another authority", foreign, "cert-foreign", "cert-refused"},
 		{"plain text", peertls.Files{}, "unreached", "no-tls"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := node(t, "giver", with(good, settings.PeerConfig{Listen: "127.0.0.1:0"}))
+			n := startNode(t, "source", withFiles(good, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 			n.t = t
-			r, code := ask(n, c.files)
-			if code != c.taker || (len(r.Classes) > 0) != (c.taker == "") {
-				t.Errorf("taker: want code %q, got %q with %d classes", c.taker, code, len(r.Classes))
+			r, code := fetchFrom(n, c.files)
+			if code != c.receiverCode || (len(r.Classes) > 0) != (c.receiverCode == "") {
+				t.Errorf("receiver got code %q and %d classes, want code %q, and classes only without a code",
+					code, len(r.Classes), c.receiverCode)
 			}
-			n.line("side=give", "code="+c.giver)
-			if n.asked > 0 != (c.giver == "given") {
-				t.Errorf("the core was asked %d times", n.asked)
+			n.waitForLine("side=give", "code="+c.sourceCode)
+			if n.queries > 0 != (c.sourceCode == "given") {
+				t.Errorf("the core was queried %d times, want queries only for an accepted receiver", n.queries)
 			}
 		})
 	}
 	t.Run("another name", func(t *testing.T) {
-		n := node(t, "giver", with(good, settings.PeerConfig{Listen: "127.0.0.1:0"}))
-		f := lend(t, ours, "other-fleet", -time.Hour, time.Hour)
-		if _, code := ask(n, f); code != "cert-name" {
-			t.Errorf("want cert-name, got %q", code)
+		n := startNode(t, "source", withFiles(good, settings.PeerConfig{Listen: "127.0.0.1:0"}))
+		f := issueFiles(t, ownAuthority, "other-fleet", -time.Hour, time.Hour)
+		if _, code := fetchFrom(n, f); code != "cert-name" {
+			t.Errorf("got code %q, want cert-name", code)
 		}
-		// One that would take the giver's name for its own is refused by the giver.
+		// The receiver refuses the name in the source's certificate, and the source logs that.
 		c, err := net.Dial("tcp", n.w.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		n.line("side=give", "code=cert-refused")
+		n.waitForLine("side=give", "code=cert-refused")
 	})
 }
 
-// The keys are read again without a break: a connection that is open goes on, the next ones meet the new keys, and
-// faulty files change nothing.
-func TestReloadOfKeysKeepsTransfers(t *testing.T) {
-	ours, theirs := authority(t), authority(t)
+// A reload of the TLS files must not interrupt service: an open connection goes on, new connections use the new files,
+// and files that can't be used change nothing.
+func TestReloadOfCertificatesKeepsTransfers(t *testing.T) {
+	ownAuthority, otherAuthority := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
 	from, to := time.Now().Add(-time.Hour), time.Now().Add(time.Hour)
-	f, err := ours.Issue(dir, "k", "fleet", from, to)
+	f, err := ownAuthority.Issue(dir, "k", "fleet", from, to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := lend(t, ours, "fleet", -time.Hour, time.Hour)
-	n := node(t, "giver", with(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
-	ring, err := peertls.Load(old)
+	old := issueFiles(t, ownAuthority, "fleet", -time.Hour, time.Hour)
+	n := startNode(t, "source", withFiles(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
+	credentials, err := peertls.Load(old)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,191 +220,201 @@
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	c := ring.Client(raw)
-	taker, hello := peer.NewReceiverConn("half-way")
+	c := credentials.Client(raw)
+	receiver, hello := peer.NewReceiverConn("half-way")
 	c.Write(hello)
 	buf := make([]byte, 4096)
-	for news := peer.EventNone; news != peer.EventWelcome; {
+	for event := peer.EventNone; event != peer.EventWelcome; {
 		k, err := c.Read(buf)
 		if err != nil {
 			t.Fatal(err)
 		}
-		news, _ = taker.Feed(buf[:k])
+		event, _ = receiver.Feed(buf[:k])
 	}
 	if err := os.WriteFile(f.Cert, []byte("no certificate"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n.w.Reload()
-	n.line("code=keys-faulty")
-	if _, code := ask(n, old); code != "" {
-		t.Errorf("faulty files took the old keys away: %s", code)
+	n.waitForLine("code=keys-faulty")
+	if _, code := fetchFrom(n, old); code != "" {
+		t.Errorf("with unusable files the old certificate is refused with code %s, want it accepted", code)
 	}
-	if _, err := theirs.Issue(dir, "k", "fleet", from, to); err != nil {
+	if _, err := otherAuthority.Issue(dir, "k", "fleet", from, to); err != nil {
 		t.Fatal(err)
 	}
 	n.w.Reload()
-	n.line("code=keys-read")
-	if _, code := ask(n, old); code != "cert-foreign" {
-		t.Errorf("want the new keys met, got %q", code)
+	n.waitForLine("code=keys-read")
+	if _, code := fetchFrom(n, old); code != "cert-foreign" {
+		t.Errorf("got code %q after the reload, want cert-foreign", code)
 	}
-	c.Write(taker.RequestSections())
-	for news := peer.EventNone; news != peer.EventComplete; {
+	c.Write(receiver.RequestSections())
+	for event := peer.EventNone; event != peer.EventComplete; {
 		k, err := c.Read(buf)
 		if err != nil {
-			t.Fatalf("the open transfer was dropped: %v", err)
+			t.Fatalf("the open transfer was interrupted: %v", err)
 		}
-		news, _ = taker.Feed(buf[:k])
+		event, _ = receiver.Feed(buf[:k])
 	}
 }
 
-// Twenty successors at once cost the donor's core one export, some are served, and the rest are told when to come back.
-func TestTwentyTakersAtOnce(t *testing.T) {
-	for _, full := range []bool{false, true} {
-		n := node(t, "giver", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
-		if full {
-			n.inHand = 100
+// Twenty receivers that connect at once must not overload the source: its core is queried once, some receivers are
+// served, and the others are asked to retry later.
+func TestTwentyConcurrentReceivers(t *testing.T) {
+	for _, atLimit := range []bool{false, true} {
+		n := startNode(t, "source", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
+		if atLimit {
+			n.pending = 100
 		}
-		ask(n, peertls.Files{}) // the first fills what is told to all
-		n.asked = 0
+		fetchFrom(n, peertls.Files{}) // from now on the source has a report, so that it knows its limit
+		n.queries = 0
 		n.w.mu.Lock()
-		n.w.budget = peer.NewBudget(now())
+		n.w.budget = peer.NewBudget(nowMs())
 		n.w.mu.Unlock()
-		began := now()
+		startedAt := nowMs()
 		var wait sync.WaitGroup
 		var mu sync.Mutex
 		codes := map[string]int{}
 		for range 20 {
 			wait.Go(func() {
-				_, code := ask(n, peertls.Files{})
+				_, code := fetchFrom(n, peertls.Files{})
 				mu.Lock()
 				codes[code]++
 				mu.Unlock()
 			})
 		}
 		wait.Wait()
-		// The budget may gain one in the time that twenty connections take on a slow machine.
-		if least := map[bool]int{false: 4, true: 2}[full]; codes[""] < least || codes[""]+codes["busy"] != 20 || codes["busy"] == 0 {
-			t.Errorf("full=%t: %v", full, codes)
+		// The budget may gain one transfer while twenty connections are made on a slow machine.
+		if minServed := map[bool]int{false: 4, true: 2}[atLimit]; codes[""] < minServed ||
+			codes[""]+codes["busy"] != 20 || codes["busy"] == 0 {
+			t.Errorf("atLimit=%t: got codes %v, want 20 receivers, at least %d served and some busy", atLimit, codes,
+				minServed)
 		}
-		if n.asked > 1+int((now()-began)/freshFor) {
-			t.Errorf("full=%t: the core was asked %d times", full, n.asked)
+		if n.queries > 1+int((nowMs()-startedAt)/reportTTLMs) {
+			t.Errorf("atLimit=%t: the core was queried %d times, want once per %d ms", atLimit, n.queries, reportTTLMs)
 		}
 	}
 }
 
-func TestSuccessorIsFedOverTLS(t *testing.T) {
-	a := authority(t)
-	f := lend(t, a, "fleet", -time.Hour, time.Hour)
+// A starting node merges the reports of three sources that it fetches over TLS, and submits one prior.
+func TestNodeFetchesPriorOverTLS(t *testing.T) {
+	a := newAuthority(t)
+	f := issueFiles(t, a, "fleet", -time.Hour, time.Hour)
 	var donors []string
 	for i := range 3 {
-		d := node(t, fmt.Sprint("d", i), with(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
+		d := startNode(t, fmt.Sprint("d", i), withFiles(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 		d.w.Ready(false)
 		donors = append(donors, d.w.Addr())
 	}
-	n := node(t, "s", with(f, settings.PeerConfig{Donors: donors}))
-	n.line("code=over", "donors=3")
-	for late := time.Now().Add(patience); time.Now().Before(late) && len(n.taught()) == 0; time.Sleep(time.Millisecond) {
+	n := startNode(t, "s", withFiles(f, settings.PeerConfig{Donors: donors}))
+	n.waitForLine("code=over", "donors=3")
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline) &&
+		len(n.submittedPriors()) == 0; time.Sleep(time.Millisecond) {
 	}
-	p := n.taught()
+	p := n.submittedPriors()
 	if len(p) != 1 || math.Abs(p[0].Classes[1].Cost.Time-300) > 1e-6 {
-		t.Fatalf("want the donors' costs, got %+v", p)
+		t.Fatalf("got priors %+v, want one with a cost of 300 ms for class 1, as in the reports", p)
 	}
 	if diff := cmp.Diff([]string{"d0", "d1", "d2"}, p[0].Donors); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func (n *toy) taught() []knowledge.Prior {
+func (n *fakeNode) submittedPriors() []knowledge.Prior {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]knowledge.Prior{}, n.priors...)
 }
 
-// A node's earlier life is a donor; a file that is torn, another node's or from the future is refused by a code.
+// A restarted node uses the snapshot of its previous process. A file that is truncated, too large, of another node or
+// from the future must not be used and is logged with a code.
 func TestSnapshots(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "knowledge")
 	cfg := settings.PeerConfig{SnapshotFile: file}
-	first := node(t, "n1", cfg)
-	first.line("side=snapshot", "code=none")
+	first := startNode(t, "n1", cfg)
+	first.waitForLine("side=snapshot", "code=none")
 	first.w.Ready(false)
 	first.w.BeginShutdown()
-	first.line("side=snapshot", "code=written")
-	whole, err := os.ReadFile(file)
+	first.waitForLine("side=snapshot", "code=written")
+	snapshot, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := node(t, "n1", cfg)
-	second.line("side=snapshot", "code=read", "runs=150")
-	for late := time.Now().Add(patience); time.Now().Before(late) && len(second.taught()) == 0; time.Sleep(time.Millisecond) {
+	second := startNode(t, "n1", cfg)
+	second.waitForLine("side=snapshot", "code=read", "runs=150")
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline) &&
+		len(second.submittedPriors()) == 0; time.Sleep(time.Millisecond) {
 	}
-	if p := second.taught(); len(p) != 1 || p[0].Classes[0].Cost.Time != 200 {
-		t.Errorf("want the earlier life's costs, got %+v", p)
+	if p := second.submittedPriors(); len(p) != 1 || p[0].Classes[0].Cost.Time != 200 {
+		t.Errorf("got priors %+v, want one with the cost of 200 ms for class 0 from the snapshot", p)
 	}
-	node(t, "n2", cfg).line("side=snapshot", "code=foreign")
+	startNode(t, "n2", cfg).waitForLine("side=snapshot", "code=foreign")
 	for code, text := range map[string][]byte{
-		"torn":   whole[:len(whole)-5],
-		"unread": make([]byte, maxSnapshot+1),
-		"future": peer.AppendSnapshot(nil, knowledge.Report{Node: "n1", Cores: 4}, now()+3600e3),
+		"torn":   snapshot[:len(snapshot)-5],
+		"unread": make([]byte, maxSnapshotBytes+1),
+		"future": peer.AppendSnapshot(nil, knowledge.Report{Node: "n1", Cores: 4}, nowMs()+3600e3),
 	} {
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n := node(t, "n1", cfg)
-		n.line("side=snapshot", "code="+code)
-		if len(n.taught()) > 0 {
-			t.Errorf("%s: something was taught", code)
+		n := startNode(t, "n1", cfg)
+		n.waitForLine("side=snapshot", "code="+code)
+		if len(n.submittedPriors()) > 0 {
+			t.Errorf("%s: a prior was submitted", code)
 		}
 	}
 }
 
-// A donor that is told to leave between its welcome and the take gives nothing any more, and says so.
-func TestDonorThatBeginsToDrain(t *testing.T) {
-	n := node(t, "giver", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
+// A source that starts to drain between its welcome and the request for the sections sends none, and answers that it is
+// draining.
+func TestSourceThatStartsToDrain(t *testing.T) {
+	n := startNode(t, "source", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
 	c, err := net.Dial("tcp", n.w.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	taker, hello := peer.NewReceiverConn("late")
+	c.SetDeadline(time.Now().Add(testTimeout))
+	receiver, hello := peer.NewReceiverConn("late")
 	c.Write(hello)
 	buf := make([]byte, 4096)
-	until := func(want peer.Event) {
-		for news := peer.EventNone; news != want; {
+	waitFor := func(want peer.Event) {
+		for event := peer.EventNone; event != want; {
 			k, err := c.Read(buf)
 			if err != nil {
 				t.Fatal(err)
 			}
-			news, _ = taker.Feed(buf[:k])
+			event, _ = receiver.Feed(buf[:k])
 		}
 	}
-	until(peer.EventWelcome)
+	waitFor(peer.EventWelcome)
 	n.w.BeginShutdown()
-	c.Write(taker.RequestSections())
-	until(peer.EventBusy)
-	if taker.Code != "draining" || taker.RetryMs != peer.MaxRetryMs {
-		t.Errorf("want draining, got %s for %v", taker.Code, taker.RetryMs)
+	c.Write(receiver.RequestSections())
+	waitFor(peer.EventBusy)
+	if receiver.Code != "draining" || receiver.RetryMs != peer.MaxRetryMs {
+		t.Errorf("got code %s and retry after %v ms, want draining and %v ms", receiver.Code, receiver.RetryMs,
+			peer.MaxRetryMs)
 	}
-	n.line("side=give", "code=draining")
+	n.waitForLine("side=give", "code=draining")
 }
 
-// An address that takes a connection and no handshake holds up nobody: the round of the others is over before its line.
-func TestSilentAddressDoesNotHoldUpTheOthers(t *testing.T) {
-	f := lend(t, authority(t), "fleet", -time.Hour, time.Hour)
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes no connection off its queue, and so says nothing
+// An address that accepts connections but does no TLS handshake must not delay the other sources: fetching finishes
+// before the connection to that address is logged.
+func TestSilentAddressDoesNotDelayTheOthers(t *testing.T) {
+	f := issueFiles(t, newAuthority(t), "fleet", -time.Hour, time.Hour)
+	l, err := net.Listen("tcp", "127.0.0.1:0") // nothing accepts from it, so that no byte is ever sent
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	var donors []string
 	for i := range 3 {
-		d := node(t, fmt.Sprint("d", i), with(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
+		d := startNode(t, fmt.Sprint("d", i), withFiles(f, settings.PeerConfig{Listen: "127.0.0.1:0"}))
 		d.w.Ready(false)
 		donors = append(donors, d.w.Addr())
 	}
-	n := node(t, "s", with(f, settings.PeerConfig{Donors: append(donors, l.Addr().String())}))
-	n.line("code=over", "donors=3")
-	n.line("side=take peer=" + l.Addr().String() + " ")
+	n := startNode(t, "s", withFiles(f, settings.PeerConfig{Donors: append(donors, l.Addr().String())}))
+	n.waitForLine("code=over", "donors=3")
+	n.waitForLine("side=take peer=" + l.Addr().String() + " ")
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, line := range n.lines {
@@ -408,17 +422,17 @@
 			return
 		}
 		if strings.Contains(line, l.Addr().String()) {
-			t.Fatalf("the round waited for the silent address: %q", n.lines)
+			t.Fatalf("fetching waited for the silent address: %q", n.lines)
 		}
 	}
 }
 
-// A taker that connects and says nothing, or no more after a part, is cut by the deadline of its connection and by the
-// end of the node, and leaves one line.
-func TestSilentTakersEndWithTheNode(t *testing.T) {
-	n := node(t, "giver", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
+// Receivers that connect and send nothing must not keep the node from ending: EndShutdown closes their connections.
+// Each connection is logged in one line, also one beyond maxReceivers that is closed at once.
+func TestSilentReceiversEndWithTheNode(t *testing.T) {
+	n := startNode(t, "source", settings.PeerConfig{Listen: "127.0.0.1:0", Plaintext: true})
 	var open []net.Conn
-	for range maxTakers + 3 {
+	for range maxReceivers + 3 {
 		c, err := net.Dial("tcp", n.w.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -426,10 +440,10 @@
 		defer c.Close()
 		open = append(open, c)
 	}
-	for _, c := range open[maxTakers:] {
-		n.line("side=give peer=" + c.LocalAddr().String() + " code=full")
+	for _, c := range open[maxReceivers:] {
+		n.waitForLine("side=give peer=" + c.LocalAddr().String() + " code=full")
 	}
-	n.w.EndShutdown(now() + 5000)
+	n.w.EndShutdown(nowMs() + 5000)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	lines := 0
@@ -439,11 +453,11 @@
 		}
 	}
 	if lines != len(open) {
-		t.Errorf("want %d lines, got %d", len(open), lines)
+		t.Errorf("got %d log lines of connections, want %d", lines, len(open))
 	}
 }
 
-func BenchmarkGive(b *testing.B) {
+func BenchmarkAppendSections(b *testing.B) {
 	r := knowledge.Report{Node: "n", Cores: 6, Classes: make([]knowledge.Class, 3)}
 	for b.Loop() {
 		peer.AppendSections(nil, r)
