--- a/client/call.go
+++ b/client/call.go
@@ -14,28 +14,29 @@
 	"whinrudder/internal/client/wire"
 )
 
-// call drives one call: the machine says what to do, each try runs on a goroutine of its own.
+// call carries out one call. The state machine attempt.Call decides the next step; each try runs in its own goroutine.
 type call struct {
-	c       *Client
-	ctx     context.Context
-	request wire.Request
-	began   float64
-	due     float64
-	key     uint64
-	keyed   bool
-	wake    chan struct{} // a try has ended
+	client      *Client
+	ctx         context.Context // ends at the deadline of the call
+	request     wire.Request    // without ID, Retry, Sent and Wait, which each try sets in its copy
+	startedMs   float64         // start of the call, in the time of Client.now
+	deadlineMs  float64         // deadline of the call, in the time of Client.now
+	affinityKey uint64          // hash of Request.Subject
+	hasKey      bool            // affinityKey decides the node of the first try
+	tryEnded    chan struct{}   // has a value when a try has ended; buffer of one
 
-	// Under the client's lock.
-	m      *attempt.Call
-	tries  []Try
-	tried  []string
-	result *Response
-	cause  error
+	// Guarded by the client's lock.
+	machine    *attempt.Call
+	tries      []Try
+	triedNodes []string  // names of the nodes of tries
+	result     *Response // of the first try that was served; nil: none
+	cause      error     // the last error of a try; nil: none
 }
 
-// run drives the machine until the call is over. Tries that are still out are taken back.
+// run executes the steps of the state machine until the call has ended. Tries that have not ended by then are
+// cancelled.
 func (k *call) run() (*Response, error) {
-	c := k.c
+	c := k.client
 	ctx, cancel := context.WithCancel(k.ctx)
 	defer cancel()
 	c.mu.Lock()
@@ -43,16 +44,16 @@
 	for {
 		now := c.now()
 		if c.closed || k.ctx.Err() == context.Canceled {
-			k.m.Cancel()
+			k.machine.Cancel()
 		}
-		do := k.m.Next(now, rand.Float64())
-		switch do.Kind {
+		step := k.machine.Next(now, rand.Float64())
+		switch step.Kind {
 		case attempt.Done:
-			if do.Reason == attempt.None {
+			if step.Reason == attempt.None {
 				return k.result, nil
 			}
-			err := &Error{Reason: do.Reason, Class: k.request.Class, Tries: append([]Try(nil), k.tries...), Cause: k.cause,
-				Wait: time.Duration(k.m.RetryAfter() * float64(time.Millisecond))}
+			err := &Error{Reason: step.Reason, Class: k.request.Class, Tries: append([]Try(nil), k.tries...),
+				Cause: k.cause, Wait: time.Duration(k.machine.RetryAfter() * float64(time.Millisecond))}
 			if cause := k.ctx.Err(); cause != nil {
 				err.Cause = cause
 			} else if c.closed {
@@ -60,141 +61,143 @@
 			}
 			return nil, err
 		case attempt.Sleep:
-			k.sleep(math.Min(do.At, k.due))
+			k.sleep(math.Min(step.At, k.deadlineMs))
 			continue
 		}
-		use := c.members.InUse(now)
-		m, until := c.router.Pick(now, use, route.Query{Key: k.key, Keyed: k.keyed && len(k.tried) == 0, Exclude: k.tried, AllowExcluded: !do.Hedge,
+		inUse := c.members.InUse(now)
+		member, untilMs := c.router.Pick(now, inUse, route.Query{Key: k.affinityKey,
+			Keyed: k.hasKey && len(k.triedNodes) == 0, Exclude: k.triedNodes, AllowExcluded: !step.Hedge,
 			Draws: [3]float64{rand.Float64(), rand.Float64(), rand.Float64()}})
-		if m == nil {
-			k.m.NoNodeFree(now, until)
+		if member == nil {
+			k.machine.NoNodeFree(now, untilMs)
 			continue
 		}
-		k.m.TrySent(now)
-		c.router.TrySent(now, m.ID)
-		k.tried = append(k.tried, m.Name)
+		k.machine.TrySent(now)
+		c.router.TrySent(now, member.ID)
+		k.triedNodes = append(k.triedNodes, member.Name)
 		r := k.request
-		r.ID, r.Retry = fmt.Sprintf("%016x", rand.Uint64()), do.Retry
-		k.tries = append(k.tries, Try{Node: m.Name, ID: r.ID, Outcome: "open"})
-		i, due := len(k.tries)-1, do.Due
-		if h := c.options.Hooks.Try; h != nil {
-			h(r.Class, m.Name, do.Retry, do.Hedge)
+		r.ID, r.Retry = fmt.Sprintf("%016x", rand.Uint64()), step.Retry
+		k.tries = append(k.tries, Try{Node: member.Name, ID: r.ID, Outcome: "open"})
+		index, deadlineMs := len(k.tries)-1, step.Due
+		if hook := c.options.Hooks.Try; hook != nil {
+			hook(r.Class, member.Name, step.Retry, step.Hedge)
 		}
-		c.work.Add(1)
+		c.goroutines.Add(1)
 		go func() {
-			defer c.work.Done()
-			k.try(ctx, i, m, r, now, due)
+			defer c.goroutines.Done()
+			k.try(ctx, index, member, r, now, deadlineMs)
 		}()
 	}
 }
 
-// sleep waits for a time, for the end of a try, or for the end of the call, without the lock.
-func (k *call) sleep(until float64) {
-	k.c.mu.Unlock()
-	defer k.c.mu.Lock()
-	timer := time.NewTimer(time.Until(k.c.at(until)))
+// sleep releases the lock and waits until the given time, the end of a try, or the end of the call or the client.
+func (k *call) sleep(untilMs float64) {
+	k.client.mu.Unlock()
+	defer k.client.mu.Lock()
+	timer := time.NewTimer(time.Until(k.client.timeAt(untilMs)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-k.wake:
+	case <-k.tryEnded:
 	case <-k.ctx.Done():
-	case <-k.c.ctx.Done():
+	case <-k.client.ctx.Done():
 	}
 }
 
-// outcome is what came of a try.
-type outcome struct {
-	end    attempt.Outcome
-	answer *wire.Response // nil: none
-	err    error
+// tryResult is the result of a try.
+type tryResult struct {
+	outcome attempt.Outcome
+	answer  *wire.Response // nil: no answer
+	err     error          // nil: the node answered without an error
 }
 
-// try makes one try and tells the decisions how it ended.
-func (k *call) try(ctx context.Context, i int, m *members.Member, r wire.Request, sent, due float64) {
-	c := k.c
-	ctx, cancel := context.WithDeadline(ctx, c.at(due))
+// try makes one try and reports its result to the router, the member list and the state machine.
+func (k *call) try(ctx context.Context, index int, member *members.Member, r wire.Request, sentMs, deadlineMs float64) {
+	c := k.client
+	ctx, cancel := context.WithDeadline(ctx, c.timeAt(deadlineMs))
 	defer cancel()
-	o := c.exchange(ctx, m, r, due)
+	result := c.exchange(ctx, member, r, deadlineMs)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	took := now - sent
-	a := route.Result{Took: took, Credit: -1}
-	stay := false
-	if o.answer != nil {
-		a.Credit, a.RetryAfter, stay = o.answer.Credit, o.answer.RetryAfter, o.answer.NoRetry
-		if o.answer.Close && o.answer.Credit == 0 {
-			c.members.MarkDraining(now, m.Name) // it wants no more, and closes: it drains
+	tookMs := now - sentMs
+	feedback := route.Result{Took: tookMs, Credit: -1}
+	noRetry := false
+	if result.answer != nil {
+		feedback.Credit, feedback.RetryAfter, noRetry = result.answer.Credit, result.answer.RetryAfter, result.answer.NoRetry
+		if result.answer.Close && result.answer.Credit == 0 {
+			c.members.MarkDraining(now, member.Name) // credit 0 and a closed connection: the node is draining
 		} else {
-			c.members.MarkServing(now, m.Name)
+			c.members.MarkServing(now, member.Name)
 		}
 	}
-	switch o.end {
+	switch result.outcome {
 	case attempt.Refused:
-		a.Refused = true
+		feedback.Refused = true
 	case attempt.Unsent, attempt.Broken:
-		a.Failed, a.NoResponse = true, true
+		feedback.Failed, feedback.NoResponse = true, true
 	case attempt.Failed, attempt.Late:
-		a.Failed = true
+		feedback.Failed = true
 	case attempt.Withdrawn:
-		a.Cancelled = true
+		feedback.Cancelled = true
 	}
-	c.router.TryEnded(now, m.ID, a, len(c.members.InUse(now)))
-	k.m.TryEnded(now, o.end, took, a.RetryAfter, stay)
-	t := &k.tries[i]
-	t.Outcome, t.Took = outcomes[o.end], time.Duration(took*float64(time.Millisecond))
-	if o.answer != nil {
-		t.Status = o.answer.Status
+	c.router.TryEnded(now, member.ID, feedback, len(c.members.InUse(now)))
+	k.machine.TryEnded(now, result.outcome, tookMs, feedback.RetryAfter, noRetry)
+	record := &k.tries[index]
+	record.Outcome, record.Took = outcomeNames[result.outcome], time.Duration(tookMs*float64(time.Millisecond))
+	if result.answer != nil {
+		record.Status = result.answer.Status
 	}
-	if o.end == attempt.Served && k.result == nil {
-		k.result = &Response{Body: o.answer.Body, Node: m.Name, Kept: o.answer.Kept, Tries: len(k.tries)}
+	if result.outcome == attempt.Served && k.result == nil {
+		k.result = &Response{Body: result.answer.Body, Node: member.Name, Kept: result.answer.Kept, Tries: len(k.tries)}
 	}
-	if o.err != nil {
-		k.cause = o.err
+	if result.err != nil {
+		k.cause = result.err
 	}
-	if h := c.options.Hooks.End; h != nil {
-		h(r.Class, m.Name, t.Outcome, t.Took)
+	if hook := c.options.Hooks.End; hook != nil {
+		hook(r.Class, member.Name, record.Outcome, record.Took)
 	}
 	select {
-	case k.wake <- struct{}{}:
+	case k.tryEnded <- struct{}{}:
 	default:
 	}
 }
 
-// outcomes are the words for the ends of tries.
-var outcomes = map[attempt.Outcome]string{attempt.Served: "served", attempt.Refused: "refused", attempt.Unsent: "unsent", attempt.Failed: "failed",
-	attempt.Broken: "broken", attempt.Late: "late", attempt.Withdrawn: "withdrawn"}
+// outcomeNames are the values of Try.Outcome.
+var outcomeNames = map[attempt.Outcome]string{attempt.Served: "served", attempt.Refused: "refused",
+	attempt.Unsent: "unsent", attempt.Failed: "failed", attempt.Broken: "broken", attempt.Late: "late", attempt.Withdrawn: "withdrawn"}
 
-// exchange has a connection and sends a request over it.
-func (c *Client) exchange(ctx context.Context, m *members.Member, r wire.Request, due float64) outcome {
-	p, w, err := c.connection(ctx, m)
+// exchange acquires a connection to a node, sends a request over it and returns the result.
+func (c *Client) exchange(ctx context.Context, member *members.Member, r wire.Request, deadlineMs float64) tryResult {
+	pooled, nodeConn, err := c.connection(ctx, member)
 	if err != nil {
-		return outcome{end: attempt.Unsent, err: err} // nothing was sent
+		return tryResult{outcome: attempt.Unsent, err: err} // nothing was sent
 	}
-	// The remaining time goes out with the try, as of now.
+	// Req-Wait-Ms is the time that remains when the request is sent, not when the try began: connecting takes time.
 	now := time.Now()
 	r.Sent = float64(now.UnixNano()) / 1e6
-	if r.Wait = due - c.now(); r.Wait <= 0 {
-		c.release(p, w)
-		return outcome{end: attempt.Unsent, err: context.DeadlineExceeded}
+	if r.Wait = deadlineMs - c.now(); r.Wait <= 0 {
+		c.release(pooled, nodeConn)
+		return tryResult{outcome: attempt.Unsent, err: context.DeadlineExceeded}
 	}
-	o := w.do(ctx, &r)
-	if o.answer != nil {
-		switch s := o.answer.Status; {
-		case s == 200:
-			o.end = attempt.Served
-		case s == 503 || s == 429:
-			o.end = attempt.Refused
+	result := nodeConn.roundTrip(ctx, &r)
+	if result.answer != nil {
+		switch status := result.answer.Status; {
+		case status == 200:
+			result.outcome = attempt.Served
+		case status == 503 || status == 429:
+			result.outcome = attempt.Refused
 		default:
-			o.end, o.err = attempt.Failed, fmt.Errorf("client: status %d", s)
+			result.outcome, result.err = attempt.Failed, fmt.Errorf("client: status %d", status)
 		}
 	}
-	c.release(p, w)
-	return o
+	c.release(pooled, nodeConn)
+	return result
 }
 
-// connection returns a connection to a node with room for a request, a new one if need be.
-func (c *Client) connection(ctx context.Context, m *members.Member) (*connpool.Conn, conn, error) {
+// connection returns a connection to a node that can take one more request. It waits while the pool's limits allow
+// neither a free connection nor a new one.
+func (c *Client) connection(ctx context.Context, member *members.Member) (*connpool.Conn, conn, error) {
 	for {
 		c.mu.Lock()
 		if c.closed {
@@ -202,52 +205,52 @@
 			return nil, nil, errClosed
 		}
 		now := c.now()
-		do := c.pools.Acquire(now, m.ID)
-		free := c.free
-		var w conn
-		if do.Kind == connpool.Use {
-			w = c.conns[do.Conn.ID]
+		action := c.pools.Acquire(now, member.ID)
+		connFreed := c.connFreed
+		var nodeConn conn
+		if action.Kind == connpool.Use {
+			nodeConn = c.conns[action.Conn.ID]
 		}
 		c.mu.Unlock()
-		switch do.Kind {
+		switch action.Kind {
 		case connpool.Use:
-			if w.dead() {
+			if nodeConn.unusable() {
 				c.mu.Lock()
-				c.pools.Release(c.now(), do.Conn)
-				c.drop(do.Conn)
+				c.pools.Release(c.now(), action.Conn)
+				c.dropConn(action.Conn)
 				c.mu.Unlock()
 				continue
 			}
-			return do.Conn, w, nil
+			return action.Conn, nodeConn, nil
 		case connpool.Connect:
-			w, err := dial(ctx, c.options.Protocol, m.Addr)
+			nodeConn, err := dial(ctx, c.options.Protocol, member.Addr)
 			c.mu.Lock()
 			if err == nil && c.closed {
-				w.close()
+				nodeConn.close()
 				err = errClosed
 			}
 			if err != nil {
-				c.pools.Remove(do.Conn)
-				c.wakeFree()
+				c.pools.Remove(action.Conn)
+				c.notifyConnFreed()
 				c.mu.Unlock()
 				return nil, nil, err
 			}
-			c.pools.MarkConnected(c.now(), do.Conn, w.streams())
-			c.conns[do.Conn.ID] = w
-			if w.streams() > 1 {
-				c.wakeFree()
+			c.pools.MarkConnected(c.now(), action.Conn, nodeConn.maxStreams())
+			c.conns[action.Conn.ID] = nodeConn
+			if nodeConn.maxStreams() > 1 {
+				c.notifyConnFreed()
 			}
 			c.mu.Unlock()
-			return do.Conn, w, nil
+			return action.Conn, nodeConn, nil
 		}
 		var timer <-chan time.Time
-		if !math.IsInf(do.At, 1) {
-			t := time.NewTimer(time.Until(c.at(do.At)))
+		if !math.IsInf(action.At, 1) {
+			t := time.NewTimer(time.Until(c.timeAt(action.At)))
 			defer t.Stop()
 			timer = t.C
 		}
 		select {
-		case <-free:
+		case <-connFreed:
 		case <-timer:
 		case <-ctx.Done():
 			return nil, nil, ctx.Err()
@@ -255,20 +258,20 @@
 	}
 }
 
-// release gives a connection back, or closes it if it carries nothing more.
-func (c *Client) release(p *connpool.Conn, w conn) {
+// release returns a connection to the pool, or closes it if it can carry no more requests.
+func (c *Client) release(pooled *connpool.Conn, nodeConn conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pools.Release(c.now(), p)
-	if w.dead() {
-		c.pools.Drain(p)
+	c.pools.Release(c.now(), pooled)
+	if nodeConn.unusable() {
+		c.pools.Drain(pooled)
 	}
-	if c.conns[p.ID] == nil {
-		return // the client was closed
+	if c.conns[pooled.ID] == nil {
+		return // the client was closed, or the connection was dropped
 	}
-	if c.pools.ShouldClose(c.now(), p) {
-		c.drop(p)
+	if c.pools.ShouldClose(c.now(), pooled) {
+		c.dropConn(pooled)
 		return
 	}
-	c.wakeFree()
+	c.notifyConnFreed()
 }
--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,10 @@
-// Package client calls a fleet of payout nodes so that the fleet stays up: it routes by what nodes tell, retries only what may
-// be, within a budget, hedges slow reads, and tells apart what did not run from what may have. It speaks HTTP/1.1, HTTP/2
-// without TLS and uwsgi.
+// Package client sends requests to a fleet of payout nodes without overloading it. It routes by the load that nodes
+// report, retries only requests that are safe to retry and only within a retry budget, and hedges slow reads. Its
+// errors distinguish requests that did not run from requests that may have run. It speaks HTTP/1.1, HTTP/2 without TLS
+// and uwsgi.
 //
-// A Client is safe for concurrent use. Its decisions are in packages without I/O (internal/client); this one drives them.
+// A Client is safe for concurrent use. The decisions are made by packages without I/O under internal/client; this
+// package does the I/O for them.
 package client
 
 import (
@@ -22,46 +24,49 @@
 	"whinrudder/internal/client/wire"
 )
 
-// Protocol is what nodes are spoken to with.
+// Protocol is the protocol that the client speaks to the nodes. The zero value means HTTP in Options.
 type Protocol string
 
 // The protocols.
 const (
-	HTTP  Protocol = "http"
-	H2C   Protocol = "h2c"
-	UWSGI Protocol = "uwsgi"
+	HTTP  Protocol = "http"  // HTTP/1.1 with keep-alive
+	H2C   Protocol = "h2c"   // HTTP/2 without TLS, by prior knowledge
+	UWSGI Protocol = "uwsgi" // uwsgi, one request per connection
 )
 
-// Class is a class of requests, as the nodes know it by name.
+// Class is a class of requests. Its name must be one that the nodes are configured with.
 type Class struct {
+	// Name is the class in the path /rpc/NAME. It must not be empty.
 	Name string
-	// Write marks requests that must not run twice: they are tried again only where it is proven that nothing ran.
+	// Write marks requests that must not run twice: they are retried only if it is proven that no try ran. The zero
+	// value marks reads, which may be retried and hedged.
 	Write bool
-	// Tries bounds the tries of a call, hedges included; 0: three.
+	// Tries is the maximum number of tries per call, hedges included; 0: three.
 	Tries int
-	// NoHedge turns hedges of reads off.
+	// NoHedge turns off hedging of reads. Writes are never hedged.
 	NoHedge bool
-	// Wait is how long a call may take whose context has no deadline; 0: ten seconds.
+	// Wait is the maximum duration of a call whose context has no deadline; 0: ten seconds.
 	Wait time.Duration
 }
 
-// Node is a node of the fleet.
+// Node is a node of the fleet, as a Source lists it.
 type Node struct {
-	Name     string // what tells it from others, over its lives; empty: its address
-	Addr     string // HOST:PORT of the protocol's front
-	Draining bool
+	Name     string // identifies the node and survives its restarts; empty: Addr
+	Addr     string // HOST:PORT of the node's listener for the client's protocol
+	Draining bool   // the node is shutting down and gets no new requests
 }
 
-// Source tells which nodes there are. Watch calls list with each version, made at a time, until the context is done; it is
-// called once, in a goroutine of its own.
+// Source supplies the list of nodes.
 type Source interface {
-	Watch(ctx context.Context, list func(made time.Time, nodes []Node))
+	// Watch calls list with each version of the list and the time as of which that version is valid, until ctx is done.
+	// The client calls Watch once, in its own goroutine.
+	Watch(ctx context.Context, list func(asOf time.Time, nodes []Node))
 }
 
-// Fixed is a list that does not change.
+// Fixed is a Source whose list of addresses (HOST:PORT) does not change. An empty list supplies no nodes.
 type Fixed []string
 
-// Watch implements Source.
+// Watch implements Source. It calls list once.
 func (f Fixed) Watch(_ context.Context, list func(time.Time, []Node)) {
 	var nodes []Node
 	for _, addr := range f {
@@ -70,81 +75,90 @@
 	list(time.Now(), nodes)
 }
 
-// Options are what a client is made of.
+// Options configure a Client. Source and Classes are required.
 type Options struct {
-	Source   Source
+	Source   Source   // supplies the nodes
 	Protocol Protocol // empty: HTTP
-	Classes  []Class
-	Number   int // of this client, as nodes tell callers apart
-	Subset   int // nodes that this client uses; 0: all
-	// Affinity keeps the requests of one subject to one node, while that has room.
+	Classes  []Class  // the classes that the client may call; names must be unique
+	Number   int      // identifies this client to the nodes as a caller; sent as Req-From, also when it is 0
+	Subset   int      // maximum number of nodes that this client uses; 0: all
+	// Affinity sends the requests of one Request.Subject to the same node while that node has capacity.
 	Affinity bool
-	Hooks    Hooks
-	Limits   *connpool.Limits // nil: the usual ones; for tests of this module
+	Hooks    Hooks            // callbacks for monitoring; the zero value has none
+	Limits   *connpool.Limits // connection limits; nil: the protocol's defaults; set only by tests of this module
 }
 
-// Hooks are told what goes on. They are called on the goroutines of calls and must be fast; nil ones are left out.
+// Hooks are callbacks that report the client's work. They run on the goroutines of calls, Try and End while the
+// client's lock is held, so they must return quickly and must not call the client. A nil hook is skipped.
 type Hooks struct {
-	Try  func(class, node string, again, hedge bool)
-	End  func(class, node string, outcome string, took time.Duration)
+	// Try is called before a try is sent. Retry is true for every try that the node is told is a retry (Req-Retry).
+	Try func(class, node string, retry, hedge bool)
+	// End is called when a try ends. Outcome has the values of Try.Outcome.
+	End func(class, node string, outcome string, took time.Duration)
+	// Call is called when a call ends, with the number of its tries. Err is the error that Do returns. Requests that Do
+	// rejects as invalid and calls of a closed client may end without it.
 	Call func(class string, tries int, err error, took time.Duration)
 }
 
-// Request is one call.
+// Request is the input of a call.
 type Request struct {
-	Class   string
-	Subject string // whom it is about; with Affinity it goes where the subject's other requests go
-	Key     string // Req-Key, if the class has one
-	Token   string // Req-Token, if results are kept
-	Body    []byte
-	KB      float64 // memory that it takes at a node; 0: 32
-	Rank    float64 // 0 to 1, the higher the more it matters
+	Class   string  // name of one of Options.Classes; becomes the path /rpc/CLASS
+	Subject string  // the account or other entity that it is about, for Options.Affinity; not sent; empty: none
+	Key     string  // Req-Key, for classes that have a key; empty: not sent
+	Token   string  // Req-Token, the idempotency key under which the node keeps the result; empty: not sent
+	Body    []byte  // the request body; nil: empty
+	KB      float64 // Req-Kb, the memory that the request needs at a node, in KB; 0: 32
+	Rank    float64 // Req-Rank, the importance from 0 (lowest) to 1 (highest)
 }
 
-// Response is a result.
+// Response is the result of a call.
 type Response struct {
-	Body  []byte
-	Node  string
-	Kept  string // how it came out of kept results, if it did
-	Tries int
+	Body  []byte // the response body
+	Node  string // name of the node that answered; Srv-Node of RoundTripper
+	Kept  string // Srv-Kept, how the answer relates to a kept result; empty: the node did not send it
+	Tries int    // tries made until the result, at least 1
 }
 
-// Reason is why a call brought no result.
+// Reason is the reason why a call has no result. Its String is the value of Srv-Reason.
 type Reason = attempt.Reason
 
-// The reasons. Of Unknown and, for reads, of Failure something may have run; of all others it is proven that nothing did.
+// The reasons. After Rejected, NoNode, Throttled and NoTime it is proven that the request did not run. After Unknown,
+// Failure and Cancelled, Error.MayHaveRun reports whether it may have run.
 const (
-	Rejected  = attempt.Rejected
-	NoNode    = attempt.NoNode
-	Throttled = attempt.Throttled
-	NoTime    = attempt.NoTime
-	Failure   = attempt.Failure
-	Unknown   = attempt.Unknown
-	Cancelled = attempt.Cancelled
+	Rejected  = attempt.Rejected  // nodes refused the request
+	NoNode    = attempt.NoNode    // no node was available in time
+	Throttled = attempt.Throttled // the client did not send the request because nodes refuse most requests
+	NoTime    = attempt.NoTime    // too little time was left for a try
+	Failure   = attempt.Failure   // no try of a read returned a result
+	Unknown   = attempt.Unknown   // a write that may have run
+	Cancelled = attempt.Cancelled // the context was cancelled or the client was closed
 )
 
-// ErrUnknown is what errors of calls are whose request may have run or not.
+// ErrUnknown is matched, with errors.Is, by the error of a write that may have run and of a cancelled call that may
+// have run.
 var ErrUnknown = errors.New("client: outcome unknown")
 
-// Error is why a call brought no result, with all that is known.
+// Error is the error of a call that has no result.
 type Error struct {
-	Reason Reason
-	Class  string
-	Tries  []Try
-	Wait   time.Duration // how long nodes asked to stay away, at last
-	Cause  error         // of the context, or of the last try
+	Reason Reason        // why there is no result
+	Class  string        // class of the request
+	Tries  []Try         // the tries in the order of their start; empty: nothing was sent
+	Wait   time.Duration // Srv-Wait-Ms, the time that nodes last asked the caller to wait before a retry; 0: none asked
+	Cause  error         // error of the context, or else of the last try that had one; nil: none
 }
 
-// Try is a try of a call.
+// Try is one try of a call: a request to one node.
 type Try struct {
-	Node    string
-	ID      string // Req-Id
+	Node string // name of the node
+	ID   string // Req-Id, 16 hexadecimal digits
+	// Outcome is served, refused, unsent, failed, broken, late or withdrawn, or open if the try had not ended when the
+	// call did. Only refused and unsent prove that the request did not run.
 	Outcome string
-	Took    time.Duration
-	Status  int // 0: there was no answer
+	Took    time.Duration // from the start of the try to its end; 0: it had not ended
+	Status  int           // HTTP status of the answer; 0: no answer
 }
 
-// Error implements error.
+// Error returns the class, the reason, the number of tries and the cause.
 func (e *Error) Error() string {
 	s := fmt.Sprintf("client: %s: %v after %d tries", e.Class, e.Reason, len(e.Tries))
 	if e.Cause != nil {
@@ -153,7 +167,8 @@
 	return s
 }
 
-// Unwrap gives the cause, and ErrUnknown where the request may have run.
+// Unwrap returns ErrUnknown if the Reason is Unknown, or Cancelled and the request may have run, and the cause if there
+// is one.
 func (e *Error) Unwrap() []error {
 	var out []error
 	if e.Reason == Unknown || e.Reason == Cancelled && e.MayHaveRun() {
@@ -165,30 +180,31 @@
 	return out
 }
 
-// Client calls nodes.
+// Client sends requests to the nodes of its Source. Create it with New; the zero value is not usable.
 type Client struct {
-	options Options
-	classes map[string]int
-	start   time.Time
-	cancel  context.CancelFunc
-	ctx     context.Context
-	work    sync.WaitGroup
-
-	mu      sync.Mutex // of all below
-	members *members.Members
-	router  *route.Router
-	shared  *attempt.ClientState
-	pools   *connpool.Pool
-	conns   map[int]conn  // by number of the connection
-	free    chan struct{} // closed and made anew when a connection may be had
-	listed  chan struct{} // closed with the first list
-	heard   bool
-	closed  bool
+	options    Options
+	classes    map[string]int // index in options.Classes by name
+	start      time.Time      // origin of the times of now
+	cancel     context.CancelFunc
+	ctx        context.Context
+	goroutines sync.WaitGroup
+
+	mu        sync.Mutex // guards all fields below
+	members   *members.Members
+	router    *route.Router
+	shared    *attempt.ClientState
+	pools     *connpool.Pool
+	conns     map[int]conn  // by connpool.Conn.ID
+	connFreed chan struct{} // closed and replaced when a connection may have become available
+	firstList chan struct{} // closed when the first list with nodes arrives
+	hasNodes  bool          // firstList is closed
+	closed    bool          // Close was called
 }
 
-const usualWait = 10 * time.Second
+// defaultWait is the maximum duration of a call whose context has no deadline and whose class has no Wait.
+const defaultWait = 10 * time.Second
 
-// New returns a client that watches its source. Close ends it.
+// New returns a client and starts watching its source. The caller must Close the client.
 func New(o Options) (*Client, error) {
 	if o.Protocol == "" {
 		o.Protocol = HTTP
@@ -199,13 +215,13 @@
 	case H2C:
 		streams = 100
 	default:
-		return nil, fmt.Errorf("client: no protocol %q", o.Protocol)
+		return nil, fmt.Errorf("client: unknown protocol %q", o.Protocol)
 	}
 	if o.Source == nil {
-		return nil, errors.New("client: no source of nodes")
+		return nil, errors.New("client: Options.Source is nil")
 	}
 	if len(o.Classes) == 0 {
-		return nil, errors.New("client: no classes")
+		return nil, errors.New("client: Options.Classes is empty")
 	}
 	limits := connpool.DefaultLimits(streams)
 	if o.Protocol == UWSGI {
@@ -214,114 +230,122 @@
 	if o.Limits != nil {
 		limits = *o.Limits
 	}
-	c := &Client{options: o, classes: map[string]int{}, start: time.Now(), members: members.New(rand.Uint64(), o.Subset), router: route.New(),
-		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(o.Classes))},
-		pools:  connpool.New(limits), conns: map[int]conn{}, free: make(chan struct{}), listed: make(chan struct{})}
+	c := &Client{options: o, classes: map[string]int{}, start: time.Now(),
+		members: members.New(rand.Uint64(), o.Subset), router: route.New(),
+		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(),
+			Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(o.Classes))},
+		pools: connpool.New(limits), conns: map[int]conn{},
+		connFreed: make(chan struct{}), firstList: make(chan struct{})}
 	for i, k := range o.Classes {
-		if _, twice := c.classes[k.Name]; twice || k.Name == "" {
-			return nil, fmt.Errorf("client: class %q is there twice, or has no name", k.Name)
+		if _, duplicate := c.classes[k.Name]; duplicate || k.Name == "" {
+			return nil, fmt.Errorf("client: class name %q is empty or not unique", k.Name)
 		}
 		c.classes[k.Name] = i
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.work.Go(func() { o.Source.Watch(c.ctx, c.list) })
-	c.work.Go(c.sweep)
+	c.goroutines.Go(func() { o.Source.Watch(c.ctx, c.setNodes) })
+	c.goroutines.Go(c.closeIdle)
 	return c, nil
 }
 
-// now is the time of the decisions: it goes on evenly whatever is done to the system's clock.
+// now returns the milliseconds since the start of the client, by the monotonic clock, so that a change of the system's
+// clock has no effect.
 func (c *Client) now() float64 { return float64(time.Since(c.start)) / float64(time.Millisecond) }
 
-// at is a time of the decisions as one of the system.
-func (c *Client) at(ms float64) time.Time {
+// timeAt converts a time of now to a time.Time.
+func (c *Client) timeAt(ms float64) time.Time {
 	return c.start.Add(time.Duration(ms * float64(time.Millisecond)))
 }
 
-// list takes a list of the source.
-func (c *Client) list(made time.Time, nodes []Node) {
+// setNodes receives a list of nodes from the source.
+func (c *Client) setNodes(asOf time.Time, nodes []Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []members.Node
+	var list []members.Node
 	for _, n := range nodes {
 		if n.Name == "" {
 			n.Name = n.Addr
 		}
-		all = append(all, members.Node{Name: n.Name, Addr: n.Addr, Draining: n.Draining})
+		list = append(list, members.Node{Name: n.Name, Addr: n.Addr, Draining: n.Draining})
 	}
-	c.members.SetList(c.now(), float64(made.Sub(c.start))/float64(time.Millisecond), all)
-	if !c.heard && len(all) > 0 {
-		c.heard = true
-		close(c.listed)
+	c.members.SetList(c.now(), float64(asOf.Sub(c.start))/float64(time.Millisecond), list)
+	if !c.hasNodes && len(list) > 0 {
+		c.hasNodes = true
+		close(c.firstList)
 	}
 }
 
-// sweep closes connections that were idle for too long.
-func (c *Client) sweep() {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+// closeIdle closes connections that were idle for too long, and drops the routing state of nodes no longer in use,
+// every second until the client is closed.
+func (c *Client) closeIdle() {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		c.mu.Lock()
-		old, _ := c.pools.IdleExpired(c.now())
-		for _, p := range old {
-			c.drop(p)
+		expired, _ := c.pools.IdleExpired(c.now())
+		for _, p := range expired {
+			c.dropConn(p)
 		}
 		c.router.Forget(c.members.InUse(c.now()))
 		c.mu.Unlock()
 	}
 }
 
-// drop closes a connection, under the lock.
-func (c *Client) drop(p *connpool.Conn) {
-	if w := c.conns[p.ID]; w != nil {
-		w.close()
+// dropConn closes a connection and removes it from the pool. The caller holds the lock.
+func (c *Client) dropConn(p *connpool.Conn) {
+	if nodeConn := c.conns[p.ID]; nodeConn != nil {
+		nodeConn.close()
 		delete(c.conns, p.ID)
 	}
 	c.pools.Remove(p)
-	c.wakeFree()
+	c.notifyConnFreed()
 }
 
-// wakeFree wakes those who wait for a connection, under the lock.
-func (c *Client) wakeFree() {
-	close(c.free)
-	c.free = make(chan struct{})
+// notifyConnFreed wakes all goroutines that wait for a connection. The caller holds the lock.
+func (c *Client) notifyConnFreed() {
+	close(c.connFreed)
+	c.connFreed = make(chan struct{})
 }
 
-// Close ends the client: its connections are closed, and calls under way end.
+// Close closes the client and its connections. Calls in progress end with Cancelled. Close waits for the client's
+// goroutines.
 func (c *Client) Close() {
 	c.cancel()
 	c.mu.Lock()
 	c.closed = true
-	for id, w := range c.conns {
-		w.close()
+	for id, nodeConn := range c.conns {
+		nodeConn.close()
 		delete(c.conns, id)
 	}
-	c.wakeFree()
+	c.notifyConnFreed()
 	c.mu.Unlock()
-	c.work.Wait()
+	c.goroutines.Wait()
 }
 
-// Do makes a call. It ends by the deadline of the context, or by the Wait of its class. An error of a call is an *Error.
+// Do sends a request and returns its result. It ends by the deadline of ctx or, if ctx has none, within the Wait of the
+// class. The error is an *Error, unless the request is invalid or its class is not one of Options.Classes.
 func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
-	n, ok := c.classes[r.Class]
+	classIndex, ok := c.classes[r.Class]
 	if !ok {
-		return nil, fmt.Errorf("client: no class %q", r.Class)
+		return nil, fmt.Errorf("client: unknown class %q", r.Class)
 	}
-	w := wire.Request{Class: r.Class, Caller: c.options.Number, KB: r.KB, Rank: r.Rank, Key: r.Key, Token: r.Token, Body: r.Body, ID: "0000000000000000"}
-	if w.KB == 0 {
-		w.KB = 32
+	wireRequest := wire.Request{Class: r.Class, Caller: c.options.Number, KB: r.KB, Rank: r.Rank, Key: r.Key,
+		Token: r.Token, Body: r.Body, ID: "0000000000000000"}
+	if wireRequest.KB == 0 {
+		wireRequest.KB = 32
 	}
 	if err := r.check(); err != nil {
 		return nil, err
 	}
-	k := c.options.Classes[n]
-	wait := k.Wait
+	class := c.options.Classes[classIndex]
+	wait := class.Wait
 	if wait == 0 {
-		wait = usualWait
+		wait = defaultWait
 	}
 	deadline := time.Now().Add(wait)
 	if d, ok := ctx.Deadline(); ok {
@@ -330,26 +354,30 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	select {
-	case <-c.listed: // the first calls wait for the first list
+	case <-c.firstList: // calls wait until the source lists the first nodes
 	case <-ctx.Done():
 	case <-c.ctx.Done():
 		return nil, &Error{Reason: Cancelled, Class: r.Class, Cause: errClosed}
 	}
-	call := &call{c: c, ctx: ctx, request: w, wake: make(chan struct{}, 1), began: c.now(),
-		due: float64(deadline.Sub(c.start)) / float64(time.Millisecond), key: xxhash.Sum64String(r.Subject), keyed: c.options.Affinity && r.Subject != ""}
+	call := &call{client: c, ctx: ctx, request: wireRequest, tryEnded: make(chan struct{}, 1), startedMs: c.now(),
+		deadlineMs:  float64(deadline.Sub(c.start)) / float64(time.Millisecond),
+		affinityKey: xxhash.Sum64String(r.Subject), hasKey: c.options.Affinity && r.Subject != ""}
 	c.mu.Lock()
-	call.m = attempt.New(call.began, call.due, attempt.Class{Write: k.Write, Tries: k.Tries, Hedge: !k.NoHedge && !k.Write}, n, c.shared, rand.Float64())
+	call.machine = attempt.New(call.startedMs, call.deadlineMs,
+		attempt.Class{Write: class.Write, Tries: class.Tries, Hedge: !class.NoHedge && !class.Write},
+		classIndex, c.shared, rand.Float64())
 	c.mu.Unlock()
 	resp, err := call.run()
-	if h := c.options.Hooks.Call; h != nil {
-		h(r.Class, len(call.tries), err, time.Duration((c.now()-call.began)*float64(time.Millisecond)))
+	if hook := c.options.Hooks.Call; hook != nil {
+		hook(r.Class, len(call.tries), err, time.Duration((c.now()-call.startedMs)*float64(time.Millisecond)))
 	}
 	return resp, err
 }
 
+// errClosed is the cause of calls that end because the client is closed.
 var errClosed = errors.New("client: closed")
 
-// Nodes returns how many nodes the client has in use.
+// Nodes returns the number of nodes that the client uses.
 func (c *Client) Nodes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/client/conn.go
+++ b/client/conn.go
@@ -12,143 +12,145 @@
 
 // conn is a connection to a node.
 type conn interface {
-	// do sends a request and waits for its answer, until the context is done. An outcome with an answer is told apart by its
-	// status.
-	do(ctx context.Context, r *wire.Request) outcome
-	streams() int // requests that it carries at a time; 0: it can't be told
-	dead() bool   // it carries no new request
+	// roundTrip sends a request and waits for the answer until ctx is done. If there is an answer, the outcome is not
+	// set: the caller derives it from the status.
+	roundTrip(ctx context.Context, r *wire.Request) tryResult
+	maxStreams() int // maximum number of concurrent requests; 0: not known
+	unusable() bool  // the connection accepts no new request
 	close()
 }
 
-// dial makes a connection.
-func dial(ctx context.Context, p Protocol, addr string) (conn, error) {
-	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", addr)
+// dial connects to a node.
+func dial(ctx context.Context, protocol Protocol, addr string) (conn, error) {
+	var dialer net.Dialer
+	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if p == H2C {
+	if protocol == H2C {
 		return newH2(c, addr)
 	}
-	w := &plain{c: c, addr: addr, uwsgi: p == UWSGI}
-	go w.read()
+	w := &serialConn{c: c, addr: addr, uwsgi: protocol == UWSGI}
+	go w.readResponses()
 	return w, nil
 }
 
-// plain is a connection of HTTP/1.1 or uwsgi, one request at a time. Its goroutine reads, so that a node that closes an idle
-// connection is noticed before a request is sent there.
-type plain struct {
+// serialConn is a connection of HTTP/1.1 or uwsgi, which carry one request at a time. A goroutine reads all the time,
+// so that an idle connection that the node closes is noticed before a request is sent over it.
+type serialConn struct {
 	c     net.Conn
 	addr  string
 	uwsgi bool
 
-	mu   sync.Mutex
-	wait chan read // of the request that is out; nil: none
-	gone bool
+	mu      sync.Mutex
+	pending chan readResult // receives the result of the outstanding request; nil: none
+	closed  bool            // no new request may be sent
 }
 
-type read struct {
+// readResult is what readResponses received: an answer or an error.
+type readResult struct {
 	answer *wire.Response
 	err    error
 }
 
-// read reads answers until the connection ends.
-func (w *plain) read() {
-	var p wire.Parser
+// readResponses reads answers until the connection can carry no more requests.
+func (w *serialConn) readResponses() {
+	var parser wire.Parser
 	buf := make([]byte, 4096)
 	for {
 		n, err := w.c.Read(buf)
-		a, bad := p.Feed(buf[:n])
-		if err != nil && a == nil && bad == nil {
-			if a, bad = p.End(); a == nil {
-				bad = err
+		answer, parseErr := parser.Feed(buf[:n])
+		if err != nil && answer == nil && parseErr == nil {
+			if answer, parseErr = parser.End(); answer == nil {
+				parseErr = err
 			}
 		}
 		switch {
-		case a != nil:
-			w.deliver(read{answer: a}, a.Close || w.uwsgi || !p.Idle())
-			if a.Close || w.uwsgi || !p.Idle() {
+		case answer != nil:
+			w.deliver(readResult{answer: answer}, answer.Close || w.uwsgi || !parser.Idle())
+			if answer.Close || w.uwsgi || !parser.Idle() {
 				return
 			}
-		case bad != nil:
-			w.deliver(read{err: bad}, true)
+		case parseErr != nil:
+			w.deliver(readResult{err: parseErr}, true)
 			return
 		}
 	}
 }
 
-// deliver hands on what came; last: the connection carries nothing more.
-func (w *plain) deliver(r read, last bool) {
+// deliver passes a result to the outstanding request. It closes the connection if this is the last answer or if no
+// request is outstanding.
+func (w *serialConn) deliver(r readResult, last bool) {
 	w.mu.Lock()
-	wait := w.wait
-	w.wait = nil
-	if last || wait == nil {
-		w.gone = true
+	pending := w.pending
+	w.pending = nil
+	if last || pending == nil {
+		w.closed = true
 		w.c.Close()
 	}
 	w.mu.Unlock()
-	if wait != nil {
-		wait <- r
+	if pending != nil {
+		pending <- r
 	}
 }
 
-func (w *plain) streams() int { return 1 }
+func (w *serialConn) maxStreams() int { return 1 }
 
-func (w *plain) dead() bool {
+func (w *serialConn) unusable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gone
+	return w.closed
 }
 
-func (w *plain) close() {
+func (w *serialConn) close() {
 	w.mu.Lock()
-	w.gone = true
+	w.closed = true
 	w.mu.Unlock()
 	w.c.Close()
 }
 
-func (w *plain) do(ctx context.Context, r *wire.Request) outcome {
-	var b []byte
+func (w *serialConn) roundTrip(ctx context.Context, r *wire.Request) tryResult {
+	var packet []byte
 	if w.uwsgi {
 		var err error
-		if b, err = wire.AppendUWSGI(nil, r); err != nil {
-			return outcome{end: attempt.Unsent, err: err}
+		if packet, err = wire.AppendUWSGI(nil, r); err != nil {
+			return tryResult{outcome: attempt.Unsent, err: err}
 		}
 	} else {
-		b = wire.AppendHTTP(nil, r, w.addr)
+		packet = wire.AppendHTTP(nil, r, w.addr)
 	}
-	wait := make(chan read, 1)
+	pending := make(chan readResult, 1)
 	w.mu.Lock()
-	if w.gone || w.wait != nil {
+	if w.closed || w.pending != nil {
 		w.mu.Unlock()
-		return outcome{end: attempt.Unsent, err: net.ErrClosed}
+		return tryResult{outcome: attempt.Unsent, err: net.ErrClosed}
 	}
-	w.wait = wait
+	w.pending = pending
 	w.mu.Unlock()
 	if d, ok := ctx.Deadline(); ok {
 		w.c.SetWriteDeadline(d)
 	}
-	if n, err := w.c.Write(b); err != nil {
+	if n, err := w.c.Write(packet); err != nil {
 		w.close()
 		if n == 0 {
-			return outcome{end: attempt.Unsent, err: err} // the kernel took none of it
+			return tryResult{outcome: attempt.Unsent, err: err} // the kernel accepted none of the bytes
 		}
-		return outcome{end: attempt.Broken, err: err}
+		return tryResult{outcome: attempt.Broken, err: err}
 	}
 	select {
-	case got := <-wait:
-		if got.err != nil {
-			return outcome{end: attempt.Broken, err: got.err}
+	case received := <-pending:
+		if received.err != nil {
+			return tryResult{outcome: attempt.Broken, err: received.err}
 		}
-		return outcome{answer: got.answer}
+		return tryResult{answer: received.answer}
 	case <-ctx.Done():
-		w.close() // the node takes it for a caller that is gone
-		return outcome{end: ended(ctx), err: ctx.Err()}
+		w.close() // the node treats the closed connection as a cancelled request
+		return tryResult{outcome: contextOutcome(ctx), err: ctx.Err()}
 	}
 }
 
-// ended is how a try ended whose context is done.
-func ended(ctx context.Context) attempt.Outcome {
+// contextOutcome returns the outcome of a try whose context is done.
+func contextOutcome(ctx context.Context) attempt.Outcome {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return attempt.Late
 	}
--- a/client/ensemble/ensemble.go
+++ b/client/ensemble/ensemble.go
@@ -1,5 +1,5 @@
-// Package ensemble takes a client's nodes from the ephemeral znodes of a ZooKeeper ensemble, where nodes register that are told to
-// by their operators.
+// Package ensemble supplies a client with the nodes that are registered in a ZooKeeper ensemble. Nodes register with
+// ephemeral znodes if their operators configure it.
 package ensemble
 
 import (
@@ -14,35 +14,37 @@
 	"whinrudder/internal/membership"
 )
 
-// Source is a client.Source.
+// Source is a client.Source that reads the nodes from a ZooKeeper ensemble. Servers and Path are required.
 type Source struct {
-	Servers  []string // HOST:PORT of the ensemble
-	Path     string   // the znode under which nodes register
-	Session  time.Duration
-	Protocol client.Protocol // whose addresses are taken; empty: HTTP
+	Servers  []string        // HOST:PORT of the servers of the ensemble
+	Path     string          // the znode under which nodes register
+	Session  time.Duration   // timeout of the ZooKeeper session; 0: six seconds
+	Protocol client.Protocol // protocol for which the addresses of nodes are used; empty: HTTP
 }
 
-// Limits of what is read, and how often it is read without an event: watches may be lost with a connection.
+// Limits of the list, and the intervals between reads.
 const (
-	maxNodes  = 4096
-	maxPacket = 1 << 20
-	again     = time.Second
-	anyway    = 5 * time.Second
+	maxNodes       = 4096 // znodes that are read; the rest are ignored
+	maxPacketBytes = 1 << 20
+	retryInterval  = time.Second     // after a failed read
+	pollInterval   = 5 * time.Second // without a watch event: watches may be lost with a connection
 )
 
-type quiet struct{}
+// discardLogger is a zk.Logger that writes nothing.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Watch implements client.Source.
-func (s Source) Watch(ctx context.Context, list func(made time.Time, nodes []client.Node)) {
+// Watch implements client.Source. It calls list after each successful read. It returns at once if Servers is not valid.
+func (s Source) Watch(ctx context.Context, list func(asOf time.Time, nodes []client.Node)) {
 	session := s.Session
 	if session == 0 {
 		session = 6 * time.Second
 	}
-	conn, _, err := zk.Connect(s.Servers, session, zk.WithLogInfo(false), zk.WithLogger(quiet{}), zk.WithMaxBufferSize(maxPacket))
+	conn, _, err := zk.Connect(s.Servers, session, zk.WithLogInfo(false), zk.WithLogger(discardLogger{}),
+		zk.WithMaxBufferSize(maxPacketBytes))
 	if err != nil {
-		return // no address of the ensemble can be read
+		return // Servers is not valid
 	}
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer func() {
@@ -51,29 +53,29 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		made := time.Now()
+		asOf := time.Now()
 		nodes, changed, err := s.read(conn)
-		wait := anyway
+		wait := pollInterval
 		if err == nil {
-			list(made, nodes)
+			list(asOf, nodes)
 		} else {
-			wait = again // what is known stays: an ensemble that is lost takes no node away
+			wait = retryInterval // the last list stays valid: losing the ensemble removes no node
 		}
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
 		case <-changed:
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
-		t.Stop()
+		timer.Stop()
 	}
 }
 
-// read returns the nodes, and what tells that they are others.
+// read returns the registered nodes and a channel that receives an event when their set changes; nil: no watch is set.
 func (s Source) read(conn *zk.Conn) (out []client.Node, changed <-chan zk.Event, err error) {
 	names, _, changed, err := conn.ChildrenW(s.Path)
 	if errors.Is(err, zk.ErrNoNode) {
-		return nil, nil, nil // nobody has registered yet
+		return nil, nil, nil // no node has registered yet
 	}
 	if err != nil {
 		return nil, nil, err
@@ -94,13 +96,14 @@
 	return out, changed, nil
 }
 
-// node reads a znode; ok is false if it is of no node that speaks the protocol.
+// node decodes a znode; ok is false if it does not describe a node that serves the protocol.
 func (s Source) node(name string, data []byte) (n client.Node, ok bool) {
-	e, ok := membership.ParseEntry(data)
+	entry, ok := membership.ParseEntry(data)
 	if !ok {
 		return n, false
 	}
-	addr := map[client.Protocol]string{client.HTTP: e.Listen, "": e.Listen, client.UWSGI: e.UWSGI, client.H2C: e.H2C}[s.Protocol]
-	n = client.Node{Name: name, Addr: addr, Draining: e.Draining}
+	addr := map[client.Protocol]string{client.HTTP: entry.Listen, "": entry.Listen,
+		client.UWSGI: entry.UWSGI, client.H2C: entry.H2C}[s.Protocol]
+	n = client.Node{Name: name, Addr: addr, Draining: entry.Draining}
 	return n, n.Addr != ""
 }
--- a/client/source.go
+++ b/client/source.go
@@ -8,56 +8,59 @@
 	"time"
 )
 
-// File is a list of nodes in a file that is read again when it changes: a line a node, with its name, its address and, if it
-// drains, the word draining. Empty lines, and those that begin with #, say nothing. A file that is not there, or that can't be
-// read, changes nothing.
+// File is a Source that reads the nodes from the file of that path and reads it again when it changes. Each line has
+// the name of a node, its address (HOST:PORT) and, if the node is draining, the word draining. Empty lines and lines
+// that begin with # are ignored. While the file is missing, unreadable or malformed, the last list stays valid.
 type File string
 
-// fileEvery is how often a file is looked at.
-const fileEvery = 200 * time.Millisecond
+// filePollInterval is the interval between checks whether the file has changed.
+const filePollInterval = 200 * time.Millisecond
 
-// Watch implements Source.
+// Watch implements Source. The age of a list is the age of the file's modification time, but at most the time since the
+// check before.
 func (f File) Watch(ctx context.Context, list func(time.Time, []Node)) {
-	tick := time.NewTicker(fileEvery)
-	defer tick.Stop()
-	var last os.FileInfo
-	var looked time.Time
+	ticker := time.NewTicker(filePollInterval)
+	defer ticker.Stop()
+	var previous os.FileInfo
+	var polledAt time.Time
 	for {
 		now := time.Now()
-		if info, err := os.Stat(string(f)); err == nil && (last == nil || info.ModTime() != last.ModTime() || info.Size() != last.Size() || !os.SameFile(info, last)) {
+		if info, err := os.Stat(string(f)); err == nil && (previous == nil || info.ModTime() != previous.ModTime() ||
+			info.Size() != previous.Size() || !os.SameFile(info, previous)) {
 			if nodes, ok := f.read(); ok {
 				age := max(0, now.Sub(info.ModTime()))
-				if last != nil {
-					// It came since the last look, whatever its time says: clocks are set back, and files are copied with theirs.
-					age = min(age, now.Sub(looked))
+				if previous != nil {
+					// The file was replaced after the last check, even if its modification time is older: clocks can be
+					// set back, and files can be copied together with their times.
+					age = min(age, now.Sub(polledAt))
 				}
-				last = info
+				previous = info
 				list(now.Add(-age), nodes)
 			}
 		}
-		looked = now
+		polledAt = now
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// read returns the nodes of the file; ok is false if it is not a list.
+// read returns the nodes in the file; ok is false if the file cannot be read or has a malformed line.
 func (f File) read() (out []Node, ok bool) {
 	text, err := os.ReadFile(string(f))
 	if err != nil {
 		return nil, false
 	}
 	for lines := bufio.NewScanner(strings.NewReader(string(text))); lines.Scan(); {
-		w := strings.Fields(lines.Text())
+		words := strings.Fields(lines.Text())
 		switch {
-		case len(w) == 0 || strings.HasPrefix(w[0], "#"):
-		case len(w) == 2 || len(w) == 3 && w[2] == "draining":
-			out = append(out, Node{Name: w[0], Addr: w[1], Draining: len(w) == 3})
+		case len(words) == 0 || strings.HasPrefix(words[0], "#"):
+		case len(words) == 2 || len(words) == 3 && words[2] == "draining":
+			out = append(out, Node{Name: words[0], Addr: words[1], Draining: len(words) == 3})
 		default:
-			return nil, false // half written: the rest comes
+			return nil, false // probably half written: a later check reads the whole file
 		}
 	}
 	return out, true
