--- a/client/call.go
+++ b/client/call.go
@@ -124,7 +124,8 @@
 	feedback := route.Result{Took: tookMs, Credit: -1}
 	noRetry := false
 	if result.answer != nil {
-		feedback.Credit, feedback.RetryAfter, noRetry = result.answer.Credit, result.answer.RetryAfter, result.answer.NoRetry
+		feedback.Credit, feedback.RetryAfter, noRetry =
+			result.answer.Credit, result.answer.RetryAfter, result.answer.NoRetry
 		if result.answer.Close && result.answer.Credit == 0 {
 			c.members.MarkDraining(now, member.Name) // credit 0 and a closed connection: the node is draining
 		} else {
@@ -165,7 +166,8 @@
 
 // outcomeNames are the values of Try.Outcome.
 var outcomeNames = map[attempt.Outcome]string{attempt.Served: "served", attempt.Refused: "refused",
-	attempt.Unsent: "unsent", attempt.Failed: "failed", attempt.Broken: "broken", attempt.Late: "late", attempt.Withdrawn: "withdrawn"}
+	attempt.Unsent: "unsent", attempt.Failed: "failed", attempt.Broken: "broken",
+	attempt.Late: "late", attempt.Withdrawn: "withdrawn"}
 
 // exchange acquires a connection to a node, sends a request over it and returns the result.
 func (c *Client) exchange(ctx context.Context, member *members.Member, r wire.Request, deadlineMs float64) tryResult {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,103 +19,106 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// standIn is a node of any protocol that does as it is told: how says what is done with the nth request.
-type standIn struct {
-	addr string
-	n    atomic.Int64
-	ran  sync.Map // bodies that ran, with how often
-	how  func(n int64, r *http.Request, w http.ResponseWriter)
-	l    net.Listener
-	stop func()
+// fakeNode is a node of any protocol whose requests are served by the function handle.
+type fakeNode struct {
+	addr     string
+	requests atomic.Int64                                          // number of requests received
+	ran      sync.Map                                              // number of runs (*atomic.Int64) by request body
+	handle   func(n int64, r *http.Request, w http.ResponseWriter) // serves the nth request, counted from 1
+	listener net.Listener
+	stop     func()
 }
 
-func (s *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.how(s.n.Add(1), r, w)
+func (s *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.handle(s.requests.Add(1), r, w)
 }
 
-// run serves a request, and notes that it ran.
-func (s *standIn) run(w http.ResponseWriter, r *http.Request) {
+// run serves a request and records that it ran.
+func (s *fakeNode) run(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	n, _ := s.ran.LoadOrStore(string(body), new(atomic.Int64))
-	n.(*atomic.Int64).Add(1)
+	count, _ := s.ran.LoadOrStore(string(body), new(atomic.Int64))
+	count.(*atomic.Int64).Add(1)
 	w.Header().Set("Srv-Load", "50")
 	fmt.Fprintf(w, "did %s", body)
 }
 
-func refuse(w http.ResponseWriter, wait string, last bool) {
-	w.Header().Set("Srv-Wait-Ms", wait)
-	if last {
+// refuseRequest answers 503 with Srv-Wait-Ms and, if the request must not be retried at another node, Srv-Last.
+func refuseRequest(w http.ResponseWriter, waitMs string, noRetry bool) {
+	w.Header().Set("Srv-Wait-Ms", waitMs)
+	if noRetry {
 		w.Header().Set("Srv-Last", "1")
 	}
 	w.WriteHeader(503)
 }
 
-// cut breaks the connection with the request in hand.
-func cut(http.ResponseWriter) { panic(http.ErrAbortHandler) }
+// breakConn closes the connection without an answer.
+func breakConn(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-func start(t testing.TB, p Protocol, how func(s *standIn) func(n int64, r *http.Request, w http.ResponseWriter)) *standIn {
+// startNode starts a node of the given protocol and stops it at the end of the test.
+func startNode(t testing.TB, protocol Protocol,
+	handle func(s *fakeNode) func(n int64, r *http.Request, w http.ResponseWriter)) *fakeNode {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standIn{addr: l.Addr().String(), l: l}
-	s.how = how(s)
-	if p == UWSGI {
-		var wait sync.WaitGroup
-		wait.Go(func() {
+	s := &fakeNode{addr: l.Addr().String(), listener: l}
+	s.handle = handle(s)
+	if protocol == UWSGI {
+		var goroutines sync.WaitGroup
+		goroutines.Go(func() {
 			for {
 				c, err := l.Accept()
 				if err != nil {
 					return
 				}
-				wait.Go(func() { s.uwsgi(c) })
+				goroutines.Go(func() { s.serveUWSGI(c) })
 			}
 		})
-		s.stop = func() { l.Close(); wait.Wait() }
+		s.stop = func() { l.Close(); goroutines.Wait() }
 	} else {
 		var protocols http.Protocols
-		protocols.SetHTTP1(p == HTTP)
-		protocols.SetUnencryptedHTTP2(p == H2C)
-		srv := &http.Server{Handler: s, Protocols: &protocols}
+		protocols.SetHTTP1(protocol == HTTP)
+		protocols.SetUnencryptedHTTP2(protocol == H2C)
+		server := &http.Server{Handler: s, Protocols: &protocols}
 		done := make(chan struct{})
-		go func() { srv.Serve(l); close(done) }()
-		s.stop = func() { srv.Close(); <-done }
+		go func() { server.Serve(l); close(done) }()
+		s.stop = func() { server.Close(); <-done }
 	}
 	t.Cleanup(s.stop)
 	return s
 }
 
-// readPacket reads a uwsgi packet and the body behind it.
+// readPacket reads a uwsgi packet and the body that follows it.
 func readPacket(r io.Reader) (vars map[string]string, body string, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, "", err
 	}
-	b := make([]byte, binary.LittleEndian.Uint16(head[1:]))
-	if _, err := io.ReadFull(r, b); err != nil {
+	block := make([]byte, binary.LittleEndian.Uint16(header[1:]))
+	if _, err := io.ReadFull(r, block); err != nil {
 		return nil, "", err
 	}
 	vars = map[string]string{}
 	text := func() string {
-		n := binary.LittleEndian.Uint16(b)
-		v := string(b[2 : 2+n])
-		b = b[2+n:]
+		n := binary.LittleEndian.Uint16(block)
+		v := string(block[2 : 2+n])
+		block = block[2+n:]
 		return v
 	}
-	for len(b) > 0 {
+	for len(block) > 0 {
 		k := text()
 		vars[k] = text()
 	}
 	var n int
 	fmt.Sscan(vars["CONTENT_LENGTH"], &n)
-	all := make([]byte, n)
-	_, err = io.ReadFull(r, all)
-	return vars, string(all), err
+	content := make([]byte, n)
+	_, err = io.ReadFull(r, content)
+	return vars, string(content), err
 }
 
-// uwsgi reads one packet and answers it in the form of HTTP.
-func (s *standIn) uwsgi(c net.Conn) {
+// serveUWSGI reads one packet and writes the answer in the format of HTTP.
+func (s *fakeNode) serveUWSGI(c net.Conn) {
 	defer c.Close()
 	vars, body, err := readPacket(c)
 	if err != nil {
@@ -130,15 +133,16 @@
 	w := &recorder{h: http.Header{}, status: 200}
 	defer func() {
 		if recover() != nil {
-			return // cut
+			return // breakConn was called
 		}
 		fmt.Fprintf(c, "HTTP/1.1 %d X\r\n", w.status)
 		w.h.Write(c)
 		fmt.Fprintf(c, "Content-Length: %d\r\n\r\n%s", w.body.Len(), w.body.String())
 	}()
-	s.how(s.n.Add(1), r, w)
+	s.handle(s.requests.Add(1), r, w)
 }
 
+// recorder is an http.ResponseWriter that stores the answer.
 type recorder struct {
 	h      http.Header
 	status int
@@ -151,20 +155,21 @@
 
 var classes = []Class{{Name: "rate-quote"}, {Name: "payout-book", Write: true}}
 
-func open(t *testing.T, p Protocol, o Options, nodes ...*standIn) *Client {
+// newClient returns a client of the given nodes, with the test's classes unless the options have others.
+func newClient(t *testing.T, protocol Protocol, options Options, nodes ...*fakeNode) *Client {
 	t.Helper()
-	var list Fixed
+	var addrs Fixed
 	for _, n := range nodes {
-		list = append(list, n.addr)
+		addrs = append(addrs, n.addr)
 	}
-	o.Protocol = p
-	if o.Source == nil {
-		o.Source = list
+	options.Protocol = protocol
+	if options.Source == nil {
+		options.Source = addrs
 	}
-	if o.Classes == nil {
-		o.Classes = classes
+	if options.Classes == nil {
+		options.Classes = classes
 	}
-	c, err := New(o)
+	c, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,202 +177,214 @@
 	return c
 }
 
-func within(t *testing.T, d time.Duration) context.Context {
+// withDeadline returns a context that ends after d.
+func withDeadline(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(d))
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Over each protocol: results come, a refused booking goes to another node, one whose connection broke does not, and a read does.
+// Guards against a write that runs twice and a read that is given up early, over each protocol: a refused write and a
+// read whose connection broke are retried at another node, a write whose connection broke is not.
 func TestProtocols(t *testing.T) {
-	for _, p := range []Protocol{HTTP, H2C, UWSGI} {
-		t.Run(string(p), func(t *testing.T) {
-			good := start(t, p, func(s *standIn) func(int64, *http.Request, http.ResponseWriter) {
+	for _, protocol := range []Protocol{HTTP, H2C, UWSGI} {
+		t.Run(string(protocol), func(t *testing.T) {
+			good := startNode(t, protocol, func(s *fakeNode) func(int64, *http.Request, http.ResponseWriter) {
 				return func(_ int64, r *http.Request, w http.ResponseWriter) { s.run(w, r) }
 			})
-			bad := start(t, p, func(s *standIn) func(int64, *http.Request, http.ResponseWriter) {
+			bad := startNode(t, protocol, func(s *fakeNode) func(int64, *http.Request, http.ResponseWriter) {
 				return func(_ int64, r *http.Request, w http.ResponseWriter) {
 					if strings.HasSuffix(r.URL.Path, "payout-book") {
-						refuse(w, "1", false)
+						refuseRequest(w, "1", false)
 						return
 					}
-					cut(w)
+					breakConn(w)
 				}
 			})
-			c := open(t, p, Options{}, good, bad)
+			c := newClient(t, protocol, Options{}, good, bad)
 			for i := range 200 {
 				class := classes[i%2].Name
-				resp, err := c.Do(within(t, 20*time.Second), Request{Class: class, Body: []byte(fmt.Sprint(i))})
+				resp, err := c.Do(withDeadline(t, 20*time.Second), Request{Class: class, Body: []byte(fmt.Sprint(i))})
 				if err != nil || string(resp.Body) != fmt.Sprint("did ", i) {
-					t.Fatalf("%s %d: %v %v", class, i, resp, err)
+					t.Fatalf("%s %d: got response %v, error %v", class, i, resp, err)
 				}
 			}
-			if bad.n.Load() == 0 {
-				t.Error("the bad node was asked nothing")
+			if bad.requests.Load() == 0 {
+				t.Error("the failing node received no requests")
 			}
 			for i := range 200 {
 				if n, ok := good.ran.Load(fmt.Sprint(i)); !ok || n.(*atomic.Int64).Load() != 1 {
-					t.Errorf("%d did not run once", i)
+					t.Errorf("request %d did not run exactly once", i)
 				}
 			}
-			broken := open(t, p, Options{}, start(t, p, func(s *standIn) func(int64, *http.Request, http.ResponseWriter) {
-				return func(_ int64, r *http.Request, w http.ResponseWriter) { io.ReadAll(r.Body); cut(w) }
-			}), good)
+			broken := newClient(t, protocol, Options{}, startNode(t, protocol,
+				func(s *fakeNode) func(int64, *http.Request, http.ResponseWriter) {
+					return func(_ int64, r *http.Request, w http.ResponseWriter) { io.ReadAll(r.Body); breakConn(w) }
+				}), good)
 			unknown := 0
 			for i := range 200 {
-				_, err := broken.Do(within(t, 20*time.Second), Request{Class: "payout-book", Body: []byte(fmt.Sprint("b", i))})
-				var fault *Error
+				_, err := broken.Do(withDeadline(t, 20*time.Second), Request{Class: "payout-book",
+					Body: []byte(fmt.Sprint("b", i))})
+				var callErr *Error
 				switch {
 				case err == nil:
-				case errors.Is(err, ErrUnknown) && errors.As(err, &fault) && fault.Reason == Unknown && fault.MayHaveRun() && fault.Tries[len(fault.Tries)-1].Outcome == "broken":
+				case errors.Is(err, ErrUnknown) && errors.As(err, &callErr) && callErr.Reason == Unknown &&
+					callErr.MayHaveRun() && callErr.Tries[len(callErr.Tries)-1].Outcome == "broken":
 					unknown++
 					if _, ran := good.ran.Load(fmt.Sprint("b", i)); ran {
-						t.Errorf("b%d went on to another node", i)
+						t.Errorf("write b%d was retried at another node", i)
 					}
 				default:
-					t.Errorf("b%d: %v", i, err)
+					t.Errorf("b%d: got error %v", i, err)
 				}
 			}
 			if unknown == 0 || unknown > 10 {
-				t.Errorf("%d of 200 are unknown: a node that breaks each is kept away from after some", unknown)
+				t.Errorf("got %d unknown outcomes of 200 writes, want 1 to 10: the breaking node is not avoided",
+					unknown)
 			}
 		})
 	}
 }
 
-// What comes of a call where no node can serve: quickly, with what is known, and nothing ran.
-func TestNothingRan(t *testing.T) {
-	full := start(t, HTTP, func(*standIn) func(int64, *http.Request, http.ResponseWriter) {
-		return func(_ int64, _ *http.Request, w http.ResponseWriter) { refuse(w, "700", false) }
+// Guards against an error that hides that nothing ran: if no node serves a call, it ends after few tries, and its error
+// has the reason and the time that the node asked the caller to wait.
+func TestErrorsProveThatNothingRan(t *testing.T) {
+	refusing := startNode(t, HTTP, func(*fakeNode) func(int64, *http.Request, http.ResponseWriter) {
+		return func(_ int64, _ *http.Request, w http.ResponseWriter) { refuseRequest(w, "700", false) }
 	})
-	stays := start(t, HTTP, func(*standIn) func(int64, *http.Request, http.ResponseWriter) {
-		return func(_ int64, _ *http.Request, w http.ResponseWriter) { refuse(w, "5", true) }
+	noRetry := startNode(t, HTTP, func(*fakeNode) func(int64, *http.Request, http.ResponseWriter) {
+		return func(_ int64, _ *http.Request, w http.ResponseWriter) { refuseRequest(w, "5", true) }
 	})
-	dead := start(t, HTTP, func(*standIn) func(int64, *http.Request, http.ResponseWriter) { return nil })
+	dead := startNode(t, HTTP, func(*fakeNode) func(int64, *http.Request, http.ResponseWriter) { return nil })
 	dead.stop()
-	for _, x := range []struct {
-		name   string
-		node   *standIn
-		reason Reason
-		most   int
-	}{{"all refuse", full, Rejected, 3}, {"not to be passed over", stays, Rejected, 1}, {"dead", dead, NoNode, 3}} {
-		c := open(t, HTTP, Options{}, x.node)
-		_, err := c.Do(within(t, 3*time.Second), Request{Class: "payout-book"})
-		var fault *Error
-		if !errors.As(err, &fault) || errors.Is(err, ErrUnknown) || fault.MayHaveRun() || fault.Reason != x.reason && fault.Reason != NoNode || len(fault.Tries) > x.most {
-			t.Errorf("%s: %v", x.name, err)
+	for _, test := range []struct {
+		name     string
+		node     *fakeNode
+		reason   Reason
+		maxTries int
+	}{{"all refuse", refusing, Rejected, 3}, {"refuse without retry", noRetry, Rejected, 1}, {"dead", dead, NoNode, 3}} {
+		c := newClient(t, HTTP, Options{}, test.node)
+		_, err := c.Do(withDeadline(t, 3*time.Second), Request{Class: "payout-book"})
+		var callErr *Error
+		if !errors.As(err, &callErr) || errors.Is(err, ErrUnknown) || callErr.MayHaveRun() ||
+			callErr.Reason != test.reason && callErr.Reason != NoNode || len(callErr.Tries) > test.maxTries {
+			t.Errorf("%s: got error %v", test.name, err)
 		}
-		if x.reason == Rejected && fault.Wait == 0 {
-			t.Errorf("%s: the advice is lost", x.name)
+		if test.reason == Rejected && callErr.Wait == 0 {
+			t.Errorf("%s: the error has no Wait", test.name)
 		}
 	}
-	c := open(t, HTTP, Options{}, full)
-	if _, err := c.Do(within(t, time.Second), Request{Class: "none"}); err == nil {
-		t.Error("a class that is not known is called")
+	c := newClient(t, HTTP, Options{}, refusing)
+	if _, err := c.Do(withDeadline(t, time.Second), Request{Class: "none"}); err == nil {
+		t.Error("a call of an unknown class succeeded")
 	}
-	if _, err := c.Do(within(t, time.Second), Request{Class: "rate-quote", Key: "a\r\nb"}); err == nil {
-		t.Error("a key that would end its field is sent")
+	if _, err := c.Do(withDeadline(t, time.Second), Request{Class: "rate-quote", Key: "a\r\nb"}); err == nil {
+		t.Error("a call with a line break in its key succeeded")
 	}
 	c.Close()
-	if _, err := c.Do(within(t, time.Second), Request{Class: "rate-quote"}); err == nil {
-		t.Error("a closed client calls")
+	if _, err := c.Do(withDeadline(t, time.Second), Request{Class: "rate-quote"}); err == nil {
+		t.Error("a call of a closed client succeeded")
 	}
 }
 
-// A call that is taken back after nothing but refusals is not in doubt; one with a try that is out is.
-func TestDoubt(t *testing.T) {
-	for _, x := range []struct {
+// Guards against a wrong ErrUnknown of a cancelled call: it may have run only if a try was neither refused nor unsent.
+func TestUnknownOutcomeOfCancelledCall(t *testing.T) {
+	for _, test := range []struct {
 		outcome string
-		doubt   bool
+		unknown bool
 	}{{"refused", false}, {"unsent", false}, {"open", true}, {"late", true}, {"broken", true}} {
-		if err := (&Error{Reason: Cancelled, Tries: []Try{{Outcome: x.outcome}}}); errors.Is(err, ErrUnknown) != x.doubt {
-			t.Errorf("%s: %v", x.outcome, err)
+		if err := (&Error{Reason: Cancelled, Tries: []Try{{Outcome: test.outcome}}}); errors.Is(err, ErrUnknown) != test.unknown {
+			t.Errorf("%s: got error %v, want unknown %v", test.outcome, err, test.unknown)
 		}
 	}
 }
 
-// A caller that goes is heard of by the node; a deadline ends a call; a slow node is hedged.
-func TestTimeAndHedge(t *testing.T) {
-	gone := make(chan struct{}, 9)
-	hang := func(r *http.Request) {
+// Guards against requests that go on after their caller has left: the node notices a cancelled call, a call that
+// reached its deadline, and the slower of a read and its hedge.
+func TestCancelDeadlineAndHedge(t *testing.T) {
+	abandoned := make(chan struct{}, 9)
+	blockUntilCancelled := func(r *http.Request) {
 		io.ReadAll(r.Body)
 		select {
 		case <-r.Context().Done():
-			gone <- struct{}{}
+			abandoned <- struct{}{}
 		case <-time.After(20 * time.Second):
 		}
 	}
-	slow := start(t, HTTP, func(*standIn) func(int64, *http.Request, http.ResponseWriter) {
-		return func(_ int64, r *http.Request, _ http.ResponseWriter) { hang(r) }
+	slow := startNode(t, HTTP, func(*fakeNode) func(int64, *http.Request, http.ResponseWriter) {
+		return func(_ int64, r *http.Request, _ http.ResponseWriter) { blockUntilCancelled(r) }
 	})
-	c := open(t, HTTP, Options{}, slow)
+	c := newClient(t, HTTP, Options{}, slow)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
 	_, err := c.Do(ctx, Request{Class: "payout-book"})
-	var fault *Error
-	if !errors.As(err, &fault) || fault.Reason != Cancelled || !errors.Is(err, context.Canceled) || !errors.Is(err, ErrUnknown) {
-		t.Errorf("cancelled: %v", err)
+	var callErr *Error
+	if !errors.As(err, &callErr) || callErr.Reason != Cancelled || !errors.Is(err, context.Canceled) ||
+		!errors.Is(err, ErrUnknown) {
+		t.Errorf("cancelled: got error %v", err)
 	}
-	<-gone
-	if _, err = c.Do(within(t, 100*time.Millisecond), Request{Class: "payout-book"}); !errors.Is(err, ErrUnknown) {
-		t.Errorf("late: %v", err)
+	<-abandoned
+	if _, err = c.Do(withDeadline(t, 100*time.Millisecond), Request{Class: "payout-book"}); !errors.Is(err, ErrUnknown) {
+		t.Errorf("deadline: got error %v, want ErrUnknown", err)
 	}
-	<-gone
-	hangs := atomic.Bool{} // the next request without a rank does, whichever node has it
-	either := func(s *standIn) func(int64, *http.Request, http.ResponseWriter) {
+	<-abandoned
+	blockNext := atomic.Bool{} // block the next request without a rank, at whichever node
+	handle := func(s *fakeNode) func(int64, *http.Request, http.ResponseWriter) {
 		return func(_ int64, r *http.Request, w http.ResponseWriter) {
-			if r.Header.Get("Req-Rank") != "0.5000" && hangs.CompareAndSwap(true, false) {
-				hang(r)
+			if r.Header.Get("Req-Rank") != "0.5000" && blockNext.CompareAndSwap(true, false) {
+				blockUntilCancelled(r)
 				return
 			}
 			s.run(w, r)
 		}
 	}
 	hedges := atomic.Int64{}
-	c = open(t, HTTP, Options{Hooks: Hooks{Try: func(_, _ string, again, hedge bool) {
-		if hedge && again {
+	c = newClient(t, HTTP, Options{Hooks: Hooks{Try: func(_, _ string, retry, hedge bool) {
+		if hedge && retry {
 			hedges.Add(1)
 		}
-	}}}, start(t, HTTP, either), start(t, HTTP, either))
-	for i := range 200 { // both learn to be usual
-		if _, err := c.Do(within(t, 20*time.Second), Request{Class: "rate-quote", Rank: 0.5}); err != nil {
+	}}}, startNode(t, HTTP, handle), startNode(t, HTTP, handle))
+	for i := range 200 { // the client learns the usual latency
+		if _, err := c.Do(withDeadline(t, 20*time.Second), Request{Class: "rate-quote", Rank: 0.5}); err != nil {
 			t.Fatal(i, err)
 		}
 	}
 	before := hedges.Load()
-	hangs.Store(true)
-	if _, err := c.Do(within(t, 15*time.Second), Request{Class: "rate-quote"}); err != nil || hedges.Load() == before {
-		t.Errorf("%v, %d hedges", err, hedges.Load()-before)
+	blockNext.Store(true)
+	if _, err := c.Do(withDeadline(t, 15*time.Second), Request{Class: "rate-quote"}); err != nil || hedges.Load() == before {
+		t.Errorf("got error %v and %d hedges, want no error and a hedge", err, hedges.Load()-before)
 	}
-	<-gone // the loser is given up
+	<-abandoned // the client cancels the slower try
 }
 
-// Thousands of goroutines share a client; connections stay within their limits, and each request runs once.
+// Guards against races between calls: 2000 concurrent calls share a client, no request runs twice, and no more than 64
+// connections to each of the four nodes are in use.
 func TestManyGoroutines(t *testing.T) {
-	var nodes []*standIn
-	var most, now atomic.Int64
+	var nodes []*fakeNode
+	var peak, active atomic.Int64
 	for range 4 {
-		nodes = append(nodes, start(t, HTTP, func(s *standIn) func(int64, *http.Request, http.ResponseWriter) {
+		nodes = append(nodes, startNode(t, HTTP, func(s *fakeNode) func(int64, *http.Request, http.ResponseWriter) {
 			return func(_ int64, r *http.Request, w http.ResponseWriter) {
-				if n := now.Add(1); n > most.Load() {
-					most.Store(n)
+				if n := active.Add(1); n > peak.Load() {
+					peak.Store(n)
 				}
 				s.run(w, r)
-				now.Add(-1)
+				active.Add(-1)
 			}
 		}))
 	}
-	c := open(t, HTTP, Options{}, nodes...)
-	var wait sync.WaitGroup
+	c := newClient(t, HTTP, Options{}, nodes...)
+	var goroutines sync.WaitGroup
 	var failed atomic.Int64
 	for i := range 2000 {
-		wait.Go(func() {
-			if _, err := c.Do(within(t, 60*time.Second), Request{Class: "payout-book", Body: []byte(fmt.Sprint(i))}); err != nil {
+		goroutines.Go(func() {
+			if _, err := c.Do(withDeadline(t, 60*time.Second), Request{Class: "payout-book",
+				Body: []byte(fmt.Sprint(i))}); err != nil {
 				failed.Add(1)
 			}
 		})
 	}
-	wait.Wait()
+	goroutines.Wait()
 	ran := 0
 	for _, n := range nodes {
 		n.ran.Range(func(k, v any) bool {
@@ -377,7 +394,8 @@
 			return true
 		})
 	}
-	if most.Load() > 4*64 || ran+int(failed.Load()) != 2000 {
-		t.Errorf("%d at once, %d ran, %d failed", most.Load(), ran, failed.Load())
+	if peak.Load() > 4*64 || ran+int(failed.Load()) != 2000 {
+		t.Errorf("got %d requests at once, %d run and %d failed calls, want at most 256 at once and 2000 in total",
+			peak.Load(), ran, failed.Load())
 	}
 }
--- a/client/ensemble/ensemble_test.go
+++ b/client/ensemble/ensemble_test.go
@@ -11,37 +11,37 @@
 	"whinrudder/internal/rehearse"
 )
 
-// Nodes come and go with their znodes, at once by the watch; what is no node is passed over, and an ensemble that is lost takes
-// nobody away.
+// Guards against a wrong list of nodes: nodes appear and disappear with their znodes as soon as the watch reports it,
+// znodes that do not describe a node are skipped, and losing the ensemble removes no node.
 func TestNodesComeAndGo(t *testing.T) {
 	addr, step, stop, err := rehearse.StartEnsemble()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stop()
-	do := func(word, at string) {
+	ensembleStep := func(word, at string) {
 		t.Helper()
 		if err := step(word, at); err != nil {
 			t.Fatal(err)
 		}
 	}
-	do("add", `/nodes/a {"name":"a","listen":"127.0.0.1:1","uwsgi":"127.0.0.1:2"}`)
+	ensembleStep("add", `/nodes/a {"name":"a","listen":"127.0.0.1:1","uwsgi":"127.0.0.1:2"}`)
 	lists := make(chan string, 100)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		Source{Servers: []string{addr}, Path: "/nodes"}.Watch(ctx, func(_ time.Time, nodes []client.Node) {
-			var s []string
+			var lines []string
 			for _, n := range nodes {
-				s = append(s, fmt.Sprint(n.Name, " ", n.Addr, " ", n.Draining))
+				lines = append(lines, fmt.Sprint(n.Name, " ", n.Addr, " ", n.Draining))
 			}
-			lists <- strings.Join(s, ", ")
+			lists <- strings.Join(lines, ", ")
 		})
 	}()
-	want := func(text string) {
+	wantList := func(text string) {
 		t.Helper()
-		late := time.After(30 * time.Second)
+		timeout := time.After(30 * time.Second)
 		last := "nothing"
 		for {
 			select {
@@ -49,30 +49,31 @@
 				if last == text {
 					return
 				}
-			case <-late:
-				t.Fatalf("want %q, the last was %q", text, last)
+			case <-timeout:
+				t.Fatalf("got %q as the last list, want %q", last, text)
 			}
 		}
 	}
-	want("a 127.0.0.1:1 false")
-	do("add", `/nodes/b {"name":"b","listen":"127.0.0.1:3","uwsgi":"","draining":true}`)
-	want("a 127.0.0.1:1 false, b 127.0.0.1:3 true")
-	do("add", `/nodes/c no node`)
-	do("add", `/nodes/d {"listen":""}`)
-	do("remove", "/nodes/a")
-	want("b 127.0.0.1:3 true")
-	do("down", "")
-	do("add", `/nodes/e {"listen":"127.0.0.1:5"}`)
-	do("up", "")
-	want("b 127.0.0.1:3 true, e 127.0.0.1:5 false")
+	wantList("a 127.0.0.1:1 false")
+	ensembleStep("add", `/nodes/b {"name":"b","listen":"127.0.0.1:3","uwsgi":"","draining":true}`)
+	wantList("a 127.0.0.1:1 false, b 127.0.0.1:3 true")
+	ensembleStep("add", `/nodes/c no node`)
+	ensembleStep("add", `/nodes/d {"listen":""}`)
+	ensembleStep("remove", "/nodes/a")
+	wantList("b 127.0.0.1:3 true")
+	ensembleStep("down", "")
+	ensembleStep("add", `/nodes/e {"listen":"127.0.0.1:5"}`)
+	ensembleStep("up", "")
+	wantList("b 127.0.0.1:3 true, e 127.0.0.1:5 false")
 	cancel()
 	<-ended
-	for _, p := range []struct {
+	for _, test := range []struct {
 		protocol client.Protocol
 		want     string
 	}{{client.UWSGI, "u"}, {client.H2C, "h"}, {"", "l"}} {
-		if n, ok := (Source{Protocol: p.protocol}).node("x", []byte(`{"listen":"l","uwsgi":"u","h2c":"h"}`)); !ok || n.Addr != p.want {
-			t.Errorf("%s: %+v", p.protocol, n)
+		if n, ok := (Source{Protocol: test.protocol}).node("x", []byte(`{"listen":"l","uwsgi":"u","h2c":"h"}`)); !ok ||
+			n.Addr != test.want {
+			t.Errorf("protocol %q: got %+v, want address %q", test.protocol, n, test.want)
 		}
 	}
 }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -13,20 +13,21 @@
 	"whinrudder/client"
 )
 
-// node is a stand-in for a payout node, so that the examples run anywhere.
-func node(answer func(w http.ResponseWriter, body string)) (addr string, stop func()) {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// startNode starts a fake payout node, so that the examples run without a real one.
+func startNode(handle func(w http.ResponseWriter, body string)) (addr string, stop func()) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		answer(w, string(body))
+		handle(w, string(body))
 	}))
-	return strings.TrimPrefix(s.URL, "http://"), s.Close
+	return strings.TrimPrefix(server.URL, "http://"), server.Close
 }
 
-// A client books a payout. The node that is full turns it away, with the promise that it did not run, so that another is asked.
+// A client books a payout. The full node refuses the request, which proves that it did not run, so the client retries
+// it at another node.
 func Example() {
-	full, stop := node(func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusServiceUnavailable) })
+	full, stop := startNode(func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusServiceUnavailable) })
 	defer stop()
-	good, stop := node(func(w http.ResponseWriter, body string) { fmt.Fprint(w, "booked ", body) })
+	good, stop := startNode(func(w http.ResponseWriter, body string) { fmt.Fprint(w, "booked ", body) })
 	defer stop()
 
 	c, err := client.New(client.Options{
@@ -50,11 +51,13 @@
 	// Output: booked 42.00 TND
 }
 
-// A booking whose connection breaks may have run or not: nobody but the books can tell, and the client asks no other node.
+// A booking whose connection breaks may have run. The client does not retry it; only the payout system's records show
+// whether it ran.
 func Example_outcomeUnknown() {
-	breaks, stop := node(func(http.ResponseWriter, string) { panic(http.ErrAbortHandler) })
+	breaking, stop := startNode(func(http.ResponseWriter, string) { panic(http.ErrAbortHandler) })
 	defer stop()
-	c, err := client.New(client.Options{Source: client.Fixed{breaks}, Classes: []client.Class{{Name: "payout-book", Write: true}}})
+	c, err := client.New(client.Options{Source: client.Fixed{breaking},
+		Classes: []client.Class{{Name: "payout-book", Write: true}}})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -62,16 +65,16 @@
 	defer c.Close()
 
 	_, err = c.Do(context.Background(), client.Request{Class: "payout-book"})
-	var fault *client.Error
-	if errors.Is(err, client.ErrUnknown) && errors.As(err, &fault) {
-		fmt.Println(fault.Reason, "after", len(fault.Tries), "try, which", fault.Tries[0].Outcome)
+	var callErr *client.Error
+	if errors.Is(err, client.ErrUnknown) && errors.As(err, &callErr) {
+		fmt.Println(callErr.Reason, "after", len(callErr.Tries), "try with outcome", callErr.Tries[0].Outcome)
 	}
-	// Output: unknown after 1 try, which broken
+	// Output: unknown after 1 try with outcome broken
 }
 
-// Who has an http.Client already gives it the client as its transport.
+// The client can be the transport of an http.Client.
 func ExampleClient_RoundTripper() {
-	good, stop := node(func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "3.31") })
+	good, stop := startNode(func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "3.31") })
 	defer stop()
 	c, err := client.New(client.Options{Source: client.Fixed{good}, Classes: []client.Class{{Name: "rate-quote"}}})
 	if err != nil {
@@ -80,8 +83,8 @@
 	}
 	defer c.Close()
 
-	h := &http.Client{Transport: c.RoundTripper()}
-	resp, err := h.Post("http://payouts/rpc/rate-quote", "", strings.NewReader("EUR/TND"))
+	httpClient := &http.Client{Transport: c.RoundTripper()}
+	resp, err := httpClient.Post("http://payouts/rpc/rate-quote", "", strings.NewReader("EUR/TND"))
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/client/source_test.go
+++ b/client/source_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// A file is read when it changes, also by a new file in its place; one that is half written, or gone, changes nothing.
+// Guards against a lost or a wrong update of the list: the file is read again when it is replaced, and a half-written
+// or a missing file leaves the list unchanged.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
 	write := func(text string) {
@@ -30,36 +31,37 @@
 		defer close(ended)
 		File(path).Watch(ctx, func(_ time.Time, nodes []Node) { lists <- fmt.Sprint(nodes) })
 	}()
-	want := func(text string) {
+	wantList := func(text string) {
 		t.Helper()
 		select {
 		case got := <-lists:
 			if got != text {
-				t.Errorf("%s, want %s", got, text)
+				t.Errorf("got list %s, want %s", got, text)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatalf("%s does not come", text)
+			t.Fatalf("got no list within 30 s, want %s", text)
 		}
 	}
 	write("# the fleet\n\na 127.0.0.1:1\nb 127.0.0.1:2 draining\n")
-	want("[{a 127.0.0.1:1 false} {b 127.0.0.1:2 true}]")
+	wantList("[{a 127.0.0.1:1 false} {b 127.0.0.1:2 true}]")
 	write("a 127.0.0.1:1\nb")
 	os.Remove(path)
 	write("c 127.0.0.1:33\n")
-	want("[{c 127.0.0.1:33 false}]")
+	wantList("[{c 127.0.0.1:33 false}]")
 	cancel()
 	<-ended
 }
 
-// A clock that is set back, or a file that is copied with its time, must not make a new list pass for an old one.
-func TestFileOfAnEarlierTime(t *testing.T) {
+// Guards against a new list that is taken for an old one: its modification time is older if the clock was set back or
+// the file was copied together with its time.
+func TestFileWithOlderModificationTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
-	write := func(text string, at time.Time) {
+	write := func(text string, modTime time.Time) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		os.Chtimes(path+".new", at, at)
+		os.Chtimes(path+".new", modTime, modTime)
 		if err := os.Rename(path+".new", path); err != nil {
 			t.Fatal(err)
 		}
@@ -70,26 +72,27 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	nodes := func(n int) {
+	waitForNodes := func(n int) {
 		t.Helper()
-		for late := time.Now().Add(30 * time.Second); c.Nodes() != n && time.Now().Before(late); {
+		for deadline := time.Now().Add(30 * time.Second); c.Nodes() != n && time.Now().Before(deadline); {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if c.Nodes() != n {
-			t.Fatalf("%d nodes, want %d", c.Nodes(), n)
+			t.Fatalf("got %d nodes, want %d", c.Nodes(), n)
 		}
 	}
-	nodes(1)
+	waitForNodes(1)
 	write("a 127.0.0.1:1\nb 127.0.0.1:2\n", time.Now().Add(-time.Hour))
-	nodes(2)
+	waitForNodes(2)
 }
 
-// BenchmarkDo is a whole call over loopback, by protocol, beside Go's own client at the same node.
+// BenchmarkDo measures a call over loopback for each protocol and, for comparison, a request of net/http to such a
+// node.
 func BenchmarkDo(b *testing.B) {
-	for _, p := range []Protocol{HTTP, H2C, UWSGI} {
-		b.Run(string(p), func(b *testing.B) {
-			n := startB(b, p)
-			c, err := New(Options{Source: Fixed{n.addr}, Protocol: p, Classes: classes})
+	for _, protocol := range []Protocol{HTTP, H2C, UWSGI} {
+		b.Run(string(protocol), func(b *testing.B) {
+			node := startBenchmarkNode(b, protocol)
+			c, err := New(Options{Source: Fixed{node.addr}, Protocol: protocol, Classes: classes})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -103,12 +106,12 @@
 		})
 	}
 	b.Run("net/http", func(b *testing.B) {
-		n := startB(b, HTTP)
-		h := &http.Client{Transport: &http.Transport{}}
-		defer h.CloseIdleConnections()
+		node := startBenchmarkNode(b, HTTP)
+		httpClient := &http.Client{Transport: &http.Transport{}}
+		defer httpClient.CloseIdleConnections()
 		b.ReportAllocs()
 		for b.Loop() {
-			resp, err := h.Post("http://"+n.addr+"/rpc/rate-quote", "", nil)
+			resp, err := httpClient.Post("http://"+node.addr+"/rpc/rate-quote", "", nil)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -117,8 +120,9 @@
 	})
 }
 
-func startB(b *testing.B, p Protocol) *standIn {
-	return start(b, p, func(s *standIn) func(int64, *http.Request, http.ResponseWriter) {
+// startBenchmarkNode starts a node that answers every request at once.
+func startBenchmarkNode(b *testing.B, protocol Protocol) *fakeNode {
+	return startNode(b, protocol, func(s *fakeNode) func(int64, *http.Request, http.ResponseWriter) {
 		return func(_ int64, _ *http.Request, w http.ResponseWriter) { w.Write([]byte("ok")) }
 	})
 }
