--- a/cmd/whinrudder/peers.go
+++ b/cmd/whinrudder/peers.go
@@ -15,14 +15,15 @@
 	"whinrudder/internal/warmup"
 )
 
-// answerFor is how long a node may take to tell what it knows.
-const answerFor = 5 * time.Second
+// reportTimeout is the maximum time that a node may take to send its report.
+const reportTimeout = 5 * time.Second
 
-// knowledgeCommand prints what a running node would give.
+// knowledgeCommand prints the learned state that a running node offers to other nodes.
 func knowledgeCommand(out io.Writer) *cli.Command {
-	return &cli.Command{Name: "knowledge", Usage: "print what a running node would give to others", ArgsUsage: "ADDR",
+	return &cli.Command{Name: "knowledge",
+		Usage: "print the learned state that a running node offers to others", ArgsUsage: "ADDR",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "cert", Usage: "file of our certificate; without it plain text is spoken"},
+			&cli.StringFlag{Name: "cert", Usage: "file of our certificate; without it the connection is not encrypted"},
 			&cli.StringFlag{Name: "key", Usage: "file of its key"},
 			&cli.StringFlag{Name: "authority", Usage: "file of the authority's certificate"},
 			&cli.StringFlag{Name: "name", Usage: "name that the node's certificate must have", Value: peertls.DefaultPeerName},
@@ -32,30 +33,33 @@
 			if err := settings.CheckAddr(addr); err != nil {
 				return fmt.Errorf("knowledge: %w", err)
 			}
-			var ring *peertls.Credentials
+			var credentials *peertls.Credentials
 			if c.String("cert") != "" {
 				var err error
-				ring, err = peertls.Load(peertls.Files{Cert: c.String("cert"), Key: c.String("key"), Authority: c.String("authority"),
-					PeerName: c.String("name")})
+				credentials, err = peertls.Load(peertls.Files{Cert: c.String("cert"), Key: c.String("key"),
+					Authority: c.String("authority"),
+					PeerName:  c.String("name")})
 				if err != nil {
 					return err
 				}
 			}
-			r, err := warmup.FetchReport(addr, "operator", ring, float64(time.Now().Add(answerFor).UnixMilli()))
+			report, err := warmup.FetchReport(addr, "operator", credentials,
+				float64(time.Now().Add(reportTimeout).UnixMilli()))
 			if err != nil {
 				return fmt.Errorf("knowledge: %w", err)
 			}
-			knowledge.WriteReport(out, r)
+			knowledge.WriteReport(out, report)
 			return nil
 		}}
 }
 
-// keysCommand makes a small test authority.
+// keysCommand creates a test certificate authority and the keys of nodes.
 func keysCommand(out io.Writer) *cli.Command {
-	return &cli.Command{Name: "keys", Usage: "make a test authority and keys for nodes, to try the peer port out",
+	return &cli.Command{Name: "keys",
+		Usage:     "make a test certificate authority and keys for nodes, to try out the peer port",
 		ArgsUsage: "DIR NODE [NODE ...]",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "days", Usage: "how long they are good", Value: 30},
+			&cli.IntFlag{Name: "days", Usage: "how many days the certificates are valid", Value: 30},
 			&cli.StringFlag{Name: "name", Usage: "name in the certificates", Value: peertls.DefaultPeerName},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -67,8 +71,8 @@
 				return err
 			}
 			for _, n := range nodes {
-				fmt.Fprintf(out, `{"cert":"%s/%s.pem","key":"%s/%s.key","authority":"%s/authority.pem","name":%q}`+"\n", dir, n,
-					dir, n, dir, c.String("name"))
+				fmt.Fprintf(out, `{"cert":"%s/%s.pem","key":"%s/%s.key","authority":"%s/authority.pem","name":%q}`+"\n",
+					dir, n, dir, n, dir, c.String("name"))
 			}
 			return nil
 		}}
