--- a/cmd/whinrudder-kit/clients_test.go
+++ b/cmd/whinrudder-kit/clients_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Proxies as processes of their own call real nodes, one of which dies and one of which is replaced, over each protocol: writes
-// run, none twice, and none that its caller was told did not run. How many are served is the machine's affair.
+// Guards against writes that run twice, or run although the caller was told that they did not: over each protocol,
+// proxies in their own processes call real nodes while one node crashes and one is replaced. The number of served
+// requests is not checked, because it depends on the machine.
 func TestProxiesOfALiveDay(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir, "whinrudder/cmd/...").CombinedOutput(); err != nil {
@@ -24,9 +25,11 @@
 	}
 	for _, protocol := range []string{"http", "h2c", "uwsgi"} {
 		t.Run(protocol, func(t *testing.T) {
-			t.Parallel() // each play waits for its day to pass
-			out, err := exec.Command(filepath.Join(dir, "whinrudder-kit"), "lab", "clients", "--proxy", "--protocol", protocol, day).CombinedOutput()
-			if err != nil || strings.Contains(string(out), "writes: 0 runs") || !strings.Contains(string(out), "0 ran twice, 0 ran though they were told not to have") {
+			t.Parallel() // each play mostly waits, because it runs in real time
+			out, err := exec.Command(filepath.Join(dir, "whinrudder-kit"), "lab", "clients", "--proxy",
+				"--protocol", protocol, day).CombinedOutput()
+			if err != nil || strings.Contains(string(out), "writes: 0 runs") ||
+				!strings.Contains(string(out), "0 ran twice, 0 ran though they were told not to have") {
 				t.Errorf("%v: %s", err, out)
 			}
 			t.Log(string(out))
--- a/cmd/whinrudder-kit/days.go
+++ b/cmd/whinrudder-kit/days.go
@@ -19,26 +19,28 @@
 	"whinrudder/internal/vtime"
 )
 
-// load reads an experiment: a file, or one that ships with the kit by its name.
-func load(name string) (*experiment.Experiment, error) {
+// loadExperiment reads an experiment: a shipped one by its name, or a file by its path.
+func loadExperiment(name string) (*experiment.Experiment, error) {
 	text, ok := experiment.FamilySource(name)
 	if !ok {
 		var err error
 		if text, err = os.ReadFile(name); err != nil {
-			return nil, fmt.Errorf("lab: %q is no file, and none of the days that ship: %s", name, strings.Join(experiment.Families(), ", "))
+			return nil, fmt.Errorf("lab: %q is no file, and none of the days that ship: %s", name,
+				strings.Join(experiment.Families(), ", "))
 		}
 	}
 	return experiment.Parse(text, name, template.Evaluate)
 }
 
-// arguments loads the experiments that a command line names, or all that ship, with what it says beyond them.
-func arguments(c *cli.Command) (out []*experiment.Experiment, err error) {
+// experimentsFromArgs loads the experiments that the command line names, or all shipped ones if it names none, and
+// applies the flags that override their settings.
+func experimentsFromArgs(c *cli.Command) (out []*experiment.Experiment, err error) {
 	names := c.Args().Slice()
 	if len(names) == 0 {
 		names = experiment.Families()
 	}
-	for _, n := range names {
-		e, err := load(n)
+	for _, name := range names {
+		e, err := loadExperiment(name)
 		if err != nil {
 			return nil, err
 		}
@@ -53,16 +55,17 @@
 		if c.IsSet("effect") {
 			e.MinEffect, e.StopEarly = c.Float("effect"), true
 		}
-		if m := c.StringSlice("measure"); len(m) > 0 {
-			for _, name := range m {
+		if measures := c.StringSlice("measure"); len(measures) > 0 {
+			for _, name := range measures {
 				if experiment.MeasureByName(name) == nil {
-					return nil, fmt.Errorf("lab: measure %q is none of %s", name, strings.Join(experiment.MeasureNames(), ", "))
+					return nil, fmt.Errorf("lab: measure %q is none of %s", name,
+						strings.Join(experiment.MeasureNames(), ", "))
 				}
 			}
-			e.Measures = m
+			e.Measures = measures
 		}
-		if p := c.StringSlice("policy"); len(p) > 0 {
-			if err := e.SetPolicies(p); err != nil {
+		if policies := c.StringSlice("policy"); len(policies) > 0 {
+			if err := e.SetPolicies(policies); err != nil {
 				return nil, err
 			}
 		}
@@ -71,21 +74,25 @@
 	return out, nil
 }
 
-func one(c *cli.Command) (*experiment.Experiment, error) {
+// oneExperiment loads the only experiment that the command line names.
+func oneExperiment(c *cli.Command) (*experiment.Experiment, error) {
 	if c.NArg() != 1 {
-		return nil, errors.New("lab: want one experiment, a file or the name of one that ships")
+		return nil, errors.New("lab: want one experiment, a file or the name of a shipped one")
 	}
-	all, err := arguments(c)
+	all, err := experimentsFromArgs(c)
 	if err != nil {
 		return nil, err
 	}
 	return all[0], nil
 }
 
-func tell(done, most int) { fmt.Fprintf(os.Stderr, "\r%d of %d days at most ", done, most) }
+// printProgress writes the progress of a study to standard error, over the line before.
+func printProgress(done, maxDays int) {
+	fmt.Fprintf(os.Stderr, "\r%d of %d days at most ", done, maxDays)
+}
 
-// output writes to a file that a flag names, if it does.
-func output(c *cli.Command, flag string, write func(w io.Writer) error) error {
+// writeFlagFile writes the file that a flag names, if the flag is set.
+func writeFlagFile(c *cli.Command, flag string, write func(w io.Writer) error) error {
 	path := c.String(flag)
 	if path == "" {
 		return nil
@@ -97,20 +104,21 @@
 	return errors.Join(write(f), f.Close())
 }
 
-// finish writes what was played: a table, and files where they are wanted.
-func finish(out io.Writer, c *cli.Command, all []*study.Study) error {
+// writeStudies writes the results of studies: a table, and the files of --json and --plots if they are set.
+func writeStudies(out io.Writer, c *cli.Command, all []*study.Study) error {
 	fmt.Fprintln(os.Stderr)
 	study.WriteTable(out, all)
-	if err := output(c, "json", func(w io.Writer) error { return study.WriteJSONLines(w, all) }); err != nil {
+	if err := writeFlagFile(c, "json", func(w io.Writer) error { return study.WriteJSONLines(w, all) }); err != nil {
 		return err
 	}
 	if dir := c.String("plots"); dir != "" {
-		return plots(out, all, dir)
+		return writePlots(out, all, dir)
 	}
 	return nil
 }
 
-func plots(out io.Writer, all []*study.Study, dir string) error {
+// writePlots draws studies into SVG files in dir and prints their paths.
+func writePlots(out io.Writer, all []*study.Study, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -139,42 +147,46 @@
 	return nil
 }
 
-// plays plays one day with all variants of its experiment.
-func plays(e *experiment.Experiment, x float64, seed vtime.Seed) (d fleet.Day, out []report.VariantResult, err error) {
-	for i, v := range e.Variants {
-		w, err := e.Day(i, x, seed, nil)
+// simulateDay simulates one day with all variants of its experiment. It returns the day of the first variant.
+func simulateDay(e *experiment.Experiment, sweepValue float64,
+	seed vtime.Seed) (d fleet.Day, out []report.VariantResult, err error) {
+	for i, variant := range e.Variants {
+		drawn, err := e.Day(i, sweepValue, seed, nil)
 		if err != nil {
 			return d, nil, err
 		}
 		if i == 0 {
-			d = w
+			d = drawn
 		}
-		out = append(out, report.VariantResult{Name: v.Name, Result: fleet.Simulate(w, v.Policy.NodeFactory())})
+		out = append(out, report.VariantResult{Name: variant.Name,
+			Result: fleet.Simulate(drawn, variant.Policy.NodeFactory())})
 	}
 	return d, out, nil
 }
 
-// variant returns what plays a day as the first variant of an experiment does.
-func variant(e *experiment.Experiment) func(fleet.Day) fleet.Result {
-	make := e.Variants[0].Policy.NodeFactory()
-	return func(d fleet.Day) fleet.Result { return fleet.Simulate(d, make) }
+// firstVariantSimulator returns a function that simulates a day with the first variant of an experiment.
+func firstVariantSimulator(e *experiment.Experiment) func(fleet.Day) fleet.Result {
+	newNode := e.Variants[0].Policy.NodeFactory()
+	return func(d fleet.Day) fleet.Result { return fleet.Simulate(d, newNode) }
 }
 
-// dayCommands play the days of the emulator.
+// dayCommands returns the commands that play simulated days of a fleet.
 func dayCommands(out io.Writer) []*cli.Command {
 	common := []cli.Flag{
-		&cli.IntFlag{Name: "seeds", Usage: "how many days of each kind, in place of what the file says"},
-		&cli.Uint64Flag{Name: "first-seed", Usage: "of the days"},
-		&cli.StringSliceFlag{Name: "policy", Usage: "compare these policies in place of the file's variants, the others with the first"},
-		&cli.StringSliceFlag{Name: "measure", Usage: "what to measure, the first decides"},
-		&cli.FloatFlag{Name: "effect", Usage: "the least difference that matters: play on only until all is clear"},
+		&cli.IntFlag{Name: "seeds", Usage: "how many days of each kind, instead of the number in the file"},
+		&cli.Uint64Flag{Name: "first-seed", Usage: "of the days: the seed of the first; the others follow it"},
+		&cli.StringSliceFlag{Name: "policy",
+			Usage: "compare these policies instead of the file's variants, the others with the first"},
+		&cli.StringSliceFlag{Name: "measure", Usage: "what to measure; the first measure decides the comparison"},
+		&cli.FloatFlag{Name: "effect",
+			Usage: "the least difference that matters; playing stops as soon as every comparison is decided"},
 		&cli.StringFlag{Name: "json", Usage: "file for JSON lines, one for each day that was played"},
 		&cli.StringFlag{Name: "plots", Usage: "folder for plots"},
 	}
 	flags := func(more ...cli.Flag) []cli.Flag { return append(append([]cli.Flag{}, common...), more...) }
-	run := func(change func(*cli.Command, *experiment.Experiment) error) cli.ActionFunc {
+	runStudies := func(change func(*cli.Command, *experiment.Experiment) error) cli.ActionFunc {
 		return func(_ context.Context, c *cli.Command) error {
-			all, err := arguments(c)
+			all, err := experimentsFromArgs(c)
 			if err != nil {
 				return err
 			}
@@ -183,47 +195,49 @@
 					return err
 				}
 			}
-			played, err := study.Run(all, tell)
+			played, err := study.Run(all, printProgress)
 			if err != nil {
 				return err
 			}
-			return finish(out, c, played)
+			return writeStudies(out, c, played)
 		}
 	}
 	return []*cli.Command{{
-		Name: "days", Usage: "list the days that ship, or print one of them", ArgsUsage: "[NAME]",
+		Name: "days", Usage: "list the shipped days, or print one of them", ArgsUsage: "[NAME]",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.NArg() == 0 {
-				for _, f := range experiment.Families() {
-					text, _ := experiment.FamilySource(f)
+				for _, family := range experiment.Families() {
+					text, _ := experiment.FamilySource(family)
 					first, _, _ := strings.Cut(string(text), "\n")
-					fmt.Fprintf(out, "%-10s %s\n", f, strings.TrimPrefix(first, "// "))
+					fmt.Fprintf(out, "%-10s %s\n", family, strings.TrimPrefix(first, "// "))
 				}
 				return nil
 			}
 			text, ok := experiment.FamilySource(c.Args().First())
 			if !ok {
-				return fmt.Errorf("lab: no day %q ships", c.Args().First())
+				return fmt.Errorf("lab: %q is not the name of a shipped day", c.Args().First())
 			}
 			_, err := out.Write(text)
 			return err
 		},
 	}, {
-		Name: "run", Usage: "play experiments as their files say", ArgsUsage: "EXPERIMENT...", Flags: flags(),
-		Action: run(func(*cli.Command, *experiment.Experiment) error { return nil }),
+		Name: "run", Usage: "play experiments as their files define them", ArgsUsage: "EXPERIMENT...", Flags: flags(),
+		Action: runStudies(func(*cli.Command, *experiment.Experiment) error { return nil }),
 	}, {
-		Name: "compare", Usage: "play days with the module and its rivals, and compare them in pairs", ArgsUsage: "[EXPERIMENT...]", Flags: flags(),
-		Action: run(func(c *cli.Command, e *experiment.Experiment) error {
+		Name: "compare", Usage: "play days with the module and with other policies, and compare them in pairs",
+		ArgsUsage: "[EXPERIMENT...]", Flags: flags(),
+		Action: runStudies(func(c *cli.Command, e *experiment.Experiment) error {
 			if c.IsSet("policy") || len(e.Variants) > 1 {
 				return nil
 			}
 			return e.SetPolicies(experiment.PolicyNames)
 		}),
 	}, {
-		Name: "sweep", Usage: "play a day over the values of one of its figures", ArgsUsage: "EXPERIMENT...",
-		Flags: flags(&cli.StringFlag{Name: "key", Usage: "path of the figure in the day", Value: "load"}, &cli.FloatFlag{Name: "from", Value: 0.3},
+		Name: "sweep", Usage: "play a day with a range of values of one of its parameters", ArgsUsage: "EXPERIMENT...",
+		Flags: flags(&cli.StringFlag{Name: "key", Usage: "path of the parameter in the day", Value: "load"},
+			&cli.FloatFlag{Name: "from", Value: 0.3},
 			&cli.FloatFlag{Name: "to", Value: 1.5}, &cli.IntFlag{Name: "steps", Value: 9}),
-		Action: run(func(c *cli.Command, e *experiment.Experiment) error {
+		Action: runStudies(func(c *cli.Command, e *experiment.Experiment) error {
 			if len(c.StringSlice("measure")) == 0 {
 				e.Measures = []string{"goal", "offered", "goodput", "p50", "p99", "waste", "tries"}
 			}
@@ -233,24 +247,26 @@
 			if n := c.Int("steps"); n < 1 || n > 50 {
 				return fmt.Errorf("lab: --steps is %d, want 1 to 50", n)
 			}
-			return e.SetSweep(experiment.Sweep{Key: c.String("key"), Values: experiment.Steps(c.Float("from"), c.Float("to"), c.Int("steps"))})
+			return e.SetSweep(experiment.Sweep{Key: c.String("key"),
+				Values: experiment.Steps(c.Float("from"), c.Float("to"), c.Int("steps"))})
 		}),
 	}, {
-		Name: "replay", Usage: "play one day of an experiment and tell all of it", ArgsUsage: "EXPERIMENT",
+		Name: "replay", Usage: "play one day of an experiment and print all its results", ArgsUsage: "EXPERIMENT",
 		Flags: flags(&cli.Uint64Flag{Name: "seed", Value: 1}, &cli.FloatFlag{Name: "x", Usage: "value of the sweep"},
-			&cli.StringFlag{Name: "plot", Usage: "file for a plot of the day"}, &cli.StringFlag{Name: "day", Usage: "file for the day as it was drawn"}),
+			&cli.StringFlag{Name: "plot", Usage: "file for a plot of the day"},
+			&cli.StringFlag{Name: "day", Usage: "file for the drawn day"}),
 		Action: func(_ context.Context, c *cli.Command) error {
-			e, err := one(c)
+			e, err := oneExperiment(c)
 			if err != nil {
 				return err
 			}
 			seed := vtime.Seed(c.Uint64("seed"))
-			d, all, err := plays(e, c.Float("x"), seed)
+			d, all, err := simulateDay(e, c.Float("x"), seed)
 			if err != nil {
 				return err
 			}
 			fmt.Fprint(out, report.FormatResults(d, all))
-			if err := output(c, "day", func(w io.Writer) error {
+			if err := writeFlagFile(c, "day", func(w io.Writer) error {
 				_, err := w.Write(experiment.MarshalDay(d, e.Variants[0].Policy.Name))
 				return err
 			}); err != nil {
@@ -259,23 +275,25 @@
 			return drawDay(c, fmt.Sprintf("%s, seed %d", e.Name, uint64(d.Seed)), d, all)
 		},
 	}, {
-		Name: "plot", Usage: "draw results that were written as JSON lines", ArgsUsage: "RESULTS",
+		Name: "plot", Usage: "draw results from a file of JSON lines", ArgsUsage: "RESULTS",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "folder", Value: "."}},
 		Action: func(_ context.Context, c *cli.Command) error {
-			all, err := results(c)
+			all, err := readResults(c)
 			if err != nil {
 				return err
 			}
-			return plots(out, all, c.String("out"))
+			return writePlots(out, all, c.String("out"))
 		},
 	}, {
-		Name: "report", Usage: "write one page of results, with the worst day of each kind", ArgsUsage: "RESULTS",
+		Name: "report", Usage: "write one HTML page of results, with the worst day of each kind", ArgsUsage: "RESULTS",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "file", Value: "report.html"},
-			&cli.StringSliceFlag{Name: "experiment", Usage: "file that results of its name were played from, to play the worst days again"}},
+			&cli.StringSliceFlag{Name: "experiment",
+				Usage: "file of the experiment behind results of the same name, to play their worst days again"}},
 		Action: func(_ context.Context, c *cli.Command) error { return writeReport(c) },
 	}, {
-		Name: "speed", Usage: "play the usual day with more and more nodes, and tell time and memory",
-		Flags: []cli.Flag{&cli.IntSliceFlag{Name: "nodes", Value: []int{4, 14, 40, 400, 1000}}, &cli.FloatFlag{Name: "seconds", Value: 20}},
+		Name: "speed", Usage: "play the usual day with increasing numbers of nodes, and print time and memory",
+		Flags: []cli.Flag{&cli.IntSliceFlag{Name: "nodes", Value: []int{4, 14, 40, 400, 1000}},
+			&cli.FloatFlag{Name: "seconds", Value: 20}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			for _, n := range c.IntSlice("nodes") {
 				if n < 1 || n > 2000 {
@@ -291,7 +309,8 @@
 	}, huntCommand(out), shrinkCommand(out), collapseCommand(out), liveCommand(out), clientsCommand(out)}
 }
 
-func results(c *cli.Command) ([]*study.Study, error) {
+// readResults reads the file of results that the command line names.
+func readResults(c *cli.Command) ([]*study.Study, error) {
 	f, err := os.Open(c.Args().First())
 	if err != nil {
 		return nil, err
@@ -299,23 +318,24 @@
 	defer f.Close()
 	all, err := study.ReadJSONLines(f)
 	if err == nil && len(all) == 0 {
-		err = fmt.Errorf("results: %s holds none", c.Args().First())
+		err = fmt.Errorf("results: %s contains no results", c.Args().First())
 	}
 	return all, err
 }
 
+// writeReport writes the page of results to the file that --out names.
 func writeReport(c *cli.Command) error {
-	all, err := results(c)
+	all, err := readResults(c)
 	if err != nil {
 		return err
 	}
-	from := map[string]*experiment.Experiment{}
-	for _, n := range append(experiment.Families(), c.StringSlice("experiment")...) {
-		e, err := load(n)
+	experiments := map[string]*experiment.Experiment{}
+	for _, name := range append(experiment.Families(), c.StringSlice("experiment")...) {
+		e, err := loadExperiment(name)
 		if err != nil {
 			return err
 		}
-		from[e.Name] = e
+		experiments[e.Name] = e
 	}
 	var sections []report.Section
 	if len(all) > 1 && len(all[0].Variants) > 1 {
@@ -328,19 +348,19 @@
 	for _, s := range all {
 		var text strings.Builder
 		study.WriteTable(&text, []*study.Study{s})
-		p, err := report.DrawStudy(s)
+		plots, err := report.DrawStudy(s)
 		if err != nil {
 			return err
 		}
-		sections = append(sections, report.Section{Title: s.Name, Text: text.String(), Plots: p})
-		cells, e := s.Cells(), from[s.Name]
+		sections = append(sections, report.Section{Title: s.Name, Text: text.String(), Plots: plots})
+		cells, e := s.Cells(), experiments[s.Name]
 		if e == nil || len(cells) == 0 {
 			continue
 		}
 		worst := cells[0]
-		for _, w := range cells {
-			if w.Variant == s.Variants[0] && w.Estimates[0].Mean < worst.Estimates[0].Mean {
-				worst = w
+		for _, cell := range cells {
+			if cell.Variant == s.Variants[0] && cell.Estimates[0].Mean < worst.Estimates[0].Mean {
+				worst = cell
 			}
 		}
 		if s.Sweep != "" {
@@ -349,17 +369,18 @@
 			}
 		}
 		if e.MatchVariants(s.Variants) != nil {
-			continue // the file has changed since: its days are not those of the results
+			continue // the file has changed since the results were written, so its days differ from theirs
 		}
-		d, plays, err := plays(e, worst.SweepValue, vtime.Seed(worst.WorstSeed))
+		d, variantResults, err := simulateDay(e, worst.SweepValue, vtime.Seed(worst.WorstSeed))
 		if err != nil {
 			return err
 		}
-		svg, err := report.DrawDay(fmt.Sprintf("%s, seed %d", s.Name, worst.WorstSeed), d, plays)
+		svg, err := report.DrawDay(fmt.Sprintf("%s, seed %d", s.Name, worst.WorstSeed), d, variantResults)
 		if err != nil {
 			return err
 		}
-		sections = append(sections, report.Section{Title: "worst " + s.Name, Text: report.FormatResults(d, plays), Plots: []report.Plot{{Name: "the day", SVG: svg}}})
+		sections = append(sections, report.Section{Title: "worst " + s.Name,
+			Text: report.FormatResults(d, variantResults), Plots: []report.Plot{{Name: "the day", SVG: svg}}})
 	}
-	return output(c, "out", func(w io.Writer) error { return report.WritePage(w, "Rehearsal", sections) })
+	return writeFlagFile(c, "out", func(w io.Writer) error { return report.WritePage(w, "Rehearsal", sections) })
 }
--- a/cmd/whinrudder-kit/faults_test.go
+++ b/cmd/whinrudder-kit/faults_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// Faults that are put into a copy of the decision module are found by the kit, cut down to a small day and named by the rule
-// they break; the file of the small day shows the same again.
+// Guards against a kit that misses broken rules: with a fault in a copy of the decision module, shrink must report the
+// broken rule and reduce the day to a small one, and replay of the small day must break the same rule.
 func TestFaultsInTheModuleAreFound(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it builds the kit anew")
+		t.Skip("builds the kit")
 	}
 	const day = `{ day: { nodes: 6, seconds: 40, load: 0.8, list_lag: 4, callers: [{ choice: 'round' }, { choice: 'least', tries: 2 }, { choice: 'by_key', heeds: false }],
 		troubles: [{ kind: 'deploy', at: 8, 'for': 15, share: 0.6 }, { kind: 'burst', at: 5, 'for': 20, factor: 1.6 }, { kind: 'crawl', at: 20, 'for': 10, share: 0.3, factor: 5 }] } }`
@@ -71,7 +71,7 @@
 				t.Errorf("%s", out)
 			}
 			if again := run("replay", small); !strings.Contains(again, f.rule+": ") {
-				t.Errorf("the small day shows nothing: %s", again)
+				t.Errorf("replay of the small day does not break the rule: %s", again)
 			}
 			t.Log(out)
 		})
--- a/cmd/whinrudder-kit/main.go
+++ b/cmd/whinrudder-kit/main.go
@@ -1,5 +1,5 @@
-// Command whinrudder-kit is what ships beside the payout node and is no part of it: the evaluation of templates, which
-// the node asks for, and the lab, which its command lab hands over to.
+// Command whinrudder-kit ships with the payout node but runs in its own process: it evaluates templates for the node,
+// runs the lab of experiments and contains a client proxy. The commands lab and proxy of whinrudder start it.
 package main
 
 import (
@@ -15,8 +15,9 @@
 	"whinrudder/internal/template"
 )
 
-// memory is the data that an evaluation may hold; past it the process ends. A template of 256 KiB needs a small part.
-const memory = 512 << 20
+// maxTemplateDataBytes is the limit on the data segment of an evaluation; the process ends if it exceeds the limit. A
+// template of 256 KiB, the maximum, needs a small part of it.
+const maxTemplateDataBytes = 512 << 20
 
 func main() {
 	if err := app(os.Stdout).Run(context.Background(), os.Args); err != nil {
@@ -25,12 +26,15 @@
 	}
 }
 
+// app returns the command line. Its commands write their output to out.
 func app(out io.Writer) *cli.Command {
-	return &cli.Command{Name: "whinrudder-kit", Writer: out, Usage: "the rehearsal kit of the payout node", Action: missing,
+	return &cli.Command{Name: "whinrudder-kit", Writer: out, Usage: "the rehearsal kit of the payout node",
+		Action: helpOrUnknownCommand,
 		Commands: []*cli.Command{
-			{Name: "template", Usage: "print the value of the template that is read, as if it stood in a file",
+			{Name: "template",
+				Usage:     "print the value of the template on standard input, with imports relative to FILE",
 				ArgsUsage: "FILE", Action: func(_ context.Context, c *cli.Command) error {
-					limit := syscall.Rlimit{Cur: memory, Max: memory}
+					limit := syscall.Rlimit{Cur: maxTemplateDataBytes, Max: maxTemplateDataBytes}
 					if err := syscall.Setrlimit(syscall.RLIMIT_DATA, &limit); err != nil {
 						return err
 					}
@@ -49,8 +53,9 @@
 		}}
 }
 
-// missing is the action where a sub-command is wanted: without one, or with one that does not exist.
-func missing(_ context.Context, c *cli.Command) error {
+// helpOrUnknownCommand is the action of a command that needs a sub-command: it shows the help if there is none, and
+// reports an error if the sub-command does not exist.
+func helpOrUnknownCommand(_ context.Context, c *cli.Command) error {
 	if word := c.Args().First(); word != "" {
 		return settings.UnknownCommandError(c, word)
 	}
--- a/cmd/whinrudder-kit/proxy_test.go
+++ b/cmd/whinrudder-kit/proxy_test.go
@@ -20,13 +20,13 @@
 	"whinrudder/internal/client/proxy"
 )
 
-// listenLine takes the line that names the address.
+// listenLine receives the line with the address of the proxy.
 type listenLine chan string
 
 func (l listenLine) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
 
-// A proxy that is told to end under load answers every request that was sent to it, and nothing runs twice: callers that keep
-// their connections are told to go with an answer, never by a close in the middle.
+// Guards against requests that are lost when a proxy shuts down under load: it answers every request, nothing runs
+// twice, and a caller with a keep-alive connection is told to close it with an answer, never by a close without one.
 func TestProxyDrainsUnderLoad(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -39,7 +39,8 @@
 		fmt.Fprintf(w, "did %s", body)
 	}))
 	defer node.Close()
-	c, err := client.New(client.Options{Source: client.Fixed{strings.TrimPrefix(node.URL, "http://")}, Classes: []client.Class{{Name: "book", Write: true}}})
+	c, err := client.New(client.Options{Source: client.Fixed{strings.TrimPrefix(node.URL, "http://")},
+		Classes: []client.Class{{Name: "book", Write: true}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,69 +55,74 @@
 		ended <- serveAll(ctx, out, []*proxy.Server{server})
 	}()
 	addr := strings.TrimSpace(strings.TrimPrefix(<-out, "listening on "))
-	var served, turned atomic.Int64
-	var wrong, refused sync.Map
-	var wait sync.WaitGroup
-	for k := range 16 {
-		wait.Go(func() {
+	var served, refusedConns atomic.Int64
+	var unanswered, refused sync.Map
+	var callers sync.WaitGroup
+	for caller := range 16 {
+		callers.Go(func() {
 			for n := 0; ; {
 				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					if !errors.Is(err, syscall.ECONNREFUSED) {
-						wrong.Store(err.Error(), true)
+						unanswered.Store(err.Error(), true)
 					}
-					turned.Add(1)
-					return // it has left
+					refusedConns.Add(1)
+					return // the proxy no longer listens
 				}
 				r := bufio.NewReader(conn)
 				for last := false; !last; n++ {
-					body := fmt.Sprintf("b%d-%d", k, n)
-					fmt.Fprintf(conn, "POST /rpc/book HTTP/1.1\r\nHost: x\r\nReq-Wait-Ms: 9000\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-					a, err := http.ReadResponse(r, nil)
+					body := fmt.Sprintf("b%d-%d", caller, n)
+					fmt.Fprintf(conn,
+						"POST /rpc/book HTTP/1.1\r\nHost: x\r\nReq-Wait-Ms: 9000\r\nContent-Length: %d\r\n\r\n%s",
+						len(body), body)
+					resp, err := http.ReadResponse(r, nil)
 					if err != nil {
-						wrong.Store(fmt.Sprint(body, " ", err), true)
+						unanswered.Store(fmt.Sprint(body, " ", err), true)
 						break
 					}
-					text, err := io.ReadAll(a.Body)
+					text, err := io.ReadAll(resp.Body)
 					switch {
-					case err == nil && a.StatusCode == 503: // the library had no place for it; the book says whether that is true
+					case err == nil && resp.StatusCode == 503: // the client had no node for it; ran is checked below
 						refused.Store(body, true)
-					case err != nil || a.StatusCode != 200 || string(text) != "did "+body:
-						t.Errorf("%s: %d %q %v", body, a.StatusCode, text, err)
+					case err != nil || resp.StatusCode != 200 || string(text) != "did "+body:
+						t.Errorf("%s: got status %d, body %q, error %v", body, resp.StatusCode, text, err)
 					default:
 						served.Add(1)
 					}
-					last = a.Close
+					last = resp.Close
 				}
 				conn.Close()
 			}
 		})
 	}
-	for late := time.Now().Add(10 * time.Second); served.Load() < 200 && time.Now().Before(late); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); served.Load() < 200 &&
+		time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
 	stop()
-	wait.Wait()
+	callers.Wait()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	lost := 0
-	wrong.Range(func(k, _ any) bool {
-		// Only a connection that was established at the very close of the listener may end unread, with nothing run for it.
-		body, _, _ := strings.Cut(k.(string), " ")
+	unread := 0
+	unanswered.Range(func(entry, _ any) bool {
+		// Only a connection that was established just before the listener closed may end unread, and nothing may run
+		// for it.
+		body, _, _ := strings.Cut(entry.(string), " ")
 		if mu.Lock(); ran[body] > 0 {
-			t.Error(k)
+			t.Error(entry)
 		}
 		mu.Unlock()
-		lost++
+		unread++
 		return true
 	})
 	for body, n := range ran {
-		if _, told := refused.Load(body); n != 1 || told {
-			t.Errorf("%s ran %d times, refused: %v", body, n, told)
+		if _, wasRefused := refused.Load(body); n != 1 || wasRefused {
+			t.Errorf("%s: got %d runs, refused %v, want one run and not refused", body, n, wasRefused)
 		}
 	}
-	if served.Load() < 200 || lost > 3 || turned.Load() == 0 {
-		t.Errorf("%d served, %d ended unread, %d refused at last", served.Load(), lost, turned.Load())
+	if served.Load() < 200 || unread > 3 || refusedConns.Load() == 0 {
+		t.Errorf("got %d served, %d unread and %d refused connections, want at least 200, at most 3 and at least 1",
+			served.Load(), unread, refusedConns.Load())
 	}
-	t.Logf("%d served, %d ended unread, %d refused at last", served.Load(), lost, turned.Load())
+	t.Logf("%d requests served, %d connections unread, %d refused", served.Load(), unread, refusedConns.Load())
 }
--- a/cmd/whinrudder/kept.go
+++ b/cmd/whinrudder/kept.go
@@ -50,13 +50,19 @@
 					return contents.Show(out, c.Args().First())
 				})},
 			{Name: "export", Usage: "all operations as JSON lines", Flags: []cli.Flag{dir},
-				Action: withContents(func(contents *kept.Contents, _ *cli.Command) error { return contents.Export(out) })},
-			{Name: "verify", Usage: "check each byte of the journal; exits 1 if any check fails", Flags: []cli.Flag{dir},
-				Action: withContents(func(contents *kept.Contents, _ *cli.Command) error { return contents.Verify(out) })},
-			{Name: "resolve", Usage: "tell the outcome of an operation in doubt", ArgsUsage: "KEY", Flags: []cli.Flag{dir,
-				&cli.StringFlag{Name: "how", Usage: "finished, failed or not-run", Required: true},
-				&cli.StringFlag{Name: "result", Usage: "of a finished operation: the result that its callers get"},
-				&cli.StringFlag{Name: "by", Usage: "who reports the outcome", Required: true}},
+				Action: withContents(func(contents *kept.Contents, _ *cli.Command) error {
+					return contents.Export(out)
+				})},
+			{Name: "verify", Usage: "check each byte of the journal; exits 1 if any check fails",
+				Flags: []cli.Flag{dir},
+				Action: withContents(func(contents *kept.Contents, _ *cli.Command) error {
+					return contents.Verify(out)
+				})},
+			{Name: "resolve", Usage: "tell the outcome of an operation in doubt", ArgsUsage: "KEY",
+				Flags: []cli.Flag{dir,
+					&cli.StringFlag{Name: "how", Usage: "finished, failed or not-run", Required: true},
+					&cli.StringFlag{Name: "result", Usage: "of a finished operation: the result that its callers get"},
+					&cli.StringFlag{Name: "by", Usage: "who reports the outcome", Required: true}},
 				Action: withContents(func(contents *kept.Contents, c *cli.Command) error {
 					resolution := kept.Resolution{Key: c.Args().First(), Result: []byte(c.String("result")),
 						By: c.String("by")}
@@ -68,7 +74,8 @@
 					case "not-run":
 						resolution.Kind = journal.NotRun
 					default:
-						return fmt.Errorf("kept resolve: --how is %q, want finished, failed or not-run", c.String("how"))
+						return fmt.Errorf("kept resolve: --how is %q, want finished, failed or not-run",
+							c.String("how"))
 					}
 					if resolution.Key == "" {
 						return errors.New("kept resolve: KEY is missing")
--- a/cmd/whinrudder/main.go
+++ b/cmd/whinrudder/main.go
@@ -40,10 +40,12 @@
 	addr := &cli.StringFlag{Name: "addr", Usage: "address of a node's listener", Value: "127.0.0.1:8080"}
 	protocol := &cli.StringFlag{Name: "protocol", Usage: "http, uwsgi or h2c", Value: "http"}
 	return &cli.Command{
-		Name: "whinrudder", Writer: out, Usage: "payout node with admission control and load shedding", Version: version,
+		Name: "whinrudder", Writer: out, Usage: "payout node with admission control and load shedding",
+		Version:        version,
 		DefaultCommand: "serve",
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "serve until SIGTERM, reload at SIGHUP (the default)", Flags: []cli.Flag{config, operator},
+			{Name: "serve", Usage: "serve until SIGTERM, reload at SIGHUP (the default)",
+				Flags:  []cli.Flag{config, operator},
 				Action: func(ctx context.Context, c *cli.Command) error { return serve(ctx, c, out) }},
 			{Name: "check", Usage: "check a configuration and report all its errors",
 				Flags: []cli.Flag{config, operator, &cli.BoolFlag{Name: "print",
--- a/cmd/whinrudder/peers.go
+++ b/cmd/whinrudder/peers.go
@@ -26,7 +26,8 @@
 			&cli.StringFlag{Name: "cert", Usage: "file of our certificate; without it the connection is not encrypted"},
 			&cli.StringFlag{Name: "key", Usage: "file of its key"},
 			&cli.StringFlag{Name: "authority", Usage: "file of the authority's certificate"},
-			&cli.StringFlag{Name: "name", Usage: "name that the node's certificate must have", Value: peertls.DefaultPeerName},
+			&cli.StringFlag{Name: "name", Usage: "name that the node's certificate must have",
+				Value: peertls.DefaultPeerName},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			addr := c.Args().First()
--- a/cmd/whinrudder/sigkill_test.go
+++ b/cmd/whinrudder/sigkill_test.go
@@ -170,7 +170,8 @@
 	sendBooking := func(token string) bool {
 		req, _ := http.NewRequest("POST", "http://"+addr+"/rpc/payout-book", strings.NewReader(token))
 		for k, v := range map[string]string{"Req-Id": fmt.Sprintf("%016x", rand.Uint64()),
-			"Req-Time": fmt.Sprint(time.Now().UnixMilli()), "Req-From": "1", "Req-Wait-Ms": "3000", "Req-Kb": "20", "Req-Rank": "0.5", "Req-Token": token} {
+			"Req-Time": fmt.Sprint(time.Now().UnixMilli()), "Req-From": "1", "Req-Wait-Ms": "3000",
+			"Req-Kb": "20", "Req-Rank": "0.5", "Req-Token": token} {
 			req.Header.Set(k, v)
 		}
 		resp, err := client.Do(req)
