--- a/examples/toypool/main.go
+++ b/examples/toypool/main.go
@@ -1,6 +1,6 @@
-// Command toypool is a toy worker pool and announce service, for trying a node on one's own machine. A run takes a
-// while and its result repeats the body; nothing is really done. It keeps no notices: a node that comes back after a
-// break of the link is told nothing of the meantime.
+// Command toypool is a simulated worker pool and announce service, to try out a node on a single machine. A run waits
+// for a fixed time and its result repeats the body. The pool does not keep notices: a node that reconnects does not
+// learn which runs finished while the link was broken.
 package main
 
 import (
@@ -18,35 +18,36 @@
 
 func main() {
 	addr := flag.String("pool", "127.0.0.1:4400", "address of the worker pool")
-	reports := flag.String("announce", "127.0.0.1:2379", "address of the announce service")
-	cores := flag.Int("cores", 2, "runs that are at work at a time")
-	work := flag.Duration("work", 200*time.Millisecond, "how long a run takes")
+	reportAddr := flag.String("announce", "127.0.0.1:2379", "address of the announce service")
+	cores := flag.Int("cores", 2, "runs at work at the same time")
+	runTime := flag.Duration("work", 200*time.Millisecond, "how long each run takes")
 	flag.Parse()
-	go hear(*reports)
-	l, err := net.Listen("tcp", *addr)
+	go logReports(*reportAddr)
+	listener, err := net.Listen("tcp", *addr)
 	if err != nil {
 		log.Fatal(err)
 	}
-	log.Printf("worker pool on %s, %d cores, %v a run", *addr, *cores, *work)
+	log.Printf("worker pool on %s, %d cores, %v per run", *addr, *cores, *runTime)
 	for {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			log.Fatal(err)
 		}
-		p := &pool{c: c, slots: make(chan struct{}, *cores), work: *work, began: time.Now(), runs: map[string]chan struct{}{}}
+		p := &pool{conn: c, slots: make(chan struct{}, *cores), runTime: *runTime, started: time.Now(),
+			runs: map[string]chan struct{}{}}
 		go p.serve()
 	}
 }
 
-// hear prints what changes in the reports of nodes.
-func hear(addr string) {
-	c, err := net.ListenPacket("udp", addr)
+// logReports logs each load report that differs from the one before.
+func logReports(addr string) {
+	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
 		log.Fatal(err)
 	}
 	last, buf := "", make([]byte, 256)
 	for {
-		n, _, err := c.ReadFrom(buf)
+		n, _, err := conn.ReadFrom(buf)
 		if err != nil {
 			log.Fatal(err)
 		}
@@ -57,41 +58,43 @@
 	}
 }
 
-// pool serves one link.
+// pool serves one link to a node.
 type pool struct {
-	c     net.Conn
-	slots chan struct{}
-	work  time.Duration
-	began time.Time
+	conn    net.Conn
+	slots   chan struct{} // one element per run at work; capacity: cores
+	runTime time.Duration // duration of a run
+	started time.Time     // of the link
 
-	mu     sync.Mutex
-	serial int
-	runs   map[string]chan struct{} // closed to stop the run
+	mu     sync.Mutex               // guards serial, runs and writes
+	serial int                      // number of the latest notice
+	runs   map[string]chan struct{} // by call id; closed to stop the run
 }
 
-func (p *pool) say(format string, args ...any) {
-	fmt.Fprintf(p.c, format+"\n", args...)
+// send writes one message to the node.
+func (p *pool) send(format string, args ...any) {
+	fmt.Fprintf(p.conn, format+"\n", args...)
 }
 
+// serve reads and executes the commands of the node until the link ends.
 func (p *pool) serve() {
-	defer p.c.Close()
+	defer p.conn.Close()
 	var parser fastjson.Parser
-	for s := bufio.NewScanner(p.c); s.Scan(); {
-		v, err := parser.ParseBytes(s.Bytes())
+	for scanner := bufio.NewScanner(p.conn); scanner.Scan(); {
+		command, err := parser.ParseBytes(scanner.Bytes())
 		if err != nil {
-			log.Printf("not a command: %v", err)
+			log.Printf("received line is not JSON: %v", err)
 			return
 		}
-		text := func(key string) string { return string(v.GetStringBytes(key)) }
+		text := func(key string) string { return string(command.GetStringBytes(key)) }
 		p.mu.Lock()
 		switch text("msg") {
 		case "bind":
-			p.say(`{"msg":"bound","how":"WARM","duration":%d}`, time.Since(p.began).Milliseconds())
+			p.send(`{"msg":"bound","how":"WARM","duration":%d}`, time.Since(p.started).Milliseconds())
 		case "poll":
-			p.say(`{"msg":"polled","cookie":%q,"stats":[%.2f,%d,0.1,1]}`, text("cookie"),
+			p.send(`{"msg":"polled","cookie":%q,"stats":[%.2f,%d,0.1,1]}`, text("cookie"),
 				float64(len(p.slots))/float64(cap(p.slots)), len(p.runs))
 		case "verify":
-			p.say(`{"msg":"verified","cookie":%q,"how":"OK"}`, text("cookie"))
+			p.send(`{"msg":"verified","cookie":%q,"how":"OK"}`, text("cookie"))
 		case "spawn":
 			if id := text("call"); p.runs[id] == nil {
 				p.runs[id] = make(chan struct{})
@@ -107,12 +110,12 @@
 	}
 }
 
-// run works for a while and tells how it ended.
+// run waits for a core and then for the duration of a run or the command to stop it, and sends the notice of its end.
 func (p *pool) run(id, class, blob string, stop chan struct{}) {
-	began, how := time.Now(), "OK"
+	started, how := time.Now(), "OK"
 	p.slots <- struct{}{}
 	select {
-	case <-time.After(p.work):
+	case <-time.After(p.runTime):
 	case <-stop:
 		how = "STOPPED"
 	}
@@ -123,6 +126,6 @@
 	defer p.mu.Unlock()
 	delete(p.runs, id)
 	p.serial++
-	p.say(`{"msg":"finished","serial":%d,"call":%q,"how":%q,"duration":%d,"blob":%q}`, p.serial, id, how,
-		time.Since(began).Milliseconds(), result)
+	p.send(`{"msg":"finished","serial":%d,"call":%q,"how":%q,"duration":%d,"blob":%q}`, p.serial, id, how,
+		time.Since(started).Milliseconds(), result)
 }
