--- a/client/client.go
+++ b/client/client.go
@@ -96,14 +96,14 @@
 	// End is called when a try ends. Outcome has the values of Try.Outcome.
 	End func(class, node string, outcome string, took time.Duration)
 	// Call is called when a call ends, with the number of its tries. Err is the error that Do returns. Requests that Do
-	// rejects as invalid and calls of a closed client may end without it.
+	// rejects as invalid end without it, and so may calls of a closed client.
 	Call func(class string, tries int, err error, took time.Duration)
 }
 
 // Request is the input of a call.
 type Request struct {
 	Class   string  // name of one of Options.Classes; becomes the path /rpc/CLASS
-	Subject string  // the account or other entity that it is about, for Options.Affinity; not sent; empty: none
+	Subject string  // account or other entity, for Options.Affinity; Req-Subject of RoundTripper, not sent; empty: none
 	Key     string  // Req-Key, for classes that have a key; empty: not sent
 	Token   string  // Req-Token, the idempotency key under which the node keeps the result; empty: not sent
 	Body    []byte  // the request body; nil: empty
@@ -328,7 +328,8 @@
 }
 
 // Do sends a request and returns its result. It ends by the deadline of ctx or, if ctx has none, within the Wait of the
-// class. The error is an *Error, unless the request is invalid or its class is not one of Options.Classes.
+// class; the time left is sent to the nodes as Req-Wait-Ms. The error is an *Error, unless the request is invalid or
+// its class is not one of Options.Classes.
 func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
 	classIndex, ok := c.classes[r.Class]
 	if !ok {
