--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,6 +1,6 @@
-// Package storage is the narrow interface through which durable state meets a disk: one folder of append-only files. What
-// is written counts only once File.Sync has returned, names only once Dir.Sync has. A stand-in that fails, tears and
-// crashes is in storagetest.
+// Package storage is a narrow interface to one directory of append-only files on disk. Written data is durable only after
+// File.Sync has returned, and created or removed names only after Dir.Sync has. Package storagetest has a fake in memory
+// that injects errors, torn writes and crashes.
 package storage
 
 import (
@@ -12,53 +12,55 @@
 	"syscall"
 )
 
-// Dir holds files by their names.
+// Dir is a directory of append-only files.
 type Dir interface {
+	// Names lists the regular files other than the lock file.
 	Names() ([]string, error)
-	// Create makes a file that must not exist.
+	// Create creates a file and opens it for appending and reading. It fails if the file exists.
 	Create(name string) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (File, error)
 	Remove(name string) error
-	// Sync makes what was created and removed last.
+	// Sync makes all earlier calls of Create and Remove durable.
 	Sync() error
-	// Lock takes the folder for this process, or returns ErrInUse.
+	// Lock takes the exclusive lock on the directory. If another holder has it, the error is ErrInUse.
 	Lock() (release func(), err error)
 }
 
-// File is a file that only grows.
+// File is an append-only file.
 type File interface {
 	io.ReaderAt
 	io.Closer
 	// Write appends; after an error any part of p may have been written.
 	Write(p []byte) (int, error)
-	// Sync makes what was written last. After an error nothing is known of what was written since the last success, and
-	// a later success says nothing of it.
+	// Sync makes all written data durable. After an error, any part of the data written since the last successful Sync
+	// may be lost, even if a later Sync succeeds.
 	Sync() error
 	Size() (int64, error)
 }
 
-// ErrInUse tells that another process has the folder.
-var ErrInUse = errors.New("the folder is in use by another process")
+// ErrInUse is returned by Dir.Lock when another process holds the lock.
+var ErrInUse = errors.New("the directory is in use by another process")
 
-// lockName is the file whose lock stands for the folder.
+// lockName is the file whose lock is the lock on the directory.
 const lockName = "LOCK"
 
-type disk string
+// diskDir is a Dir on disk, given by its path.
+type diskDir string
 
-// OpenDir returns the folder of a path, which is made if it does not exist.
+// OpenDir returns the directory at path and creates it if it does not exist.
 func OpenDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	return disk(path), nil
+	return diskDir(path), nil
 }
 
-func (d disk) path(name string) string { return filepath.Join(string(d), name) }
+func (d diskDir) path(name string) string { return filepath.Join(string(d), name) }
 
-func (d disk) Names() (names []string, err error) {
-	all, err := os.ReadDir(string(d))
-	for _, e := range all {
+func (d diskDir) Names() (names []string, err error) {
+	entries, err := os.ReadDir(string(d))
+	for _, e := range entries {
 		if e.Name() != lockName && e.Type().IsRegular() {
 			names = append(names, e.Name())
 		}
@@ -66,26 +68,27 @@
 	return names, err
 }
 
-func (d disk) Create(name string) (File, error) {
+func (d diskDir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_APPEND|os.O_CREATE|os.O_EXCL, 0o600)
-	return onDisk(f, err)
+	return newDiskFile(f, err)
 }
 
-func (d disk) Open(name string) (File, error) {
+func (d diskDir) Open(name string) (File, error) {
 	f, err := os.Open(d.path(name))
-	return onDisk(f, err)
+	return newDiskFile(f, err)
 }
 
-func onDisk(f *os.File, err error) (File, error) {
+// newDiskFile wraps the result of an os function that opens a file.
+func newDiskFile(f *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
 	return diskFile{f}, nil
 }
 
-func (d disk) Remove(name string) error { return os.Remove(d.path(name)) }
+func (d diskDir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-func (d disk) Sync() error {
+func (d diskDir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
@@ -93,7 +96,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-func (d disk) Lock() (func(), error) {
+func (d diskDir) Lock() (func(), error) {
 	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -108,12 +111,13 @@
 	return func() { f.Close() }, nil
 }
 
+// diskFile is a File on disk.
 type diskFile struct{ *os.File }
 
 func (f diskFile) Size() (int64, error) {
-	s, err := f.Stat()
+	info, err := f.Stat()
 	if err != nil {
 		return 0, err
 	}
-	return s.Size(), nil
+	return info.Size(), nil
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A folder on the disk keeps what was written, refuses a second holder, and takes no file for its own that is none.
-func TestOnDisk(t *testing.T) {
+// A directory on disk returns what was written to it, refuses a second lock, and does not list its lock file among its names.
+func TestDirOnDisk(t *testing.T) {
 	path := t.TempDir()
 	d, err := OpenDir(path)
 	if err != nil {
@@ -24,14 +24,14 @@
 		t.Fatal(err)
 	}
 	if _, err := other.Lock(); !errors.Is(err, ErrInUse) {
-		t.Errorf("a second holder: %v", err)
+		t.Errorf("second Lock: got error %v, want %v", err, ErrInUse)
 	}
 	f, err := d.Create("a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := d.Create("a"); !errors.Is(err, fs.ErrExist) {
-		t.Errorf("made twice: %v", err)
+		t.Errorf("second Create of a file: got error %v, want %v", err, fs.ErrExist)
 	}
 	for _, s := range []string{"one", "two"} {
 		if _, err := f.Write([]byte(s)); err != nil {
@@ -46,18 +46,18 @@
 	}
 	b := make([]byte, 3)
 	_, err = f.ReadAt(b, 3)
-	if size, err2 := f.Size(); string(b) != "two" || size != 6 || errors.Join(err, err2, f.Close()) != nil {
-		t.Errorf("%q of %d bytes, %v, %v", b, size, err, err2)
+	if size, sizeErr := f.Size(); string(b) != "two" || size != 6 || errors.Join(err, sizeErr, f.Close()) != nil {
+		t.Errorf("got %q at offset 3 of %d bytes (errors %v, %v), want %q of 6 bytes", b, size, err, sizeErr, "two")
 	}
 	names, err := d.Names()
 	if diff := cmp.Diff([]string{"a"}, names); diff != "" || err != nil {
-		t.Error(diff, err)
+		t.Errorf("names (-want +got): %s, error %v", diff, err)
 	}
 	if err := d.Remove("a"); err != nil {
 		t.Error(err)
 	}
 	release()
 	if _, err := other.Lock(); err != nil {
-		t.Errorf("after the first has let go: %v", err)
+		t.Errorf("Lock after the first holder released it: %v", err)
 	}
 }
--- a/internal/storagetest/storagetest.go
+++ b/internal/storagetest/storagetest.go
@@ -1,6 +1,6 @@
-// Package storagetest is a stand-in for a disk, in memory: a storage.Dir that fails, tears and forgets. Each operation has
-// a number; a Fault says what becomes of it. A crash keeps what was synced, and of the rest what chance leaves, in sectors
-// and in any order, as a disk with a cache may.
+// Package storagetest has a fake storage.Dir in memory that injects faults: errors, a full disk, torn writes and crashes.
+// Operations are numbered, and a caller-supplied function selects the Fault of each. A crash keeps synced data; of the
+// rest, a random choice of whole sectors survives, in any order, as on a disk with a write cache.
 package storagetest
 
 import (
@@ -15,92 +15,93 @@
 	"whinrudder/internal/storage"
 )
 
-// sector is the unit that is written whole or not at all, in bytes.
-const sector = 512
+// sectorBytes is the unit that is written either completely or not at all.
+const sectorBytes = 512
 
-// Fault is what becomes of an operation.
+// Fault is the fault injected into an operation.
 type Fault uint8
 
 // The faults.
 const (
 	None  Fault = iota
-	Fail        // it returns an error; of a write, half was done
-	Full        // as Fail, with the error of a full disk
-	Crash       // it is not done, and all that follows fails until Reboot
+	Fail        // the operation returns ErrInjected; a write has then written half of its data
+	Full        // as Fail, but with ErrFull
+	Crash       // the operation and all later ones fail with ErrCrash until Reboot
 )
 
-// Errors of faults.
+// Errors returned by operations with a fault.
 var (
-	ErrInjected = errors.New("storagetest: fault")
+	ErrInjected = errors.New("storagetest: injected fault")
 	ErrFull     = errors.New("storagetest: no space left on device")
 	ErrCrash    = errors.New("storagetest: crashed")
 )
 
-// Op is an operation: its number from 1, its word (create, open, remove, write, sync, syncdir) and the name.
+// Op describes an operation.
 type Op struct {
-	Number     int
-	Kind, Name string
+	Number int    // counts from 1
+	Kind   string // create, open, remove, write, sync or syncdir
+	Name   string // of the file; empty for syncdir
 }
 
-// Dir is the stand-in. It is safe for concurrent use.
+// Dir is a fake storage.Dir. It is safe for concurrent use.
 type Dir struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	faults  func(Op) Fault
-	n       int
-	crashed bool
-	held    bool
-	files   map[string]*content // as the program sees them
-	lasting map[string]*content // names that outlive a crash
-	size    int64               // most bytes in all; 0: any
+	mu          sync.Mutex
+	rng         *rand.Rand
+	faults      func(Op) Fault // nil: no faults
+	opCount     int            // operations so far
+	crashed     bool
+	held        bool                // the lock is taken
+	files       map[string]*content // the names that the program sees
+	syncedFiles map[string]*content // the names as of the last Sync of the directory
+	capacity    int64               // total bytes that fit; 0: no bound
 }
 
-// content is what a file holds: what outlives a crash, and what was written since.
+// content is the content of a file.
 type content struct {
-	data   []byte
-	synced int
-	failed bool // a sync failed: later ones succeed and save nothing, as disks' caches do
+	data       []byte
+	synced     int  // length of the prefix of data that survives a crash
+	syncFailed bool // a Sync failed; later ones succeed without making data durable, as with the page cache of a real disk
 }
 
-// New returns an empty folder whose crashes go by a seed.
+// New returns an empty directory. The seed determines what survives its crashes.
 func New(seed uint64) *Dir {
-	return &Dir{rng: rand.New(rand.NewPCG(seed, 7)), files: map[string]*content{}, lasting: map[string]*content{}}
+	return &Dir{rng: rand.New(rand.NewPCG(seed, 7)), files: map[string]*content{}, syncedFiles: map[string]*content{}}
 }
 
-// Clone returns a folder that holds the same, all of it synced.
+// Clone returns a directory with the same files, all of them synced.
 func (f *Dir) Clone(seed uint64) *Dir {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := New(seed)
 	for n, c := range f.files {
 		out.files[n] = &content{data: slices.Clone(c.data), synced: len(c.data)}
-		out.lasting[n] = out.files[n]
+		out.syncedFiles[n] = out.files[n]
 	}
 	return out
 }
 
-// SetFaults sets what decides on faults; nil: none.
+// SetFaults sets the function that selects the fault of each operation; nil turns faults off.
 func (f *Dir) SetFaults(faults func(Op) Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// SetCapacity sets how many bytes fit in all.
+// SetCapacity limits the total size of all files; 0 removes the limit.
 func (f *Dir) SetCapacity(bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.size = bytes
+	f.capacity = bytes
 }
 
-// OpCount returns how many operations there were.
+// OpCount returns the number of operations so far.
 func (f *Dir) OpCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.n
+	return f.opCount
 }
 
-// Bytes returns how much all files hold.
+// Bytes returns the total size of all files.
 func (f *Dir) Bytes() (n int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,31 +115,31 @@
 	return n
 }
 
-// FlipBit changes a bit of a file.
+// FlipBit flips one bit of the byte at offset at of a file.
 func (f *Dir) FlipBit(name string, at int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[name].data[at] ^= 1 << (at % 8)
 }
 
-// Read returns what a file holds.
+// Read returns a copy of a file's content.
 func (f *Dir) Read(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.files[name].data)
 }
 
-// Reboot ends the program's hold on the folder and leaves what outlives a crash.
+// Reboot releases the lock and leaves only what survives a crash: synced data, and random parts of the rest.
 func (f *Dir) Reboot() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashed, f.held = false, false
 	names := map[string]*content{}
-	for _, n := range keysOf(f.files, f.lasting) {
-		now, last := f.files[n], f.lasting[n]
+	for _, n := range sortedNames(f.files, f.syncedFiles) {
+		now, last := f.files[n], f.syncedFiles[n]
 		c := now
 		if now != last && f.rng.IntN(2) == 0 {
-			c = last // the name was not synced
+			c = last // the change of the name was not synced and is lost
 		}
 		if c == nil {
 			continue
@@ -146,13 +147,13 @@
 		data := slices.Clone(c.data[:c.synced])
 		if rest := c.data[c.synced:]; len(rest) > 0 {
 			for at := 0; at < len(rest); {
-				end := min(len(rest), at+sector-(c.synced+at)%sector)
+				end := min(len(rest), at+sectorBytes-(c.synced+at)%sectorBytes)
 				switch f.rng.IntN(3) {
-				case 0: // not written, and the file may be longer all the same
+				case 0: // the sector was not written, but the file has grown over it
 					data = append(data, make([]byte, end-at)...)
 				case 1:
 					data = append(data, rest[at:end]...)
-				default: // it ends here
+				default: // the file ends here
 					at = len(rest)
 					continue
 				}
@@ -162,13 +163,14 @@
 		names[n] = &content{data: data, synced: len(data)}
 	}
 	f.files = names
-	f.lasting = map[string]*content{}
+	f.syncedFiles = map[string]*content{}
 	for n, c := range names {
-		f.lasting[n] = c
+		f.syncedFiles[n] = c
 	}
 }
 
-func keysOf(a, b map[string]*content) (out []string) {
+// sortedNames returns the names that are in a or b.
+func sortedNames(a, b map[string]*content) (out []string) {
 	for n := range a {
 		out = append(out, n)
 	}
@@ -177,20 +179,20 @@
 			out = append(out, n)
 		}
 	}
-	slices.Sort(out) // chance must go by the seed alone
+	slices.Sort(out) // so that random draws depend on the seed alone, not on map order
 	return out
 }
 
-// op counts an operation and returns the error that it ends with.
-func (f *Dir) op(word, name string) error {
+// op counts an operation and returns the error of its fault, if any.
+func (f *Dir) op(kind, name string) error {
 	if f.crashed {
 		return ErrCrash
 	}
-	f.n++
+	f.opCount++
 	if f.faults == nil {
 		return nil
 	}
-	switch f.faults(Op{f.n, word, name}) {
+	switch f.faults(Op{f.opCount, kind, name}) {
 	case Fail:
 		return ErrInjected
 	case Full:
@@ -209,7 +211,7 @@
 	if f.crashed {
 		return nil, ErrCrash
 	}
-	return keysOf(f.files, nil), nil
+	return sortedNames(f.files, nil), nil
 }
 
 // Create implements storage.Dir.
@@ -257,9 +259,9 @@
 	if err := f.op("syncdir", ""); err != nil {
 		return err
 	}
-	f.lasting = map[string]*content{}
+	f.syncedFiles = map[string]*content{}
 	for n, c := range f.files {
-		f.lasting[n] = c
+		f.syncedFiles[n] = c
 	}
 	return nil
 }
@@ -279,17 +281,18 @@
 	}, nil
 }
 
+// file is an open storage.File.
 type file struct {
-	of   *Dir
+	dir  *Dir
 	name string
 	*content
 }
 
 func (f *file) Write(p []byte) (int, error) {
-	f.of.mu.Lock()
-	defer f.of.mu.Unlock()
-	err := f.of.op("write", f.name)
-	if room := f.of.size - f.of.bytes(); err == nil && f.of.size > 0 && room < int64(len(p)) {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	err := f.dir.op("write", f.name)
+	if room := f.dir.capacity - f.dir.bytes(); err == nil && f.dir.capacity > 0 && room < int64(len(p)) {
 		f.data = append(f.data, p[:max(0, room)]...)
 		return int(max(0, room)), ErrFull
 	}
@@ -298,7 +301,7 @@
 		f.data = append(f.data, p...)
 		return len(p), nil
 	case ErrCrash:
-		if f.of.n%2 == 0 { // the last write may be on its way
+		if f.dir.opCount%2 == 0 { // every second time, the interrupted write has reached the cache
 			f.data = append(f.data, p...)
 		}
 		return 0, err
@@ -308,22 +311,22 @@
 }
 
 func (f *file) Sync() error {
-	f.of.mu.Lock()
-	defer f.of.mu.Unlock()
-	if err := f.of.op("sync", f.name); err != nil {
-		f.failed = true
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.op("sync", f.name); err != nil {
+		f.syncFailed = true
 		return err
 	}
-	if !f.failed {
+	if !f.syncFailed {
 		f.synced = len(f.data)
 	}
 	return nil
 }
 
 func (f *file) ReadAt(p []byte, at int64) (int, error) {
-	f.of.mu.Lock()
-	defer f.of.mu.Unlock()
-	if f.of.crashed {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if f.dir.crashed {
 		return 0, ErrCrash
 	}
 	if at >= int64(len(f.data)) {
@@ -337,9 +340,9 @@
 }
 
 func (f *file) Size() (int64, error) {
-	f.of.mu.Lock()
-	defer f.of.mu.Unlock()
-	if f.of.crashed {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if f.dir.crashed {
 		return 0, ErrCrash
 	}
 	return int64(len(f.data)), nil
@@ -347,5 +350,5 @@
 
 func (f *file) Close() error { return nil }
 
-// String names an operation.
+// String describes an operation.
 func (o Op) String() string { return fmt.Sprintf("%d %s %s", o.Number, o.Kind, o.Name) }
