--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -1,10 +1,10 @@
-// Package journal is a log of records in segments, on a folder. Records are appended in batches that are synced as one;
-// each has a checksum over what it says and where it stands. A journal knows nothing of what its records mean and decides
-// nothing: what is live, and when the oldest segment goes, is its owner's business.
+// Package journal is a write-ahead log of checksummed records in segment files. Records are appended in batches, and
+// each batch is synced as a whole. The checksum of a record covers its content and its position. The journal does not
+// interpret records: its user decides which records are live and when the oldest segment is dropped.
 //
-// A segment begins with a header that names the node, and the place up to which the segment before it counts. So what a
-// crash or a failed sync leaves behind the last batch that counts is cut off by the next segment, and no file is changed
-// but at its end.
+// A segment begins with a header that holds the node's name and the valid length of the segment before it. Whatever a
+// crash or a failed sync leaves after the last committed batch is thereby excluded by the next segment's header, so
+// files are only ever appended to and never truncated or overwritten.
 package journal
 
 import (
@@ -18,85 +18,88 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is the version of the form. A journal of a newer one is refused.
+// Version is the version of the journal's format. A journal with a newer version is refused.
 const Version = 1
 
-// Limits of a record.
+// Sizes of the parts of a frame. A frame is a header followed by the record as CBOR. The header holds the marker, the
+// payload length, the batch number, the segment number and the checksum.
 const (
-	maxPayload = 16 << 10 // a result of 4 KiB, a key and the fields around them fit twice
-	headSize   = 28
+	maxPayloadBytes  = 16 << 10 // twice the size of a result of 4 KiB with its key and the other fields
+	frameHeaderBytes = 28
 )
 
-// marker begins each frame, so that what comes after damage can be found.
+// marker begins each frame, so that the frames after a damaged one can be found.
 var marker = [4]byte{0xf7, 'w', 'h', 'r'}
 
-// Kind says what a record tells.
+// Kind is the kind of a record.
 type Kind uint8
 
 // The kinds of records.
 const (
-	Intended Kind = iota + 1 // a run may be started from now on
-	Finished                 // it ended, with a result
-	Failed                   // it ended without one
-	NotRun                   // it was provably not run
-	header                   // of a segment
+	Intended   Kind = iota + 1 // the operation may be run from now on
+	Finished                   // the run ended with a result
+	Failed                     // the run ended without a result
+	NotRun                     // the operation was provably not run
+	kindHeader                 // the header of a segment
 )
 
-// Record is what is kept of an operation, or the header of a segment. Times are Unix milliseconds.
+// Record is a state of an operation or the header of a segment. The first group of fields belongs to operations, the
+// second to headers.
 type Record struct {
 	Kind       Kind    `cbor:"1,keyasint"`
 	Key        string  `cbor:"2,keyasint,omitempty"`
-	Digest     []byte  `cbor:"3,keyasint,omitempty"` // of the body
-	Run        string  `cbor:"4,keyasint,omitempty"` // id of the request that was, or may have been, run
-	At         float64 `cbor:"5,keyasint,omitempty"`
+	Digest     []byte  `cbor:"3,keyasint,omitempty"` // digest of the request's body
+	Run        string  `cbor:"4,keyasint,omitempty"` // ID of the request that was or may have been run
+	At         float64 `cbor:"5,keyasint,omitempty"` // Unix milliseconds
 	Result     []byte  `cbor:"6,keyasint,omitempty"`
-	ResolvedBy string  `cbor:"7,keyasint,omitempty"` // an operator's word: who gave it
+	ResolvedBy string  `cbor:"7,keyasint,omitempty"` // the operator who resolved the operation, if one did
 
 	Version     int    `cbor:"10,keyasint,omitempty"`
 	Node        string `cbor:"11,keyasint,omitempty"`
-	PrevSegment uint32 `cbor:"12,keyasint,omitempty"` // the segment before this one counts up to PrevEnd
-	PrevEnd     uint32 `cbor:"13,keyasint,omitempty"`
+	PrevSegment uint32 `cbor:"12,keyasint,omitempty"` // the preceding segment; 0 in the first segment
+	PrevEnd     uint32 `cbor:"13,keyasint,omitempty"` // the valid length of the preceding segment in bytes
 }
 
-// Position is where a record stands.
+// Position locates a record's frame: its segment, the offset of its first byte and its length in bytes.
 type Position struct {
-	Segment, Offset, Length uint32 // segment, first byte and size of its frame
+	Segment, Offset, Length uint32
 }
 
-// Errors of journals.
+// Errors returned by Open and Read.
 var (
-	ErrOtherNode    = errors.New("the journal is another node's")
-	ErrNewerVersion = errors.New("the journal is of a newer version")
+	ErrOtherNode    = errors.New("the journal belongs to another node")
+	ErrNewerVersion = errors.New("the journal has a newer version")
 	ErrDamaged      = errors.New("the journal is damaged")
 )
 
-// Damage is a place where a journal is not what was written.
+// Damage is a position at which a journal's content is not valid.
 type Damage struct {
 	Segment, Offset uint32
 	Reason          string
 }
 
 func (d Damage) Error() string {
-	return fmt.Sprintf("%v: %s at byte %d: %s", ErrDamaged, name(d.Segment), d.Offset, d.Reason)
+	return fmt.Sprintf("%v: %s at byte %d: %s", ErrDamaged, segmentName(d.Segment), d.Offset, d.Reason)
 }
 
-// Is makes it an ErrDamaged.
+// Is reports whether err is ErrDamaged, so that errors.Is recognizes a Damage as one.
 func (d Damage) Is(err error) bool { return err == ErrDamaged }
 
-func name(seg uint32) string { return fmt.Sprintf("%08d.log", seg) }
+// segmentName returns the file name of a segment.
+func segmentName(seg uint32) string { return fmt.Sprintf("%08d.log", seg) }
 
-// number returns the number of a segment by its name; ok tells whether it is one.
-func number(name string) (seg uint32, ok bool) {
-	s, is := strings.CutSuffix(name, ".log")
-	n, err := strconv.ParseUint(s, 10, 32)
-	return uint32(n), is && err == nil && len(s) == 8
+// segmentNumber returns the number of the segment with a file name. ok is false if the name is not that of a segment.
+func segmentNumber(name string) (seg uint32, ok bool) {
+	digits, hasSuffix := strings.CutSuffix(name, ".log")
+	n, err := strconv.ParseUint(digits, 10, 32)
+	return uint32(n), hasSuffix && err == nil && len(digits) == 8
 }
 
-// appendFrame appends a record's frame as it stands at a place of a segment, in a batch.
-func appendFrame(b []byte, seg, at uint32, batch uint64, r Record) ([]byte, error) {
+// appendFrame appends to b the frame of a record that is to be written at an offset of a segment as part of a batch.
+func appendFrame(b []byte, seg, offset uint32, batch uint64, r Record) ([]byte, error) {
 	payload, err := cbor.Marshal(r)
-	if err != nil || len(payload) > maxPayload {
-		return b, fmt.Errorf("record of %d bytes: %v", len(payload), err)
+	if err != nil || len(payload) > maxPayloadBytes {
+		return b, fmt.Errorf("can't encode a record of %d bytes within %d: %v", len(payload), maxPayloadBytes, err)
 	}
 	start := len(b)
 	b = append(b, marker[:]...)
@@ -105,42 +108,44 @@
 	b = binary.LittleEndian.AppendUint32(b, seg)
 	b = append(b, make([]byte, 8)...)
 	b = append(b, payload...)
-	binary.LittleEndian.PutUint64(b[start+20:], sum(b[start:], at))
+	binary.LittleEndian.PutUint64(b[start+20:], frameChecksum(b[start:], offset))
 	return b, nil
 }
 
-// sum is the checksum of a frame: over all but itself, and the place.
-func sum(frame []byte, at uint32) uint64 {
-	d := xxhash.New()
-	var place [4]byte
-	binary.LittleEndian.PutUint32(place[:], at)
-	d.Write(place[:])
-	d.Write(frame[:20])
-	d.Write(frame[headSize:])
-	return d.Sum64()
+// frameChecksum returns the checksum of a frame: over its offset in the segment and the whole frame except the
+// checksum.
+func frameChecksum(frame []byte, offset uint32) uint64 {
+	h := xxhash.New()
+	var offsetBytes [4]byte
+	binary.LittleEndian.PutUint32(offsetBytes[:], offset)
+	h.Write(offsetBytes[:])
+	h.Write(frame[:20])
+	h.Write(frame[frameHeaderBytes:])
+	return h.Sum64()
 }
 
-// readFrame reads the frame at the beginning of the rest of a segment, which begins at a place. An empty what tells that
-// it is whole.
-func readFrame(rest []byte, seg, at uint32) (r Record, size uint32, batch uint64, what string) {
-	if len(rest) < headSize {
-		return r, 0, 0, "a head is cut short"
+// readFrame reads the frame at the start of rest, which is the part of a segment from an offset on. problem says why
+// there is no valid frame, and is empty if there is one.
+func readFrame(rest []byte, seg, offset uint32) (r Record, size uint32, batch uint64, problem string) {
+	if len(rest) < frameHeaderBytes {
+		return r, 0, 0, "a frame header is cut short"
 	}
 	n := binary.LittleEndian.Uint32(rest[4:])
 	switch {
 	case [4]byte(rest) != marker:
-		return r, 0, 0, "no record begins here"
-	case n > maxPayload:
-		return r, 0, 0, "a record's size is out of bounds"
-	case int(n) > len(rest)-headSize:
+		return r, 0, 0, "no frame begins here"
+	case n > maxPayloadBytes:
+		return r, 0, 0, "the length of a record exceeds the limit"
+	case int(n) > len(rest)-frameHeaderBytes:
 		return r, 0, 0, "a record is cut short"
 	}
-	frame := rest[:headSize+n]
-	if binary.LittleEndian.Uint32(frame[16:]) != seg || sum(frame, at) != binary.LittleEndian.Uint64(frame[20:]) {
-		return r, 0, 0, "a checksum is wrong"
+	frame := rest[:frameHeaderBytes+n]
+	if binary.LittleEndian.Uint32(frame[16:]) != seg ||
+		frameChecksum(frame, offset) != binary.LittleEndian.Uint64(frame[20:]) {
+		return r, 0, 0, "a checksum does not match"
 	}
-	if err := cbor.Unmarshal(frame[headSize:], &r); err != nil {
-		return r, 0, 0, "a record can't be read: " + err.Error()
+	if err := cbor.Unmarshal(frame[frameHeaderBytes:], &r); err != nil {
+		return r, 0, 0, "a record can't be decoded: " + err.Error()
 	}
 	return r, uint32(len(frame)), binary.LittleEndian.Uint64(frame[8:]), ""
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -9,86 +9,88 @@
 	"whinrudder/internal/storage"
 )
 
-// Segment is a file of a journal.
+// Segment is one file of a journal.
 type Segment struct {
 	Number uint32
-	Bytes  int64
+	Bytes  int64 // the size of the file, including invalid bytes at its end
 }
 
-// Summary tells what opening a journal has found.
+// Summary describes what Open or Verify has read.
 type Summary struct {
 	Node              string
 	Version           int
 	Segments, Records int
 	Bytes             int64
-	TornBytes         int64 // bytes behind the last batch that counts
+	TornBytes         int64 // bytes outside the committed batches
 }
 
-// Journal appends records and reads them by their places. It is used from one goroutine, but for Read.
+// Journal is an open journal to which records are appended. It is not safe for concurrent use. The function Read may be
+// called at any time.
 type Journal struct {
-	dir     storage.Dir
-	node    string
-	most    int64 // bytes from which on a segment is followed by another
-	release func()
+	dir          storage.Dir
+	node         string
+	segmentBytes int64 // a segment of at least this size is followed by a new one
+	release      func()
 
-	segs  []Segment // in order; the last may be the one that is appended to
-	cur   storage.File
-	at    uint32 // end of what counts in the last segment
-	batch uint64
-	bad   bool // what follows at in the last segment is not known
-	buf   []byte
+	segments        []Segment    // in order of their numbers
+	file            storage.File // the last segment, opened for appending; nil until the first Append
+	end             uint32       // the valid length of the last segment in bytes
+	batch           uint64       // number of the last batch
+	needsNewSegment bool         // the content of the last segment after end is unknown
+	buf             []byte       // reused for the frames of a batch
 }
 
-// Options say how a journal is kept.
+// Options are the parameters of a journal.
 type Options struct {
-	Node         string
-	SegmentBytes int64
+	Node         string // a journal with another node's name is refused
+	SegmentBytes int64  // a segment of at least this size is followed by a new one
 }
 
-// maxSegments bounds the files of a journal.
+// maxSegments is the largest number of segments of a journal.
 const maxSegments = 4096
 
-// Open takes the folder and reads a journal, or begins one, and hands each record that counts to visit, in order. What a
-// crash left behind the last batch is passed over; what can't come from a crash is an error (Damage).
+// Open locks the directory, reads its journal, if it has one, and calls visit for each committed record in order. Bytes
+// that a crash can have left after the last committed batch are ignored; any other invalid content is an error
+// (Damage).
 func Open(dir storage.Dir, o Options, visit func(Record, Position)) (*Journal, Summary, error) {
 	release, err := dir.Lock()
 	if err != nil {
 		return nil, Summary{}, err
 	}
-	j := &Journal{dir: dir, node: o.Node, most: o.SegmentBytes, release: release, bad: true}
-	found, err := j.replay(visit)
+	j := &Journal{dir: dir, node: o.Node, segmentBytes: o.SegmentBytes, release: release, needsNewSegment: true}
+	summary, err := j.replay(visit)
 	if err != nil {
 		release()
-		return nil, found, err
+		return nil, summary, err
 	}
-	return j, found, nil
+	return j, summary, nil
 }
 
-// Close lets go of the folder. What was not synced may be lost.
+// Close closes the journal and unlocks the directory. Data that was not synced may be lost.
 func (j *Journal) Close() error {
 	defer j.release()
-	if j.cur == nil {
+	if j.file == nil {
 		return nil
 	}
-	return j.cur.Close()
+	return j.file.Close()
 }
 
-// Segments returns the segments in order.
-func (j *Journal) Segments() []Segment { return slices.Clone(j.segs) }
+// Segments returns the segments in order of their numbers.
+func (j *Journal) Segments() []Segment { return slices.Clone(j.segments) }
 
-// Bytes returns how much all segments hold.
+// Bytes returns the total size of all segments.
 func (j *Journal) Bytes() (n int64) {
-	for _, s := range j.segs {
+	for _, s := range j.segments {
 		n += s.Bytes
 	}
 	return n
 }
 
-// numbers lists the segments of a folder in order.
-func numbers(dir storage.Dir) (out []uint32, err error) {
+// listSegments returns the numbers of a directory's segments in order.
+func listSegments(dir storage.Dir) (out []uint32, err error) {
 	names, err := dir.Names()
 	for _, n := range names {
-		if seg, ok := number(n); ok {
+		if seg, ok := segmentNumber(n); ok {
 			out = append(out, seg)
 		}
 	}
@@ -96,9 +98,9 @@
 	return out, err
 }
 
-// load reads a whole segment.
-func load(dir storage.Dir, seg uint32) ([]byte, error) {
-	f, err := dir.Open(name(seg))
+// readSegment returns the content of a segment.
+func readSegment(dir storage.Dir, seg uint32) ([]byte, error) {
+	f, err := dir.Open(segmentName(seg))
 	if err != nil {
 		return nil, err
 	}
@@ -116,183 +118,187 @@
 	return b, nil
 }
 
-func (j *Journal) replay(visit func(Record, Position)) (found Summary, err error) {
-	segs, err := numbers(j.dir)
+// replay reads all segments and calls visit for each committed record.
+func (j *Journal) replay(visit func(Record, Position)) (summary Summary, err error) {
+	segments, err := listSegments(j.dir)
 	if err != nil {
-		return found, err
+		return summary, err
 	}
-	if len(segs) > maxSegments {
-		return found, fmt.Errorf("%w: %d segments, %d at most", ErrDamaged, len(segs), maxSegments)
+	if len(segments) > maxSegments {
+		return summary, fmt.Errorf("%w: %d segments exceed the limit of %d", ErrDamaged, len(segments), maxSegments)
 	}
 	var next []byte
-	if len(segs) > 0 {
-		if next, err = load(j.dir, segs[0]); err != nil {
-			return found, err
+	if len(segments) > 0 {
+		if next, err = readSegment(j.dir, segments[0]); err != nil {
+			return summary, err
 		}
 	}
-	for i, seg := range segs {
+	for i, seg := range segments {
 		b := next
-		last := i == len(segs)-1
-		cut := uint32(len(b))
+		last := i == len(segments)-1
+		validEnd := uint32(len(b))
 		if !last {
-			if segs[i+1] != seg+1 {
-				return found, Damage{seg + 1, 0, "the segment is missing"}
+			if segments[i+1] != seg+1 {
+				return summary, Damage{seg + 1, 0, "the segment is missing"}
 			}
-			if next, err = load(j.dir, seg+1); err != nil {
-				return found, err
+			if next, err = readSegment(j.dir, seg+1); err != nil {
+				return summary, err
 			}
-			h, _, _, what := readFrame(next, seg+1, 0)
+			h, _, _, problem := readFrame(next, seg+1, 0)
 			switch {
-			case what != "" && i+2 == len(segs): // the crash came while it was begun: nothing in it counts
-				if err := after(next, seg+1, 0, 0); err != nil {
-					return found, err
+			case problem != "" && i+2 == len(segments): // a crash interrupted its creation: nothing in it is committed
+				if err := checkTorn(next, seg+1, 0, 0); err != nil {
+					return summary, err
 				}
 				last = true
-			case what != "":
-				return found, Damage{seg + 1, 0, what}
-			case h.PrevSegment != seg || h.PrevEnd > cut:
-				return found, Damage{seg + 1, 0, "the header does not continue the segment before"}
+			case problem != "":
+				return summary, Damage{seg + 1, 0, problem}
+			case h.PrevSegment != seg || h.PrevEnd > validEnd:
+				return summary, Damage{seg + 1, 0, "the header does not match the preceding segment"}
 			default:
-				cut = h.PrevEnd
+				validEnd = h.PrevEnd
 			}
 		}
-		if err := j.segment(b, seg, cut, last, &found, visit); err != nil {
-			return found, err
+		if err := j.replaySegment(b, seg, validEnd, last, &summary, visit); err != nil {
+			return summary, err
 		}
-		if last && i+1 < len(segs) {
-			found.TornBytes += int64(len(next))
-			if err := errors.Join(j.dir.Remove(name(seg+1)), j.dir.Sync()); err != nil {
-				return found, err
+		if last && i+1 < len(segments) {
+			summary.TornBytes += int64(len(next))
+			if err := errors.Join(j.dir.Remove(segmentName(seg+1)), j.dir.Sync()); err != nil {
+				return summary, err
 			}
 			break
 		}
 	}
-	return found, nil
+	return summary, nil
 }
 
-// segment reads the records of a segment up to a cut.
-func (j *Journal) segment(b []byte, seg, cut uint32, last bool, found *Summary, visit func(Record, Position)) error {
-	at := uint32(0)
-	for at < cut {
-		r, size, batch, what := readFrame(b[at:cut], seg, at)
-		if what != "" {
+// replaySegment reads the records of a segment up to validEnd. In the last segment, a torn batch may end them earlier.
+func (j *Journal) replaySegment(b []byte, seg, validEnd uint32, last bool, summary *Summary,
+	visit func(Record, Position)) error {
+	offset := uint32(0)
+	for offset < validEnd {
+		r, size, batch, problem := readFrame(b[offset:validEnd], seg, offset)
+		if problem != "" {
 			if !last {
-				return Damage{seg, at, what}
+				return Damage{seg, offset, problem}
 			}
-			if err := after(b, seg, at, j.batch+1); err != nil {
+			if err := checkTorn(b, seg, offset, j.batch+1); err != nil {
 				return err
 			}
 			break
 		}
 		switch {
-		case at == 0 && r.Kind != header:
-			return Damage{seg, at, "the header is missing"}
-		case at == 0 && r.Version > Version:
-			return fmt.Errorf("%w: %d, this program knows up to %d", ErrNewerVersion, r.Version, Version)
-		case at == 0 && r.Node != j.node:
-			return fmt.Errorf("%w: %q, not %q", ErrOtherNode, r.Node, j.node)
-		case at > 0 && r.Kind == header, batch < j.batch:
-			return Damage{seg, at, "a record is out of order"}
-		case at == 0:
-			found.Node, found.Version = r.Node, r.Version
+		case offset == 0 && r.Kind != kindHeader:
+			return Damage{seg, offset, "the header is missing"}
+		case offset == 0 && r.Version > Version:
+			return fmt.Errorf("%w: %d, the newest supported version is %d", ErrNewerVersion, r.Version, Version)
+		case offset == 0 && r.Node != j.node:
+			return fmt.Errorf("%w: %q, want %q", ErrOtherNode, r.Node, j.node)
+		case offset > 0 && r.Kind == kindHeader, batch < j.batch:
+			return Damage{seg, offset, "a record is out of order"}
+		case offset == 0:
+			summary.Node, summary.Version = r.Node, r.Version
 		default:
-			visit(r, Position{seg, at, size})
-			found.Records++
+			visit(r, Position{seg, offset, size})
+			summary.Records++
 		}
 		j.batch = batch
-		at += size
+		offset += size
 	}
-	if last && at == 0 { // it was never begun
-		found.TornBytes += int64(len(b))
-		return errors.Join(j.dir.Remove(name(seg)), j.dir.Sync())
+	if last && offset == 0 { // the segment has no valid header: a crash interrupted its creation
+		summary.TornBytes += int64(len(b))
+		return errors.Join(j.dir.Remove(segmentName(seg)), j.dir.Sync())
 	}
-	found.Segments++
-	found.Bytes += int64(len(b))
-	found.TornBytes += int64(uint32(len(b)) - at)
-	j.segs = append(j.segs, Segment{seg, int64(len(b))})
-	j.at = at
+	summary.Segments++
+	summary.Bytes += int64(len(b))
+	summary.TornBytes += int64(uint32(len(b)) - offset)
+	j.segments = append(j.segments, Segment{seg, int64(len(b))})
+	j.end = offset
 	return nil
 }
 
-// after looks behind a record that is not whole. Records are handed over a batch at a time, and the next only after the
-// last was synced: a whole record of a batch over the one that a crash may have torn means that this is not its work.
-func after(b []byte, seg, at uint32, torn uint64) error {
-	for i := at + 1; int(i)+headSize <= len(b); i++ {
+// checkTorn decides whether the invalid record at an offset can be the result of a crash. A batch is written only after
+// the batch before it was synced, so a crash can tear only the last batch. If a valid record of a batch with a number
+// above tornBatch follows, the invalid record is Damage.
+func checkTorn(b []byte, seg, offset uint32, tornBatch uint64) error {
+	for i := offset + 1; int(i)+frameHeaderBytes <= len(b); i++ {
 		if [4]byte(b[i:]) != marker {
 			continue
 		}
-		if _, _, n, what := readFrame(b[i:], seg, i); what == "" && n > torn {
-			return Damage{seg, at, "a record is not whole, and later ones are"}
+		if _, _, batch, problem := readFrame(b[i:], seg, i); problem == "" && batch > tornBatch {
+			return Damage{seg, offset, "a record is invalid, but valid records of later batches follow"}
 		}
 	}
 	return nil
 }
 
-// Append writes records as one batch and returns their places once they are sure to outlive a crash. After an error none
-// of them counts: they were cut off, or will be before anything else is written.
+// Append writes records as one batch and returns their positions once they are durable. After an error none of them is
+// committed: a next segment, whose header excludes whatever was written of them, is begun before any other record is
+// written. If the process ends before that, Open may still find the whole batch or its first records.
 func (j *Journal) Append(records []Record) ([]Position, error) {
-	if j.bad || j.cur == nil || int64(j.at) >= j.most {
-		if err := j.begin(); err != nil {
+	if j.needsNewSegment || j.file == nil || int64(j.end) >= j.segmentBytes {
+		if err := j.beginSegment(); err != nil {
 			return nil, err
 		}
 	}
 	j.batch++
 	j.buf = j.buf[:0]
-	places := make([]Position, 0, len(records))
-	seg := j.segs[len(j.segs)-1].Number
+	positions := make([]Position, 0, len(records))
+	seg := j.segments[len(j.segments)-1].Number
 	for _, r := range records {
 		from := len(j.buf)
-		at := j.at + uint32(from)
+		offset := j.end + uint32(from)
 		var err error
-		if j.buf, err = appendFrame(j.buf, seg, at, j.batch, r); err != nil {
+		if j.buf, err = appendFrame(j.buf, seg, offset, j.batch, r); err != nil {
 			return nil, err
 		}
-		places = append(places, Position{seg, at, uint32(len(j.buf) - from)})
+		positions = append(positions, Position{seg, offset, uint32(len(j.buf) - from)})
 	}
 	if err := j.write(j.buf); err != nil {
-		j.bad = true
+		j.needsNewSegment = true
 		return nil, err
 	}
-	return places, nil
+	return positions, nil
 }
 
-// write appends bytes to the last segment and makes them last.
+// write appends bytes to the last segment and syncs it.
 func (j *Journal) write(b []byte) error {
-	n, err := j.cur.Write(b)
-	j.segs[len(j.segs)-1].Bytes += int64(n)
+	n, err := j.file.Write(b)
+	j.segments[len(j.segments)-1].Bytes += int64(n)
 	if err == nil {
-		err = j.cur.Sync()
+		err = j.file.Sync()
 	}
 	if err == nil {
-		j.at += uint32(len(b))
+		j.end += uint32(len(b))
 	}
 	return err
 }
 
-// begin starts a segment. Its header says how much of the one before counts.
-func (j *Journal) begin() error {
-	if j.cur != nil {
-		j.cur.Close()
-		j.cur = nil
+// beginSegment creates a segment. Its header holds the valid length of the preceding segment.
+func (j *Journal) beginSegment() error {
+	if j.file != nil {
+		j.file.Close()
+		j.file = nil
 	}
-	h := Record{Kind: header, Version: Version, Node: j.node}
-	no := uint32(1)
-	if n := len(j.segs); n > 0 {
-		h.PrevSegment, h.PrevEnd = j.segs[n-1].Number, j.at
-		no = h.PrevSegment + 1
+	header := Record{Kind: kindHeader, Version: Version, Node: j.node}
+	number := uint32(1)
+	if n := len(j.segments); n > 0 {
+		header.PrevSegment, header.PrevEnd = j.segments[n-1].Number, j.end
+		number = header.PrevSegment + 1
 	}
-	if len(j.segs) >= maxSegments {
-		return fmt.Errorf("%d segments are the most there may be", maxSegments)
+	if len(j.segments) >= maxSegments {
+		return fmt.Errorf("the journal has reached the limit of %d segments", maxSegments)
 	}
 	j.batch++
-	b, err := appendFrame(nil, no, 0, j.batch, h)
+	b, err := appendFrame(nil, number, 0, j.batch, header)
 	if err != nil {
 		return err
 	}
-	f, err := j.dir.Create(name(no))
-	if errors.Is(err, fs.ErrExist) { // an earlier try could not be taken back
-		if err = j.dir.Remove(name(no)); err == nil {
-			f, err = j.dir.Create(name(no))
+	f, err := j.dir.Create(segmentName(number))
+	if errors.Is(err, fs.ErrExist) { // a failed earlier attempt could not be removed
+		if err = j.dir.Remove(segmentName(number)); err == nil {
+			f, err = j.dir.Create(segmentName(number))
 		}
 	}
 	if err != nil {
@@ -301,17 +307,17 @@
 	if _, err = f.Write(b); err == nil {
 		err = errors.Join(f.Sync(), j.dir.Sync())
 	}
-	if err != nil { // nothing in it counts, and its number is free again
-		return errors.Join(err, f.Close(), j.dir.Remove(name(no)))
+	if err != nil { // the segment holds no records yet, so its number can be used again
+		return errors.Join(err, f.Close(), j.dir.Remove(segmentName(number)))
 	}
-	j.cur, j.at, j.bad = f, uint32(len(b)), false
-	j.segs = append(j.segs, Segment{no, int64(len(b))})
+	j.file, j.end, j.needsNewSegment = f, uint32(len(b)), false
+	j.segments = append(j.segments, Segment{number, int64(len(b))})
 	return nil
 }
 
-// Read returns the record of a place. It may be called from any goroutine.
+// Read returns the record at a position. It may be called from any goroutine.
 func Read(dir storage.Dir, p Position) (Record, error) {
-	f, err := dir.Open(name(p.Segment))
+	f, err := dir.Open(segmentName(p.Segment))
 	if err != nil {
 		return Record{}, err
 	}
@@ -320,21 +326,21 @@
 	if _, err := f.ReadAt(b, int64(p.Offset)); err != nil {
 		return Record{}, err
 	}
-	r, _, _, what := readFrame(b, p.Segment, p.Offset)
-	if what != "" {
-		return Record{}, Damage{p.Segment, p.Offset, what}
+	r, _, _, problem := readFrame(b, p.Segment, p.Offset)
+	if problem != "" {
+		return Record{}, Damage{p.Segment, p.Offset, problem}
 	}
 	return r, nil
 }
 
-// DropOldest removes the oldest segment, which must not be the last.
+// DropOldest removes the oldest segment. The last segment can't be removed.
 func (j *Journal) DropOldest() error {
-	if len(j.segs) < 2 {
-		return errors.New("the last segment can't go")
+	if len(j.segments) < 2 {
+		return errors.New("the last segment of a journal can't be dropped")
 	}
-	if err := errors.Join(j.dir.Remove(name(j.segs[0].Number)), j.dir.Sync()); err != nil {
+	if err := errors.Join(j.dir.Remove(segmentName(j.segments[0].Number)), j.dir.Sync()); err != nil {
 		return err
 	}
-	j.segs = j.segs[1:]
+	j.segments = j.segments[1:]
 	return nil
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -13,57 +13,61 @@
 	"whinrudder/internal/storagetest"
 )
 
-// read opens a journal and returns what it holds.
-func read(t interface{ Fatal(...any) }, dir *storagetest.Dir) (*Journal, Summary, []Record, []Position) {
-	var all []Record
-	var places []Position
-	j, found, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, p Position) {
-		all, places = append(all, r), append(places, p)
+// openJournal opens a journal and returns its records with their positions.
+func openJournal(t interface{ Fatal(...any) }, dir *storagetest.Dir) (*Journal, Summary, []Record, []Position) {
+	var records []Record
+	var positions []Position
+	j, summary, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, p Position) {
+		records, positions = append(records, r), append(positions, p)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return j, found, all, places
+	return j, summary, records, positions
 }
 
-func record(n int) Record {
-	return Record{Kind: Intended, Key: fmt.Sprint("k", n), Run: fmt.Sprintf("%016x", n), At: float64(n),
-		Result: make([]byte, n%50)}
+func testRecord(i int) Record {
+	return Record{Kind: Intended, Key: fmt.Sprint("k", i), Run: fmt.Sprintf("%016x", i), At: float64(i),
+		Result: make([]byte, i%50)}
 }
 
-// Whatever fails, tears and crashes: a batch that was taken is read back, whole and in order, one that was not taken may
-// be there only if nothing was taken after it, and the journal can be used again after each reboot.
+// Guards against lost and resurrected records after failed operations, torn writes and crashes. Each batch that Append
+// accepted is read back, whole and in order; a rejected batch may be read back only if no later one was accepted; and
+// the journal can be used again after each reboot.
 func TestBatchesOutliveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir := storagetest.New(rapid.Uint64().Draw(t, "seed"))
-		var sure []string    // keys in order
-		var maybe [][]string // batches of which one, or its beginning, may follow
-		n := 0
+		var committed []string  // keys of the accepted batches in order
+		var rejected [][]string // rejected batches, one of which may follow, or its first records
+		lastRecord := 0
 		for range rapid.IntRange(1, 5).Draw(t, "lives") {
 			dir.SetFaults(nil)
-			j, _, got, places := read(t, dir)
+			j, _, got, positions := openJournal(t, dir)
 			var keys []string
 			for i, r := range got {
 				keys = append(keys, r.Key)
-				if again, err := Read(dir, places[i]); err != nil || cmp.Diff(r, again, cmpopts.EquateEmpty()) != "" {
-					t.Fatalf("%v at %v: %v, %v", r, places[i], again, err)
+				if reread, err := Read(dir, positions[i]); err != nil || cmp.Diff(r, reread, cmpopts.EquateEmpty()) != "" {
+					t.Fatalf("Read at %v: got %v, error %v, want %v", positions[i], reread, err, r)
 				}
 			}
-			if len(keys) < len(sure) || !slices.Equal(sure, keys[:len(sure)]) {
-				t.Fatalf("taken %v, read %v", sure, keys)
+			if len(keys) < len(committed) || !slices.Equal(committed, keys[:len(committed)]) {
+				t.Fatalf("got keys %v, want first the accepted keys %v", keys, committed)
 			}
-			rest := keys[len(sure):]
-			if len(rest) > 0 && !slices.ContainsFunc(maybe, func(m []string) bool { return slices.Equal(m[:min(len(m), len(rest))], rest) }) {
-				t.Fatalf("read %v after what was taken, but one of %v might be there", rest, maybe)
+			rest := keys[len(committed):]
+			if len(rest) > 0 && !slices.ContainsFunc(rejected, func(batch []string) bool {
+				return slices.Equal(batch[:min(len(batch), len(rest))], rest)
+			}) {
+				t.Fatalf("got keys %v after the accepted ones, want the start of one of the rejected batches %v",
+					rest, rejected)
 			}
-			sure, maybe = keys, nil
+			committed, rejected = keys, nil
 			crash := dir.OpCount() + rapid.IntRange(1, 60).Draw(t, "crash after")
-			flaky := rapid.IntRange(0, 8).Draw(t, "one of so many fails")
+			failEvery := rapid.IntRange(0, 8).Draw(t, "one of so many fails")
 			dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
 				switch {
 				case o.Number == crash:
 					return storagetest.Crash
-				case flaky > 1 && o.Number%(flaky+1) == 0:
+				case failEvery > 1 && o.Number%(failEvery+1) == 0:
 					return storagetest.Fail
 				}
 				return storagetest.None
@@ -72,12 +76,13 @@
 				var batch []Record
 				var keys []string
 				for range rapid.IntRange(1, 4).Draw(t, "records") {
-					n++
-					batch, keys = append(batch, record(n)), append(keys, record(n).Key)
+					lastRecord++
+					batch, keys = append(batch, testRecord(lastRecord)), append(keys, testRecord(lastRecord).Key)
 				}
 				if _, err := j.Append(batch); err == nil {
-					sure, maybe = append(sure, keys...), nil
-				} else if maybe = append(maybe, keys); !errors.Is(err, storagetest.ErrCrash) && !errors.Is(err, storagetest.ErrInjected) {
+					committed, rejected = append(committed, keys...), nil
+				} else if rejected = append(rejected, keys); !errors.Is(err, storagetest.ErrCrash) &&
+					!errors.Is(err, storagetest.ErrInjected) {
 					t.Fatal(err)
 				}
 			}
@@ -86,131 +91,134 @@
 	})
 }
 
-// Each flipped bit is found by Verify, and Open never takes one for something else: it refuses, or drops the last batch.
-func TestEachFlippedByteIsFound(t *testing.T) {
+// Guards against corruption that goes unnoticed: for a flipped bit in each byte, Verify reports damage, and Open either
+// fails or drops the last batch, but never returns a changed record.
+func TestFlippedBitsAreFound(t *testing.T) {
 	dir := storagetest.New(1)
-	j, _, _, _ := read(t, dir)
-	last := 0
+	j, _, _, _ := openJournal(t, dir)
+	lastBatchRecords := 0
 	for n := range 14 {
-		if _, err := j.Append([]Record{record(2 * n), record(2*n + 1)}); err != nil {
+		if _, err := j.Append([]Record{testRecord(2 * n), testRecord(2*n + 1)}); err != nil {
 			t.Fatal(err)
 		}
-		last = 2
+		lastBatchRecords = 2
 	}
 	j.Close()
 	names, _ := dir.Names()
 	if len(names) < 3 {
-		t.Fatalf("%d segments, want some", len(names))
+		t.Fatalf("got %d segments, want at least 3", len(names))
 	}
-	if _, all, err := Verify(dir, func(Record, Position) {}); err != nil || len(all) > 0 {
-		t.Fatal(all, err)
+	if _, damages, err := Verify(dir, func(Record, Position) {}); err != nil || len(damages) > 0 {
+		t.Fatal(damages, err)
 	}
 	flips, refused, dropped := 0, 0, 0
 	for _, name := range names {
-		for at := range dir.Read(name) {
-			dir.FlipBit(name, at)
+		for offset := range dir.Read(name) {
+			dir.FlipBit(name, offset)
 			flips++
-			if _, all, err := Verify(dir, func(Record, Position) {}); err != nil || len(all) == 0 {
-				t.Fatalf("%s byte %d: not found (%v)", name, at, err)
+			if _, damages, err := Verify(dir, func(Record, Position) {}); err != nil || len(damages) == 0 {
+				t.Fatalf("%s byte %d: Verify did not report the flipped bit (error %v)", name, offset, err)
 			}
 			n := 0
 			j, _, err := Open(dir, Options{Node: "n1", SegmentBytes: 900}, func(r Record, _ Position) {
-				if cmp.Diff(record(n), r, cmpopts.EquateEmpty()) != "" {
-					t.Fatalf("%s byte %d: %v is read as the record %d", name, at, r, n)
+				if cmp.Diff(testRecord(n), r, cmpopts.EquateEmpty()) != "" {
+					t.Fatalf("%s byte %d: Open returned %v as record %d", name, offset, r, n)
 				}
 				n++
 			})
 			switch {
-			case err == nil && n >= 28-last && n < 28:
+			case err == nil && n >= 28-lastBatchRecords && n < 28:
 				dropped++
 			case errors.Is(err, ErrDamaged):
 				refused++
 			default:
-				t.Fatalf("%s byte %d: %d records, %v", name, at, n, err)
+				t.Fatalf("%s byte %d: Open returned %d of 28 records and error %v, want ErrDamaged or just the last batch lost",
+					name, offset, n, err)
 			}
 			if j != nil {
 				j.Close()
 			}
-			dir.FlipBit(name, at)
+			dir.FlipBit(name, offset)
 		}
 	}
-	t.Logf("%d flips: %d refused, %d dropped the last batch", flips, refused, dropped)
+	t.Logf("%d flipped bits: Open failed for %d and dropped the last batch for %d", flips, refused, dropped)
 }
 
-// A journal is refused by another node, by an older program and while it is in use, and a segment that is gone is missed.
-func TestWhatIsRefused(t *testing.T) {
-	open := func(dir *storagetest.Dir, node string) error {
+// Open fails for another node's journal, for one of a newer version, while another holder has the lock, and if a
+// segment in the middle is missing. It succeeds after the oldest segment was dropped.
+func TestRefusedJournals(t *testing.T) {
+	openAs := func(dir *storagetest.Dir, node string) error {
 		j, _, err := Open(dir, Options{Node: node, SegmentBytes: 900}, func(Record, Position) {})
 		if err == nil {
 			j.Close()
 		}
 		return err
 	}
-	make := func() (*storagetest.Dir, *Journal) {
+	newJournal := func() (*storagetest.Dir, *Journal) {
 		dir := storagetest.New(1)
-		j, _, _, _ := read(t, dir)
+		j, _, _, _ := openJournal(t, dir)
 		for n := range 60 {
-			if _, err := j.Append([]Record{record(n)}); err != nil {
+			if _, err := j.Append([]Record{testRecord(n)}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		return dir, j
 	}
-	dir, j := make()
-	if err := open(dir, "n1"); err == nil {
-		t.Error("two have the folder")
+	dir, j := newJournal()
+	if err := openAs(dir, "n1"); err == nil {
+		t.Error("a second Open of a locked directory succeeded")
 	}
 	j.Close()
-	if err := open(dir, "n2"); !errors.Is(err, ErrOtherNode) {
-		t.Error(err)
+	if err := openAs(dir, "n2"); !errors.Is(err, ErrOtherNode) {
+		t.Errorf("Open by another node: got error %v, want %v", err, ErrOtherNode)
 	}
-	dir.Remove(name(2))
-	if err := open(dir, "n1"); !errors.Is(err, ErrDamaged) {
-		t.Error(err)
+	dir.Remove(segmentName(2))
+	if err := openAs(dir, "n1"); !errors.Is(err, ErrDamaged) {
+		t.Errorf("Open without segment 2: got error %v, want %v", err, ErrDamaged)
 	}
 	dir = storagetest.New(1)
-	f, _ := dir.Create(name(1))
-	b, err := appendFrame(nil, 1, 0, 1, Record{Kind: header, Version: Version + 1, Node: "n1"})
+	f, _ := dir.Create(segmentName(1))
+	b, err := appendFrame(nil, 1, 0, 1, Record{Kind: kindHeader, Version: Version + 1, Node: "n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Write(b)
-	if err := open(dir, "n1"); !errors.Is(err, ErrNewerVersion) {
-		t.Error(err)
+	if err := openAs(dir, "n1"); !errors.Is(err, ErrNewerVersion) {
+		t.Errorf("Open of a newer version: got error %v, want %v", err, ErrNewerVersion)
 	}
-	dir, j = make()
+	dir, j = newJournal()
 	if err := j.DropOldest(); err != nil {
 		t.Error(err)
 	}
 	j.Close()
-	if err := open(dir, "n1"); err != nil {
-		t.Error(err)
+	if err := openAs(dir, "n1"); err != nil {
+		t.Errorf("Open after DropOldest: %v", err)
 	}
 }
 
-// A whole frame in another place than its own is none.
-func TestFrameKnowsItsPlace(t *testing.T) {
-	b, err := appendFrame(nil, 1, 0, 1, record(7))
+// A frame is valid only at the segment and offset for which it was written.
+func TestFrameIsBoundToItsPosition(t *testing.T) {
+	b, err := appendFrame(nil, 1, 0, 1, testRecord(7))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range []Position{{1, 0, 0}, {1, 64, 0}, {2, 0, 0}} {
-		if _, _, _, what := readFrame(b, p.Segment, p.Offset); (what == "") != (p == Position{1, 0, 0}) {
-			t.Errorf("at %v: %q", p, what)
+		if _, _, _, problem := readFrame(b, p.Segment, p.Offset); (problem == "") != (p == Position{1, 0, 0}) {
+			t.Errorf("readFrame at %v: got problem %q", p, problem)
 		}
 	}
 }
 
 func FuzzFrame(f *testing.F) {
-	b, err := appendFrame(nil, 1, 0, 1, record(7))
+	b, err := appendFrame(nil, 1, 0, 1, testRecord(7))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
 	f.Add(b[:20])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, size, _, what := readFrame(b, 1, 0); what == "" && int(size) > len(b) {
-			t.Errorf("%v of %d bytes out of %d", r, size, len(b))
+		if r, size, _, problem := readFrame(b, 1, 0); problem == "" && int(size) > len(b) {
+			t.Errorf("got record %v of %d bytes from %d bytes of input", r, size, len(b))
 		}
 	})
 }
--- a/internal/journal/verify.go
+++ b/internal/journal/verify.go
@@ -8,91 +8,95 @@
 	"whinrudder/internal/storage"
 )
 
-// Verify reads a whole journal, without taking the folder, hands each record that is whole to visit, and returns all that
-// is wrong. What a crash may leave behind the last batch counts as wrong, too, as nothing tells it from damage: its Reason
-// says so. A running node may remove a segment meanwhile; then it begins again, a few times.
-func Verify(dir storage.Dir, visit func(Record, Position)) (found Summary, all []Damage, err error) {
+// Verify reads a whole journal without locking the directory, calls visit for each valid record, and returns all
+// damages. Bytes that a crash may have left after the last batch are reported as damage too, because they can't be
+// distinguished from it; their Reason says so. If a running node removes a segment meanwhile, Verify starts again, up
+// to 4 times.
+func Verify(dir storage.Dir, visit func(Record, Position)) (summary Summary, damages []Damage, err error) {
 	for range 5 {
 		var records []Record
-		var places []Position
-		found, all, err = verify(dir, func(r Record, p Position) { records, places = append(records, r), append(places, p) })
+		var positions []Position
+		summary, damages, err = verify(dir, func(r Record, p Position) {
+			records, positions = append(records, r), append(positions, p)
+		})
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
 		for i, r := range records {
-			visit(r, places[i])
+			visit(r, positions[i])
 		}
-		return found, all, err
+		return summary, damages, err
 	}
-	return found, all, err
+	return summary, damages, err
 }
 
-func verify(dir storage.Dir, visit func(Record, Position)) (found Summary, all []Damage, err error) {
-	segs, err := numbers(dir)
+// verify reads a journal once.
+func verify(dir storage.Dir, visit func(Record, Position)) (summary Summary, damages []Damage, err error) {
+	segments, err := listSegments(dir)
 	if err != nil {
-		return found, nil, err
+		return summary, nil, err
 	}
-	cuts := map[uint32]uint32{} // by segment, from the header of the next
-	texts := map[uint32][]byte{}
-	for _, seg := range segs {
-		b, err := load(dir, seg)
+	validEnds := map[uint32]uint32{} // valid length by segment, from the header of the next one
+	contents := map[uint32][]byte{}
+	for _, seg := range segments {
+		b, err := readSegment(dir, seg)
 		if err != nil {
-			return found, all, err
+			return summary, damages, err
 		}
-		texts[seg] = b
-		if h, _, _, what := readFrame(b, seg, 0); what == "" && h.Kind == header {
-			found.Node, found.Version = h.Node, h.Version
+		contents[seg] = b
+		if h, _, _, problem := readFrame(b, seg, 0); problem == "" && h.Kind == kindHeader {
+			summary.Node, summary.Version = h.Node, h.Version
 			if h.PrevSegment > 0 {
-				cuts[h.PrevSegment] = h.PrevEnd
+				validEnds[h.PrevSegment] = h.PrevEnd
 			}
 		}
 	}
-	batch := uint64(0)
-	for i, seg := range segs {
-		b := texts[seg]
-		found.Segments++
-		found.Bytes += int64(len(b))
-		if i > 0 && segs[i-1] != seg-1 {
-			all = append(all, Damage{seg - 1, 0, "the segment is missing"})
+	lastBatch := uint64(0)
+	for i, seg := range segments {
+		b := contents[seg]
+		summary.Segments++
+		summary.Bytes += int64(len(b))
+		if i > 0 && segments[i-1] != seg-1 {
+			damages = append(damages, Damage{seg - 1, 0, "the segment is missing"})
 		}
-		cut, ok := cuts[seg]
-		if !ok || int(cut) > len(b) {
-			if ok || i < len(segs)-1 {
-				all = append(all, Damage{seg, 0, "the next header does not tell how much of it counts"})
+		validEnd, known := validEnds[seg]
+		if !known || int(validEnd) > len(b) {
+			if known || i < len(segments)-1 {
+				damages = append(damages, Damage{seg, 0, "the next segment's header gives no valid length for it"})
 			}
-			cut = uint32(len(b))
+			validEnd = uint32(len(b))
 		}
-		found.TornBytes += int64(len(b)) - int64(cut)
-		for at := uint32(0); at < cut; {
-			r, size, n, what := readFrame(b[at:cut], seg, at)
+		summary.TornBytes += int64(len(b)) - int64(validEnd)
+		for offset := uint32(0); offset < validEnd; {
+			r, size, batch, problem := readFrame(b[offset:validEnd], seg, offset)
 			switch {
-			case what == "" && (at == 0) != (r.Kind == header):
-				all = append(all, Damage{seg, at, "a header is not where it belongs"})
-			case what == "" && n < batch:
-				all = append(all, Damage{seg, at, "a record is out of order"})
-			case what == "" && at > 0:
-				visit(r, Position{seg, at, size})
-				found.Records++
+			case problem == "" && (offset == 0) != (r.Kind == kindHeader):
+				damages = append(damages, Damage{seg, offset, "a header is missing or misplaced"})
+			case problem == "" && batch < lastBatch:
+				damages = append(damages, Damage{seg, offset, "a record is out of order"})
+			case problem == "" && offset > 0:
+				visit(r, Position{seg, offset, size})
+				summary.Records++
 			}
-			if what == "" {
-				batch, at = n, at+size
+			if problem == "" {
+				lastBatch, offset = batch, offset+size
 				continue
 			}
-			next := at + 1
-			for ; next < cut; next++ {
-				if int(next)+headSize <= len(b) && [4]byte(b[next:]) == marker {
-					if _, _, _, what := readFrame(b[next:cut], seg, next); what == "" {
+			next := offset + 1
+			for ; next < validEnd; next++ {
+				if int(next)+frameHeaderBytes <= len(b) && [4]byte(b[next:]) == marker {
+					if _, _, _, problem := readFrame(b[next:validEnd], seg, next); problem == "" {
 						break
 					}
 				}
 			}
-			if i == len(segs)-1 && next >= cut {
-				what = fmt.Sprintf("%s; the last %d bytes are what a crash left, or damage", what, cut-at)
-				found.TornBytes += int64(cut - at)
+			if i == len(segments)-1 && next >= validEnd {
+				problem = fmt.Sprintf("%s; the last %d bytes are what a crash left, or damage", problem, validEnd-offset)
+				summary.TornBytes += int64(validEnd - offset)
 			}
-			all = append(all, Damage{seg, at, what})
-			at = next
+			damages = append(damages, Damage{seg, offset, problem})
+			offset = next
 		}
 	}
-	return found, all, nil
+	return summary, damages, nil
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,6 +1,6 @@
-// Package storage is a narrow interface to one directory of append-only files on disk. Written data is durable only after
-// File.Sync has returned, and created or removed names only after Dir.Sync has. Package storagetest has a fake in memory
-// that injects errors, torn writes and crashes.
+// Package storage is a narrow interface to one directory of append-only files on disk. Written data is durable only
+// after File.Sync has returned, and created or removed names only after Dir.Sync has. Package storagetest has a fake in
+// memory that injects errors, torn writes and crashes.
 package storage
 
 import (
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -8,7 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A directory on disk returns what was written to it, refuses a second lock, and does not list its lock file among its names.
+// A directory on disk returns what was written to it, refuses a second lock, and does not list its lock file among its
+// names.
 func TestDirOnDisk(t *testing.T) {
 	path := t.TempDir()
 	d, err := OpenDir(path)
--- a/internal/storagetest/storagetest.go
+++ b/internal/storagetest/storagetest.go
@@ -1,6 +1,6 @@
-// Package storagetest has a fake storage.Dir in memory that injects faults: errors, a full disk, torn writes and crashes.
-// Operations are numbered, and a caller-supplied function selects the Fault of each. A crash keeps synced data; of the
-// rest, a random choice of whole sectors survives, in any order, as on a disk with a write cache.
+// Package storagetest has a fake storage.Dir in memory that injects faults: errors, a full disk, torn writes and
+// crashes. Operations are numbered, and a caller-supplied function selects the Fault of each. A crash keeps synced
+// data; of the rest, a random choice of whole sectors survives, in any order, as on a disk with a write cache.
 package storagetest
 
 import (
@@ -36,11 +36,11 @@
 	ErrCrash    = errors.New("storagetest: crashed")
 )
 
-// Op describes an operation.
+// Op describes an operation. Kind is create, open, remove, write, sync or syncdir; Name is the file's, empty for
+// syncdir.
 type Op struct {
-	Number int    // counts from 1
-	Kind   string // create, open, remove, write, sync or syncdir
-	Name   string // of the file; empty for syncdir
+	Number     int // counts from 1
+	Kind, Name string
 }
 
 // Dir is a fake storage.Dir. It is safe for concurrent use.
@@ -60,7 +60,7 @@
 type content struct {
 	data       []byte
 	synced     int  // length of the prefix of data that survives a crash
-	syncFailed bool // a Sync failed; later ones succeed without making data durable, as with the page cache of a real disk
+	syncFailed bool // a Sync failed; later ones succeed without making data durable, as with a real page cache
 }
 
 // New returns an empty directory. The seed determines what survives its crashes.
