--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -56,7 +56,7 @@
 
 	Version     int    `cbor:"10,keyasint,omitempty"`
 	Node        string `cbor:"11,keyasint,omitempty"`
-	PrevSegment uint32 `cbor:"12,keyasint,omitempty"` // the preceding segment; 0 in the first segment
+	PrevSegment uint32 `cbor:"12,keyasint,omitempty"` // the preceding segment; 0 in segment 1
 	PrevEnd     uint32 `cbor:"13,keyasint,omitempty"` // the valid length of the preceding segment in bytes
 }
 
--- a/internal/kept/contents.go
+++ b/internal/kept/contents.go
@@ -13,7 +13,8 @@
 	"whinrudder/internal/storage"
 )
 
-// Contents is what a folder holds, read without taking it: a node may run on it.
+// Contents is the content of a directory with a journal. It is read without the directory's lock, so a node may run on
+// it meanwhile.
 type Contents struct {
 	Summary    journal.Summary
 	Damage     []journal.Damage
@@ -21,63 +22,64 @@
 	dir        storage.Dir
 }
 
-// ReadContents reads a folder.
+// ReadContents reads the directory at path.
 func ReadContents(path string) (*Contents, error) {
 	dir, err := storage.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
-	t := ops.New(ops.Limits{AgeMs: 1e15, DoubtMs: 1e15})
-	found, damage, err := journal.Verify(dir, t.Recover)
-	if err == nil && found.Segments == 0 {
+	table := ops.New(ops.Limits{AgeMs: 1e15, DoubtMs: 1e15})
+	summary, damage, err := journal.Verify(dir, table.Recover)
+	if err == nil && summary.Segments == 0 {
 		err = fmt.Errorf("%s holds no journal", path)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &Contents{found, damage, t.Operations(), dir}, nil
+	return &Contents{summary, damage, table.Operations(), dir}, nil
 }
 
-// Result returns the result of an operation that has one.
-func (l *Contents) Result(i ops.Operation) ([]byte, error) {
-	r, err := journal.Read(l.dir, i.Position)
-	return r.Result, err
+// Result reads the result of an operation. The operation must be finished.
+func (c *Contents) Result(op ops.Operation) ([]byte, error) {
+	record, err := journal.Read(c.dir, op.Position)
+	return record.Result, err
 }
 
-// state is how an operation stands, as one word.
-func state(i ops.Operation) string {
-	if i.State == ops.Done {
-		return KindName(i.End)
+// stateName returns the name of an operation's state. For an operation that has ended, it says how.
+func stateName(op ops.Operation) string {
+	if op.State == ops.Done {
+		return KindName(op.End)
 	}
-	return i.State.String()
+	return op.State.String()
 }
 
-func stamp(ms float64) string { return time.UnixMilli(int64(ms)).UTC().Format(time.RFC3339) }
+// formatTime formats a time in Unix milliseconds.
+func formatTime(ms float64) string { return time.UnixMilli(int64(ms)).UTC().Format(time.RFC3339) }
 
-// List writes a line for each operation; only those of a state, if one is given.
-func (l *Contents) List(w io.Writer, only string) {
-	for _, i := range l.Operations {
-		if only == "" || only == state(i) {
-			fmt.Fprintf(w, "%-9s %s %s run=%s\n", state(i), stamp(i.At), i.Key, i.Run)
+// List writes a line for each operation. If stateFilter is not empty, it writes only the operations in that state.
+func (c *Contents) List(w io.Writer, stateFilter string) {
+	for _, op := range c.Operations {
+		if stateFilter == "" || stateFilter == stateName(op) {
+			fmt.Fprintf(w, "%-9s %s %s run=%s\n", stateName(op), formatTime(op.At), op.Key, op.Run)
 		}
 	}
 }
 
-// Export writes all operations as JSON, one a line, with their results.
-func (l *Contents) Export(w io.Writer) error {
+// Export writes all operations with their results as JSON, one object per line.
+func (c *Contents) Export(w io.Writer) error {
 	var a fastjson.Arena
-	for _, i := range l.Operations {
+	for _, op := range c.Operations {
 		a.Reset()
 		o := a.NewObject()
-		o.Set("key", a.NewString(i.Key))
-		o.Set("state", a.NewString(state(i)))
-		o.Set("run", a.NewString(i.Run))
-		o.Set("at", a.NewNumberFloat64(i.At))
-		if i.ResolvedBy != "" {
-			o.Set("by", a.NewString(i.ResolvedBy))
+		o.Set("key", a.NewString(op.Key))
+		o.Set("state", a.NewString(stateName(op)))
+		o.Set("run", a.NewString(op.Run))
+		o.Set("at", a.NewNumberFloat64(op.At))
+		if op.ResolvedBy != "" {
+			o.Set("by", a.NewString(op.ResolvedBy))
 		}
-		if i.State == ops.Done && i.End == journal.Finished {
-			result, err := l.Result(i)
+		if op.State == ops.Done && op.End == journal.Finished {
+			result, err := c.Result(op)
 			if err != nil {
 				return err
 			}
@@ -90,20 +92,20 @@
 	return nil
 }
 
-// Show writes one operation.
-func (l *Contents) Show(w io.Writer, key string) error {
-	for _, i := range l.Operations {
-		if i.Key != key {
+// Show writes the operation with a key.
+func (c *Contents) Show(w io.Writer, key string) error {
+	for _, op := range c.Operations {
+		if op.Key != key {
 			continue
 		}
-		fmt.Fprintf(w, "key %s\nstate %s\nat %s\nrun %s\n", i.Key, state(i), stamp(i.At), i.Run)
-		if i.ResolvedBy != "" {
-			fmt.Fprintf(w, "by %s\n", i.ResolvedBy)
+		fmt.Fprintf(w, "key %s\nstate %s\nat %s\nrun %s\n", op.Key, stateName(op), formatTime(op.At), op.Run)
+		if op.ResolvedBy != "" {
+			fmt.Fprintf(w, "by %s\n", op.ResolvedBy)
 		}
-		if i.State != ops.Done || i.End != journal.Finished {
+		if op.State != ops.Done || op.End != journal.Finished {
 			return nil
 		}
-		result, err := l.Result(i)
+		result, err := c.Result(op)
 		if err == nil {
 			_, err = fmt.Fprintf(w, "result %q\n", result)
 		}
@@ -112,22 +114,22 @@
 	return fmt.Errorf("%q is not kept", key)
 }
 
-// Verify writes what the folder holds and all that is wrong with it. The error tells that something is.
-func (l *Contents) Verify(w io.Writer) error {
-	f := l.Summary
-	doubts := 0
-	for _, i := range l.Operations {
-		if i.State == ops.InDoubt {
-			doubts++
+// Verify writes a summary of the journal and a line for each damage. It returns an error if there is any damage.
+func (c *Contents) Verify(w io.Writer) error {
+	summary := c.Summary
+	inDoubt := 0
+	for _, op := range c.Operations {
+		if op.State == ops.InDoubt {
+			inDoubt++
 		}
 	}
-	fmt.Fprintf(w, "node %s, version %d, %d segments, %d bytes, %d records, %d operations, %d without an end\n", f.Node, f.Version,
-		f.Segments, f.Bytes, f.Records, len(l.Operations), doubts)
-	for _, d := range l.Damage {
+	fmt.Fprintf(w, "node %s, version %d, %d segments, %d bytes, %d records, %d operations, %d in doubt\n", summary.Node,
+		summary.Version, summary.Segments, summary.Bytes, summary.Records, len(c.Operations), inDoubt)
+	for _, d := range c.Damage {
 		fmt.Fprintln(w, d.Error())
 	}
-	if len(l.Damage) > 0 {
-		return fmt.Errorf("%w: %d places", journal.ErrDamaged, len(l.Damage))
+	if len(c.Damage) > 0 {
+		return fmt.Errorf("%w at %d positions", journal.ErrDamaged, len(c.Damage))
 	}
 	return nil
 }
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -1,6 +1,7 @@
-// Package kept drives the journal of operations: one goroutine appends what the core wants to last, as many records at
-// a time as wait, one reads records that stand there, and a socket in the folder takes the word of operators. It decides
-// nothing; see ops for that.
+// Package kept does the I/O for the journal of kept operations. One goroutine appends the records that the core hands
+// out, with all waiting records in one batch, and another reads records back. A Unix socket in the journal's directory
+// accepts the resolutions of operators. The decisions are made in package ops. Owner opens and closes the journal while
+// one process of a node succeeds another, and Contents reads a journal for the operator's commands.
 package kept
 
 import (
@@ -18,93 +19,95 @@
 	"whinrudder/internal/storage"
 )
 
-// Bounds of a batch, and pauses in milliseconds.
 const (
-	batchMost  = 256
-	batchBytes = 512 << 10
-	failPause  = 100 // after a batch that did not last
+	maxBatchRecords = 256
+	maxBatchBytes   = 512 << 10 // a batch ends with the record that reaches this size
+	retryDelayMs    = 100       // delay after a batch that could not be written
 )
 
-// socketName is the socket in the folder that takes the word of operators.
+// socketName is the file name of the socket in the journal's directory that accepts the resolutions of operators.
 const socketName = "resolve.sock"
 
-// Host is the node around a keeper.
+// Host is the interface of a Store to its node.
 type Host struct {
 	Name string
-	Send func(core.Input) // may block until the core takes it, or the node has ended
+	Send func(core.Input) // may block until the core takes the input or the node has ended
 	Log  func(word string, pairs ...any)
 }
 
-// Store holds the journal of a node.
+// Store runs the open journal of a node.
 type Store struct {
 	host   Host
 	dir    storage.Dir
 	j      *journal.Journal
 	socket net.Listener
 
-	mu      sync.Mutex // of the queues
-	writes  []ops.Write
-	fetches []core.Fetch
-	drops   []uint32
-	wake    chan struct{}
-	wakeF   chan struct{}
-	over    chan struct{} // closed once the node ends
-	done    chan struct{} // closed once all is written
+	mu         sync.Mutex // guards writes, fetches and drops
+	writes     []ops.Write
+	fetches    []core.Fetch
+	drops      []uint32      // segments to drop
+	wakeWriter chan struct{} // signals new writes or drops
+	wakeReader chan struct{} // signals new fetches
+	stop       chan struct{} // closed when the node shuts down
+	written    chan struct{} // closed once the queued writes are done and the journal is closed
 }
 
-// TableLimits returns the limits of a table.
+// TableLimits converts the configuration to the limits of a table.
 func TableLimits(o settings.KeptConfig) ops.Limits {
-	return ops.Limits{Keys: o.MaxOperations, DiskBytes: int64(o.DiskMB) << 20, SegmentBytes: int64(o.SegmentMB) << 20, AgeMs: o.ResultTTLMs,
-		DoubtMs: o.InDoubtTTLMs}
+	return ops.Limits{Keys: o.MaxOperations, DiskBytes: int64(o.DiskMB) << 20, SegmentBytes: int64(o.SegmentMB) << 20,
+		AgeMs: o.ResultTTLMs, DoubtMs: o.InDoubtTTLMs}
 }
 
-// Open recovers the operations of a folder. Nothing is written before Start.
+// Open opens the journal in dir and recovers its operations. now is in Unix milliseconds. No record is written before
+// Start.
 func Open(h Host, dir storage.Dir, o settings.KeptConfig, now float64) (*Store, *ops.Table, error) {
-	t := ops.New(TableLimits(o))
-	j, found, err := journal.Open(dir, journal.Options{Node: h.Name, SegmentBytes: int64(o.SegmentMB) << 20}, t.Recover)
+	table := ops.New(TableLimits(o))
+	j, summary, err := journal.Open(dir, journal.Options{Node: h.Name, SegmentBytes: int64(o.SegmentMB) << 20},
+		table.Recover)
 	if err != nil {
 		return nil, nil, err
 	}
-	t.FinishRecovery(now, j.Segments())
-	keys, doubts, _, disk := t.Counts()
-	h.Log("kept", "code", "open", "records", found.Records, "segments", found.Segments, "bytes", disk, "torn", found.TornBytes,
-		"keys", keys, "doubts", doubts)
-	k := &Store{host: h, dir: dir, j: j, wake: make(chan struct{}, 1), wakeF: make(chan struct{}, 1),
-		over: make(chan struct{}), done: make(chan struct{})}
-	return k, t, nil
+	table.FinishRecovery(now, j.Segments())
+	keys, inDoubt, _, diskBytes := table.Counts()
+	h.Log("kept", "code", "open", "records", summary.Records, "segments", summary.Segments, "bytes", diskBytes,
+		"torn", summary.TornBytes, "keys", keys, "doubts", inDoubt)
+	k := &Store{host: h, dir: dir, j: j, wakeWriter: make(chan struct{}, 1), wakeReader: make(chan struct{}, 1),
+		stop: make(chan struct{}), written: make(chan struct{})}
+	return k, table, nil
 }
 
-// Start starts the goroutines. An empty path has no socket.
+// Start starts the goroutines. path is the journal's directory, in which the operators' socket is created; if it is
+// empty, there is no socket.
 func (k *Store) Start(path string) error {
 	if path != "" {
 		path = filepath.Join(path, socketName)
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
-		l, err := net.Listen("unix", path)
+		listener, err := net.Listen("unix", path)
 		if err != nil {
 			return err
 		}
-		k.socket = l
-		go k.listen(l)
+		k.socket = listener
+		go k.acceptOperators(listener)
 	}
-	go k.append()
-	go k.fetch()
+	go k.writeLoop()
+	go k.readLoop()
 	return nil
 }
 
-// HandleOutput takes an output of the core that is for the journal.
+// HandleOutput queues an output of the core that concerns the journal and ignores all others.
 func (k *Store) HandleOutput(o core.Output) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wake := k.wake
+	wake := k.wakeWriter
 	switch o := o.(type) {
 	case core.Append:
 		k.writes = append(k.writes, o.Write)
 	case core.DropSegment:
 		k.drops = append(k.drops, o.Segment)
 	case core.Fetch:
-		k.fetches, wake = append(k.fetches, o), k.wakeF
+		k.fetches, wake = append(k.fetches, o), k.wakeReader
 	default:
 		return
 	}
@@ -114,137 +117,140 @@
 	}
 }
 
-// Shutdown writes what is left, as far as there is time.
-func (k *Store) Shutdown(by float64) {
-	close(k.over)
+// Shutdown closes the socket, writes the queued records and closes the journal. It stops waiting for that at
+// deadlineMs, in Unix milliseconds.
+func (k *Store) Shutdown(deadlineMs float64) {
+	close(k.stop)
 	if k.socket != nil {
 		k.socket.Close()
 	}
-	t := time.NewTimer(time.Until(time.UnixMicro(int64(by * 1e3))))
-	defer t.Stop()
+	timer := time.NewTimer(time.Until(time.UnixMicro(int64(deadlineMs * 1e3))))
+	defer timer.Stop()
 	select {
-	case <-k.done:
-	case <-t.C:
+	case <-k.written:
+	case <-timer.C:
 		k.host.Log("kept", "code", "late-end")
 	}
 }
 
-// batch takes what is to be written next.
-func (k *Store) batch() (out []ops.Write, drops []uint32) {
+// nextBatch removes the next batch of writes and all segments to drop from the queues.
+func (k *Store) nextBatch() (writes []ops.Write, drops []uint32) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	n, bytes := 0, 0
-	for n < min(len(k.writes), batchMost) && bytes < batchBytes {
-		bytes += len(k.writes[n].Record.Result) + int(k.writes[n].CopyFrom.Length) + 256
-		n++
+	count, bytes := 0, 0
+	for count < min(len(k.writes), maxBatchRecords) && bytes < maxBatchBytes {
+		bytes += len(k.writes[count].Record.Result) + int(k.writes[count].CopyFrom.Length) + 256
+		count++
 	}
-	out = append(out, k.writes[:n]...)
-	if k.writes = k.writes[n:]; len(k.writes) == 0 {
+	writes = append(writes, k.writes[:count]...)
+	if k.writes = k.writes[count:]; len(k.writes) == 0 {
 		k.writes = nil
 	}
 	drops, k.drops = k.drops, nil
-	return out, drops
+	return writes, drops
 }
 
-// append writes batches as long as there are any, or the node lives.
-func (k *Store) append() {
-	defer close(k.done)
+// writeLoop writes batches until the node shuts down and none is left, or one fails after that.
+func (k *Store) writeLoop() {
+	defer close(k.written)
 	defer k.j.Close()
 	for {
-		all, drops := k.batch()
+		writes, drops := k.nextBatch()
 		for _, seg := range drops {
 			err := k.j.DropOldest()
 			k.host.Send(core.SegmentDropped{Segment: seg, Err: err, Segments: k.j.Segments()})
 		}
-		ended := false
+		stopped := false
 		select {
-		case <-k.over:
-			ended = true
+		case <-k.stop:
+			stopped = true
 		default:
 		}
-		if len(all) == 0 {
-			if ended {
+		if len(writes) == 0 {
+			if stopped {
 				return
 			}
 			select {
-			case <-k.wake:
-			case <-k.over:
+			case <-k.wakeWriter:
+			case <-k.stop:
 			}
 			continue
 		}
-		if !k.lay(all) && ended {
+		if !k.writeBatch(writes) && stopped {
 			return
 		}
 	}
 }
 
-// lay writes a batch. Copies that can't be read fail alone.
-func (k *Store) lay(all []ops.Write) bool {
+// writeBatch writes a batch and reports whether that succeeded. If a record to be copied can't be read, only that write
+// fails.
+func (k *Store) writeBatch(writes []ops.Write) bool {
 	var records []journal.Record
-	var bad error
-	for _, w := range all {
-		r := w.Record
-		if w.CopyFrom.Segment > 0 {
+	var copyErr error
+	for _, write := range writes {
+		record := write.Record
+		if write.CopyFrom.Segment > 0 {
 			var err error
-			if r, err = journal.Read(k.dir, w.CopyFrom); err != nil {
-				k.host.Log("kept", "code", "unreadable", "segment", w.CopyFrom.Segment, "at", w.CopyFrom.Offset, "error", err)
-				bad = err
+			if record, err = journal.Read(k.dir, write.CopyFrom); err != nil {
+				k.host.Log("kept", "code", "unreadable", "segment", write.CopyFrom.Segment, "at", write.CopyFrom.Offset,
+					"error", err)
+				copyErr = err
 				break
 			}
 		}
-		records = append(records, r)
+		records = append(records, record)
 	}
 	if len(records) > 0 {
-		places, err := k.j.Append(records)
+		positions, err := k.j.Append(records)
 		if err != nil {
-			k.host.Log("kept", "code", "unwritten", "records", len(all), "error", err)
-			k.host.Send(core.AppendFailed{N: len(all), Segments: k.j.Segments()})
-			k.pause()
+			k.host.Log("kept", "code", "unwritten", "records", len(writes), "error", err)
+			k.host.Send(core.AppendFailed{N: len(writes), Segments: k.j.Segments()})
+			k.waitBeforeRetry()
 			return false
 		}
-		k.host.Send(core.Appended{Positions: places, Segments: k.j.Segments()})
+		k.host.Send(core.Appended{Positions: positions, Segments: k.j.Segments()})
 	}
-	if bad != nil {
-		if errors.Is(bad, journal.ErrDamaged) {
+	if copyErr != nil {
+		if errors.Is(copyErr, journal.ErrDamaged) {
 			k.host.Send(core.CopyUnreadable{})
-		} else { // the disk may read it another time: nothing is given up
+		} else { // the read error may be temporary, so the record is not given up
 			k.host.Send(core.AppendFailed{N: 1, Segments: k.j.Segments()})
-			k.pause()
+			k.waitBeforeRetry()
 		}
-		if rest := all[len(records)+1:]; len(rest) > 0 {
-			return k.lay(rest)
+		if rest := writes[len(records)+1:]; len(rest) > 0 {
+			return k.writeBatch(rest)
 		}
 	}
 	return true
 }
 
-// pause waits for a while before a disk is tried again.
-func (k *Store) pause() {
-	t := time.NewTimer(failPause * time.Millisecond)
-	defer t.Stop()
+// waitBeforeRetry waits for retryDelayMs, or until the node shuts down.
+func (k *Store) waitBeforeRetry() {
+	timer := time.NewTimer(retryDelayMs * time.Millisecond)
+	defer timer.Stop()
 	select {
-	case <-t.C:
-	case <-k.over:
+	case <-timer.C:
+	case <-k.stop:
 	}
 }
 
-// fetch reads records.
-func (k *Store) fetch() {
+// readLoop reads records until the node shuts down.
+func (k *Store) readLoop() {
 	for {
 		k.mu.Lock()
-		all := k.fetches
+		fetches := k.fetches
 		k.fetches = nil
 		k.mu.Unlock()
-		for _, f := range all {
-			r, err := journal.Read(k.dir, f.Position)
-			k.host.Send(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
+		for _, f := range fetches {
+			record, err := journal.Read(k.dir, f.Position)
+			k.host.Send(core.RecordFetched{ID: f.ID, Position: f.Position, Result: record.Result, Err: err})
 		}
-		if len(all) > 0 {
+		if len(fetches) > 0 {
 			continue
 		}
 		select {
-		case <-k.wakeF:
-		case <-k.over:
+		case <-k.wakeReader:
+		case <-k.stop:
 			return
 		}
 	}
--- a/internal/kept/owner.go
+++ b/internal/kept/owner.go
@@ -11,179 +11,185 @@
 	"whinrudder/internal/storage"
 )
 
-// Owner has the journal of a node while this process is the one that shall have it. It drives package ownership, which
-// decides when that is.
+// Owner opens the journal of a node when this process becomes its owner, and closes it when another process takes over.
+// Package ownership decides when that happens.
 type Owner struct {
 	host Host
 	open func(now float64) (*Store, *ops.Table, error)
-	path string // of the folder, for the socket of operators
+	path string // directory of the journal, for the operators' socket
 
-	fault string // of the last try, told already; of the goroutine
+	lastFault string // error text that was logged last for a failed open; used only by the goroutine of run
 
-	mu    sync.Mutex // of what follows
-	m     *ownership.Machine
-	k     *Store // nil: another process has the journal
-	ended bool
-	poke  chan struct{}
-	over  chan struct{}
-	done  chan struct{}
+	mu           sync.Mutex // guards machine, store and shuttingDown
+	machine      *ownership.Machine
+	store        *Store // nil: this process does not own the journal
+	shuttingDown bool
+	wake         chan struct{} // signals a change of machine to run
+	stop         chan struct{} // closed by EndShutdown
+	done         chan struct{} // closed when run returns
 }
 
-// NewOwner returns a holder that opens a journal by open. It must be started.
+// NewOwner returns an Owner that opens the journal with the function open. The caller must call Start.
 func NewOwner(host Host, path string, open func(now float64) (*Store, *ops.Table, error)) *Owner {
-	return &Owner{host: host, open: open, path: path, poke: make(chan struct{}, 1), over: make(chan struct{}), done: make(chan struct{})}
+	return &Owner{host: host, open: open, path: path, wake: make(chan struct{}, 1), stop: make(chan struct{}),
+		done: make(chan struct{})}
 }
 
+// now returns the current time in Unix milliseconds.
 func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-// Start begins. A process that succeeds no other must have the journal at once, and its table is returned; one that does
-// tries for it, and the table comes to the core as AdoptOps.
-func (h *Owner) Start(successor bool) (t *ops.Table, err error) {
+// Start starts the owner. A process without a predecessor must get the journal at once, and Start returns its table. A
+// successor retries until it gets the journal, and the table is sent to the core as AdoptOps.
+func (o *Owner) Start(successor bool) (table *ops.Table, err error) {
 	if !successor {
-		if h.k, t, err = h.open(now()); err != nil {
+		if o.store, table, err = o.open(now()); err != nil {
 			return nil, err
 		}
-		if err := h.k.Start(h.path); err != nil {
+		if err := o.store.Start(o.path); err != nil {
 			return nil, err
 		}
 	}
-	h.m = ownership.New(!successor)
-	go h.run()
-	return t, nil
+	o.machine = ownership.New(!successor)
+	go o.run()
+	return table, nil
 }
 
-// tell lets the machine hear something.
-func (h *Owner) tell(what func(m *ownership.Machine)) {
-	h.mu.Lock()
-	what(h.m)
-	h.mu.Unlock()
+// notify applies an event to the machine and wakes run.
+func (o *Owner) notify(apply func(machine *ownership.Machine)) {
+	o.mu.Lock()
+	apply(o.machine)
+	o.mu.Unlock()
 	select {
-	case h.poke <- struct{}{}:
+	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (h *Owner) run() {
-	defer close(h.done)
+// run executes the machine's actions until EndShutdown.
+func (o *Owner) run() {
+	defer close(o.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		h.mu.Lock()
-		do, wake := h.m.NextAction(now()), h.m.WakeAt()
-		h.mu.Unlock()
-		switch do {
+		o.mu.Lock()
+		action, wakeAtMs := o.machine.NextAction(now()), o.machine.WakeAt()
+		o.mu.Unlock()
+		switch action {
 		case ownership.Open:
-			h.take()
+			o.tryOpen()
 			continue
 		case ownership.Yield:
-			h.host.Log("kept", "code", "yielding")
-			h.host.Send(core.YieldOps{On: true})
+			o.host.Log("kept", "code", "yielding")
+			o.host.Send(core.YieldOps{On: true})
 			continue
 		case ownership.Resume:
-			h.host.Send(core.YieldOps{On: false})
-			h.host.Log("kept", "code", "resumed")
+			o.host.Send(core.YieldOps{On: false})
+			o.host.Log("kept", "code", "resumed")
 			continue
 		case ownership.Close:
-			h.release()
+			o.closeJournal()
 			continue
 		}
-		var due <-chan time.Time
-		if wake > 0 {
-			timer.Reset(time.Until(time.UnixMicro(int64(wake * 1e3))))
-			due = timer.C
+		var wakeC <-chan time.Time
+		if wakeAtMs > 0 {
+			timer.Reset(time.Until(time.UnixMicro(int64(wakeAtMs * 1e3))))
+			wakeC = timer.C
 		}
 		select {
-		case <-h.poke:
-		case <-due:
-		case <-h.over:
+		case <-o.wake:
+		case <-wakeC:
+		case <-o.stop:
 			return
 		}
 	}
 }
 
-// take tries for the journal.
-func (h *Owner) take() {
-	k, t, err := h.open(now())
+// tryOpen tries to open the journal.
+func (o *Owner) tryOpen() {
+	store, table, err := o.open(now())
 	if err == nil {
-		if err = k.Start(h.path); err != nil {
-			k.j.Close()
+		if err = store.Start(o.path); err != nil {
+			store.j.Close()
 		}
 	}
-	if err != nil && !errors.Is(err, storage.ErrInUse) && err.Error() != h.fault { // once, however often it is tried
-		h.fault = err.Error()
-		h.host.Log("kept", "code", "unopened", "error", err)
+	// An error that a retry repeats is not logged again.
+	if err != nil && !errors.Is(err, storage.ErrInUse) && err.Error() != o.lastFault {
+		o.lastFault = err.Error()
+		o.host.Log("kept", "code", "unopened", "error", err)
 	}
-	h.mu.Lock()
-	if err == nil && h.ended {
-		h.mu.Unlock()
-		k.Shutdown(now())
+	o.mu.Lock()
+	if err == nil && o.shuttingDown {
+		o.mu.Unlock()
+		store.Shutdown(now())
 		return
 	}
 	if err == nil {
-		h.k = k
+		o.store = store
 	}
-	h.m.Opened(now(), err == nil)
-	h.mu.Unlock()
+	o.machine.Opened(now(), err == nil)
+	o.mu.Unlock()
 	if err == nil {
-		h.host.Send(core.AdoptOps{Table: t})
+		o.host.Send(core.AdoptOps{Table: table})
 	}
 }
 
-// release lets the journal go: nothing of it is in hand.
-func (h *Owner) release() {
-	h.mu.Lock()
-	k := h.k
-	h.k = nil
-	h.mu.Unlock()
-	if k != nil {
-		k.Shutdown(now() + releaseFor)
-		<-k.done
+// closeJournal closes the journal. No operation is in progress then.
+func (o *Owner) closeJournal() {
+	o.mu.Lock()
+	store := o.store
+	o.store = nil
+	o.mu.Unlock()
+	if store != nil {
+		store.Shutdown(now() + closeTimeoutMs)
+		<-store.written
 	}
-	h.host.Log("kept", "code", "released")
-	h.tell(func(m *ownership.Machine) { m.Closed(now()) })
+	o.host.Log("kept", "code", "released")
+	o.notify(func(machine *ownership.Machine) { machine.Closed(now()) })
 }
 
-// releaseFor is how long the close of a journal may take before that is logged, in milliseconds.
-const releaseFor = 1000
+// closeTimeoutMs is the time after which a journal that is still being closed is logged.
+const closeTimeoutMs = 1000
 
-// HandleOutput takes an output of the core that is for the journal.
-func (h *Owner) HandleOutput(o core.Output) {
-	if _, ok := o.(core.OpsReleased); ok {
-		h.tell((*ownership.Machine).Released)
+// HandleOutput handles an output of the core that concerns the journal and ignores all others.
+func (o *Owner) HandleOutput(output core.Output) {
+	if _, ok := output.(core.OpsReleased); ok {
+		o.notify((*ownership.Machine).Released)
 		return
 	}
-	h.mu.Lock()
-	k := h.k
-	h.mu.Unlock()
-	if k != nil {
-		k.HandleOutput(o)
+	o.mu.Lock()
+	store := o.store
+	o.mu.Unlock()
+	if store != nil {
+		store.HandleOutput(output)
 	}
 }
 
-// Ready, Reload and BeginShutdown have no meaning here: what the node has read is answered, and that needs the journal.
-func (h *Owner) Ready(bool)            {}
-func (h *Owner) Reload()               {}
-func (h *Owner) BeginShutdown(float64) {}
+// Ready does nothing, and neither do Reload and BeginShutdown: during a shutdown the node still answers the requests
+// that it has read, and that needs the journal.
+func (o *Owner) Ready(bool)            {}
+func (o *Owner) Reload()               {}
+func (o *Owner) BeginShutdown(float64) {}
 
-// SuccessorChanged tells that another process of the node takes over, or is lost.
-func (h *Owner) SuccessorChanged(on bool) {
-	h.tell(func(m *ownership.Machine) { m.SetSuccessorServing(on) })
+// SuccessorChanged reports that another process of the node is taking over (on), or that it was lost.
+func (o *Owner) SuccessorChanged(on bool) {
+	o.notify(func(machine *ownership.Machine) { machine.SetSuccessorServing(on) })
 }
 
-// EndShutdown writes what is left, and ends a try or a close that is under way, as far as there is time.
-func (h *Owner) EndShutdown(by float64) {
-	h.mu.Lock()
-	h.ended = true
-	k := h.k
-	h.mu.Unlock()
-	close(h.over)
-	if k != nil {
-		k.Shutdown(by)
+// EndShutdown writes the queued records and waits for an open or close in progress. It stops waiting at deadlineMs, in
+// Unix milliseconds.
+func (o *Owner) EndShutdown(deadlineMs float64) {
+	o.mu.Lock()
+	o.shuttingDown = true
+	store := o.store
+	o.mu.Unlock()
+	close(o.stop)
+	if store != nil {
+		store.Shutdown(deadlineMs)
 	}
-	late := time.NewTimer(time.Until(time.UnixMicro(int64(by * 1e3))))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(time.UnixMicro(int64(deadlineMs * 1e3))))
+	defer timer.Stop()
 	select {
-	case <-h.done:
-	case <-late.C:
+	case <-o.done:
+	case <-timer.C:
 	}
 }
--- a/internal/kept/resolve.go
+++ b/internal/kept/resolve.go
@@ -17,130 +17,136 @@
 	"whinrudder/internal/storage"
 )
 
-// Bounds of the talk with an operator.
+// Limits of the requests of operators.
 const (
-	wordMost = 32 << 10 // bytes
-	wordFor  = 2000     // milliseconds
-	talkMost = 4        // at a time
+	maxRequestBytes  = 32 << 10
+	requestTimeoutMs = 2000
+	maxOperatorConns = 4
 )
 
-// Resolution is an operator's word on an operation in doubt.
+// Resolution is an operator's decision about how an operation in doubt has ended.
 type Resolution struct {
 	Key    string
 	Kind   journal.Kind // Finished, Failed or NotRun
-	Result []byte
-	By     string
+	Result []byte       // of Finished
+	By     string       // the operator who decided
 }
 
-var kinds = map[string]journal.Kind{"finished": journal.Finished, "failed": journal.Failed, "not-run": journal.NotRun}
+// kindsByName maps the names in requests to kinds.
+var kindsByName = map[string]journal.Kind{
+	"finished": journal.Finished, "failed": journal.Failed, "not-run": journal.NotRun}
 
-// KindName names what became of an operation.
-func KindName(k journal.Kind) string {
-	for n, v := range kinds {
-		if v == k {
-			return n
+// KindName returns the name of the kind of an operation's end, or "intended".
+func KindName(want journal.Kind) string {
+	for name, kind := range kindsByName {
+		if kind == want {
+			return name
 		}
 	}
 	return "intended"
 }
 
-// line is a word as one line of JSON.
-func (w Resolution) line() []byte {
+// marshalLine returns the resolution as one line of JSON.
+func (res Resolution) marshalLine() []byte {
 	var a fastjson.Arena
 	o := a.NewObject()
-	o.Set("key", a.NewString(w.Key))
-	o.Set("how", a.NewString(KindName(w.Kind)))
-	o.Set("result", a.NewString(base64.StdEncoding.EncodeToString(w.Result)))
-	o.Set("by", a.NewString(w.By))
+	o.Set("key", a.NewString(res.Key))
+	o.Set("how", a.NewString(KindName(res.Kind)))
+	o.Set("result", a.NewString(base64.StdEncoding.EncodeToString(res.Result)))
+	o.Set("by", a.NewString(res.By))
 	return append(o.MarshalTo(nil), '\n')
 }
 
-// parseWord reads a line.
-func parseWord(b []byte) (w Resolution, err error) {
+// parseResolution parses a line of JSON.
+func parseResolution(b []byte) (res Resolution, err error) {
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
-		return w, err
+		return res, err
 	}
-	w = Resolution{Key: string(v.GetStringBytes("key")), Kind: kinds[string(v.GetStringBytes("how"))], By: string(v.GetStringBytes("by"))}
-	if w.Key == "" || w.Kind == 0 {
-		return w, errors.New("want a key, how it ended, and by whom")
+	res = Resolution{Key: string(v.GetStringBytes("key")), Kind: kindsByName[string(v.GetStringBytes("how"))],
+		By: string(v.GetStringBytes("by"))}
+	if res.Key == "" || res.Kind == 0 {
+		return res, errors.New("a resolution needs a key and one of finished, failed and not-run")
 	}
-	w.Result, err = base64.StdEncoding.DecodeString(string(v.GetStringBytes("result")))
-	return w, err
+	res.Result, err = base64.StdEncoding.DecodeString(string(v.GetStringBytes("result")))
+	return res, err
 }
 
-// listen takes the word of operators.
-func (k *Store) listen(l net.Listener) {
-	room := make(chan struct{}, talkMost)
+// acceptOperators accepts connections of operators until the listener is closed.
+func (k *Store) acceptOperators(listener net.Listener) {
+	slots := make(chan struct{}, maxOperatorConns)
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			code := k.talk(c)
-			c.Close()
+			code := k.serveOperator(conn)
+			conn.Close()
 			k.host.Log("conn", "front", "resolve", "code", code)
-			<-room
+			<-slots
 		}()
 	}
 }
 
-// talk hears one word and answers it.
-func (k *Store) talk(c net.Conn) (code string) {
-	by := time.Now().Add(wordFor * time.Millisecond)
-	c.SetDeadline(by)
-	line, err := bufio.NewReaderSize(c, wordMost).ReadSlice('\n')
+// serveOperator reads one resolution from a connection, hands it to the core and writes the outcome. It returns the
+// code for the log.
+func (k *Store) serveOperator(conn net.Conn) (code string) {
+	deadline := time.Now().Add(requestTimeoutMs * time.Millisecond)
+	conn.SetDeadline(deadline)
+	line, err := bufio.NewReaderSize(conn, maxRequestBytes).ReadSlice('\n')
 	if err != nil {
 		return "part"
 	}
-	w, err := parseWord(line)
+	res, err := parseResolution(line)
 	if err != nil {
-		fmt.Fprintln(c, err)
+		fmt.Fprintln(conn, err)
 		return "bad-word"
 	}
-	told := make(chan error, 1)
-	k.host.Send(core.Resolve{Key: w.Key, Kind: w.Kind, Result: w.Result, By: w.By, Done: func(err error) { told <- err }})
-	t := time.NewTimer(time.Until(by))
-	defer t.Stop()
+	outcome := make(chan error, 1)
+	k.host.Send(core.Resolve{Key: res.Key, Kind: res.Kind, Result: res.Result, By: res.By,
+		Done: func(err error) { outcome <- err }})
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
 	select {
-	case err = <-told:
-	case <-t.C:
+	case err = <-outcome:
+	case <-timer.C:
 		return "late"
-	case <-k.over:
+	case <-k.stop:
 		return "end"
 	}
 	if err != nil {
-		fmt.Fprintln(c, err)
+		fmt.Fprintln(conn, err)
 		return "refused"
 	}
-	fmt.Fprintln(c, "ok")
+	fmt.Fprintln(conn, "ok")
 	return "ok"
 }
 
-// Resolve gives a word to the node that has a folder, or, if none has, writes it into the journal itself.
-func Resolve(path, node string, w Resolution, now float64) error {
+// Resolve resolves an operation in doubt. If a node holds the lock on the directory, the resolution is sent to that
+// node; otherwise Resolve writes it to the journal itself. now is in Unix milliseconds.
+func Resolve(path, node string, res Resolution, now float64) error {
 	dir, err := storage.OpenDir(path)
 	if err != nil {
 		return err
 	}
-	t := ops.New(ops.Limits{Keys: 1 << 30, AgeMs: 1e15, DoubtMs: 1e15})
-	j, _, err := journal.Open(dir, journal.Options{Node: node, SegmentBytes: 1 << 20}, t.Recover)
+	table := ops.New(ops.Limits{Keys: 1 << 30, AgeMs: 1e15, DoubtMs: 1e15})
+	j, _, err := journal.Open(dir, journal.Options{Node: node, SegmentBytes: 1 << 20}, table.Recover)
 	if errors.Is(err, storage.ErrInUse) {
-		return ask(filepath.Join(path, socketName), w, now)
+		return resolveAtNode(filepath.Join(path, socketName), res, now)
 	}
 	if err != nil {
 		return err
 	}
 	defer j.Close()
-	t.FinishRecovery(now, j.Segments())
-	if err := t.Resolve(now, w.Key, w.Kind, w.Result, w.By); err != nil {
+	table.FinishRecovery(now, j.Segments())
+	if err := table.Resolve(now, res.Key, res.Kind, res.Result, res.By); err != nil {
 		return err
 	}
-	for _, e := range t.Effects() {
-		if e, ok := e.(ops.Write); ok {
-			if _, err := j.Append([]journal.Record{e.Record}); err != nil {
+	for _, effect := range table.Effects() {
+		if effect, ok := effect.(ops.Write); ok {
+			if _, err := j.Append([]journal.Record{effect.Record}); err != nil {
 				return err
 			}
 		}
@@ -148,22 +154,22 @@
 	return nil
 }
 
-// ask gives a word to a running node.
-func ask(socket string, w Resolution, now float64) error {
-	by := time.UnixMicro(int64((now + wordFor) * 1e3))
-	d := net.Dialer{Deadline: by}
-	c, err := d.Dial("unix", socket)
+// resolveAtNode sends a resolution to a running node.
+func resolveAtNode(socket string, res Resolution, now float64) error {
+	deadline := time.UnixMicro(int64((now + requestTimeoutMs) * 1e3))
+	dialer := net.Dialer{Deadline: deadline}
+	conn, err := dialer.Dial("unix", socket)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	c.SetDeadline(by)
-	if _, err := c.Write(w.line()); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(deadline)
+	if _, err := conn.Write(res.marshalLine()); err != nil {
 		return err
 	}
-	answer, err := bufio.NewReader(c).ReadString('\n')
+	answer, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
-		return fmt.Errorf("the node gave no answer: %w", err)
+		return fmt.Errorf("no answer from the node: %w", err)
 	}
 	if answer != "ok\n" {
 		return errors.New(answer[:len(answer)-1])
--- a/internal/kept/world_test.go
+++ b/internal/kept/world_test.go
@@ -225,7 +225,7 @@
 		r, err := journal.Read(w.dir, f.Position)
 		w.step(core.RecordFetched{ID: f.ID, Position: f.Position, Result: r.Result, Err: err})
 	}
-	k := Store{dir: w.dir, j: w.j, over: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Send: func(i core.Input) {
+	k := Store{dir: w.dir, j: w.j, stop: make(chan struct{}), host: Host{Log: func(string, ...any) {}, Send: func(i core.Input) {
 		if l, ok := i.(core.Appended); ok {
 			for n := range l.Positions {
 				if r := writes[n].Record; r.Kind != 0 {
@@ -236,14 +236,14 @@
 		}
 		w.step(i)
 	}}}
-	close(k.over) // it must not pause
+	close(k.stop) // it must not pause
 	for _, e := range writes {
 		if e.Record.Kind == journal.Intended {
 			w.free[e.Record.Key] = false // it may be there after a crash, even if it does not count now
 		}
 	}
 	if len(writes) > 0 {
-		k.lay(writes)
+		k.writeBatch(writes)
 	}
 }
 
