--- a/internal/kept/crash_test.go
+++ b/internal/kept/crash_test.go
@@ -13,44 +13,45 @@
 
 func b64(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
 
-// life plays the life of a few operations: a first try, a repeat that waits, one that comes later, one whose caller leaves,
-// one that is cut off by a broken link, enough of them to fill some segments.
-func life(w *world) {
+// runWorkload sends enough requests to fill several segments: first requests, repeats that wait for the run, repeats
+// that come after it, requests whose caller gives up, and some while the link to the worker pool is broken.
+func runWorkload(h *harness) {
 	for i := range 12 {
-		k := fmt.Sprint("k", i%5)
-		w.ask(k, "b:"+k)
-		w.lay()
+		key := fmt.Sprint("k", i%5)
+		h.request(key, "b:"+key)
+		h.flush()
 		if i%3 == 0 {
-			w.ask(k, "b:"+k)
+			h.request(key, "b:"+key)
 		}
 		if i == 7 {
-			w.unlink()
+			h.disconnect()
 		}
-		if w.linked {
-			w.read()
+		if h.connected {
+			h.runPool()
 		}
-		w.lay()
+		h.flush()
 		if i%4 == 1 {
-			w.leave(w.ask(k, "b:"+k))
+			h.abandon(h.request(key, "b:"+key))
 		}
-		for _, id := range w.unfinished() {
+		for _, id := range h.unfinishedRuns() {
 			if i%2 == 1 {
-				w.finish(id)
+				h.finishRun(id)
 			}
 		}
-		if i == 9 && !w.dead {
-			w.relink()
+		if i == 9 && !h.down {
+			h.connect()
 		}
-		w.lay()
-		w.pass(30)
-		w.ask(fmt.Sprint("other", i), "b:"+fmt.Sprint("other", i))
-		w.leave(w.ask(fmt.Sprint("never", i), "")) // before its intent lasts
-		w.lay()
-		w.pass(25)
+		h.flush()
+		h.advance(30)
+		h.request(fmt.Sprint("other", i), "b:"+fmt.Sprint("other", i))
+		h.abandon(h.request(fmt.Sprint("never", i), "")) // before its intent is durable
+		h.flush()
+		h.advance(25)
 	}
 }
 
-func keysOf(w *world) (keys []string) {
+// workloadKeys returns the keys of the requests of runWorkload whose callers wait for an answer.
+func workloadKeys(h *harness) (keys []string) {
 	for i := range 5 {
 		keys = append(keys, fmt.Sprint("k", i))
 	}
@@ -60,64 +61,67 @@
 	return keys
 }
 
-// The node is killed, or its disk fails or is full, at every single operation on the disk, and once more in the recovery:
-// no key runs twice, every request has one answer, what was promised is kept.
+// Guards against operations that run twice or lose their result after a crash. For each disk operation of the workload,
+// the node is killed there, or the operation fails or finds the disk full; after a kill the recovery is killed once
+// more. No key runs twice, every request gets one answer, and a durable result that was served is served again.
 func TestCrashAtEveryOperation(t *testing.T) {
-	clean := newWorld(1, usual)
-	life(clean)
-	clean.calm(keysOf(clean))
-	for _, e := range clean.wrong {
-		t.Fatal(e)
+	clean := newHarness(1, defaultConfig)
+	runWorkload(clean)
+	clean.settle(workloadKeys(clean))
+	for _, violation := range clean.violations {
+		t.Fatal(violation)
 	}
 	total := clean.dir.OpCount()
-	points, moved := 0, clean.j.Segments()[0].Number
+	points, oldest := 0, clean.j.Segments()[0].Number
 	for _, fault := range []storagetest.Fault{storagetest.Crash, storagetest.Fail, storagetest.Full} {
-		for _, back := range []bool{true, false} {
-			for at := 1; at <= total; at++ {
-				w := newWorld(uint64(at), usual)
-				w.back = back
-				w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
-					if o.Number == at {
+		for _, replays := range []bool{true, false} {
+			for op := 1; op <= total; op++ {
+				h := newHarness(uint64(op), defaultConfig)
+				h.replaysNotices = replays
+				h.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+					if o.Number == op {
 						return fault
 					}
 					return storagetest.None
 				})
-				life(w)
+				runWorkload(h)
 				points++
 				if fault == storagetest.Crash {
-					w.crash()
-					again := w.dir.OpCount() + 1 + at%4
-					w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
-						if o.Number == again {
+					h.crash()
+					secondCrash := h.dir.OpCount() + 1 + op%4
+					h.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+						if o.Number == secondCrash {
 							return storagetest.Crash
 						}
 						return storagetest.None
 					})
-					w.boot()
-					if w.failed == nil {
-						w.ask("k1", "b:k1")
-						w.lay()
+					h.boot()
+					if h.bootErr == nil {
+						h.request("k1", "b:k1")
+						h.flush()
 					}
-					w.crash()
-					w.dir.SetFaults(nil)
-					w.boot()
+					h.crash()
+					h.dir.SetFaults(nil)
+					h.boot()
 				}
-				w.calm(keysOf(w))
-				for _, e := range w.wrong {
-					t.Fatalf("%d of %d, fault %d, notices reach back %v: %s", at, total, fault, back, e)
+				h.settle(workloadKeys(h))
+				for _, violation := range h.violations {
+					t.Fatalf("fault %d at operation %d of %d, pool replays notices %v: %s", fault, op, total, replays,
+						violation)
 				}
 			}
 		}
 	}
-	t.Logf("%d points of %d operations; the oldest segment at the end of a clean life is %d", points, total, moved)
-	if moved == 1 {
-		t.Error("no segment was moved")
+	t.Logf("%d faults at %d operations; without faults the oldest segment at the end is %d", points, total, oldest)
+	if oldest == 1 {
+		t.Error("the workload did not make the node drop a segment")
 	}
 }
 
-// Records of a journal as another life would have left them.
-func fill(tb testing.TB, dir *storagetest.Dir, n int, at float64) {
-	j, _, err := journal.Open(dir, journal.Options{Node: "n1", SegmentBytes: 1 << 20}, func(journal.Record, journal.Position) {})
+// appendRecords writes a journal with n finished operations.
+func appendRecords(tb testing.TB, dir *storagetest.Dir, n int, at float64) {
+	j, _, err := journal.Open(dir, journal.Options{Node: "n1", SegmentBytes: 1 << 20},
+		func(journal.Record, journal.Position) {})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -125,8 +129,8 @@
 	for i := range n {
 		key := fmt.Sprintf("book/s%d", i)
 		digest := sha256.Sum256(fmt.Appendf(nil, "b:s%d", i))
-		batch = append(batch, journal.Record{Kind: journal.Finished, Key: key, Digest: digest[:16], Run: fmt.Sprintf("f%015x", i),
-			At: at, Result: []byte("r:" + key)})
+		batch = append(batch, journal.Record{Kind: journal.Finished, Key: key, Digest: digest[:16],
+			Run: fmt.Sprintf("f%015x", i), At: at, Result: []byte("r:" + key)})
 		if len(batch) == 1000 || i == n-1 {
 			if _, err := j.Append(batch); err != nil {
 				tb.Fatal(err)
@@ -137,178 +141,185 @@
 	j.Close()
 }
 
-// With 36,000 subjects kept, the node is killed after every step of the life of an operation and at every operation on the
-// disk within it: none runs twice, all that was kept is still told, and memory and disk stay within their bounds.
+// Guards against data loss and excessive memory or disk use with 36,000 kept operations. The node is killed after every
+// step of one more operation and at every disk operation within those steps: no key runs twice, all kept results are
+// still served, and memory and disk stay within their bounds.
 func TestKilledAtEveryStepWith36000Subjects(t *testing.T) {
 	const subjects = 36000
-	full := usual
-	full.MaxOperations, full.SegmentMB, full.DiskMB = subjects+10, 4000, 64 // segments of 1.2 MB
+	config := defaultConfig
+	config.MaxOperations, config.SegmentMB, config.DiskMB = subjects+10, 4000, 64 // segments of 1.2 MB
 	base := storagetest.New(1)
-	fill(t, base, subjects, 1e6)
-	steps := []func(w *world){
-		func(w *world) { w.ask("k", "b:k") },
-		(*world).lay,
-		(*world).read,
-		func(w *world) { w.ask("k", "b:k") },
-		func(w *world) {
-			for _, id := range w.unfinished() {
-				w.finish(id)
+	appendRecords(t, base, subjects, 1e6)
+	steps := []func(h *harness){
+		func(h *harness) { h.request("k", "b:k") },
+		(*harness).flush,
+		(*harness).runPool,
+		func(h *harness) { h.request("k", "b:k") },
+		func(h *harness) {
+			for _, id := range h.unfinishedRuns() {
+				h.finishRun(id)
 			}
 		},
-		(*world).lay,
-		func(w *world) { w.ask("k", "b:k") },
-		(*world).lay,
+		(*harness).flush,
+		func(h *harness) { h.request("k", "b:k") },
+		(*harness).flush,
 	}
-	play := func(after, fault int) (ops int, w *world) {
-		w = newWorldOn(base.Clone(uint64(100*after+fault+1)), full)
-		if w.failed != nil {
-			t.Fatal(w.failed)
+	runSteps := func(after, fault int) (ops int, h *harness) {
+		h = newHarnessOn(base.Clone(uint64(100*after+fault+1)), config)
+		if h.bootErr != nil {
+			t.Fatal(h.bootErr)
 		}
-		from := w.dir.OpCount()
-		w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
-			if o.Number == from+fault {
+		firstOp := h.dir.OpCount()
+		h.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+			if o.Number == firstOp+fault {
 				return storagetest.Crash
 			}
 			return storagetest.None
 		})
-		for _, s := range steps[:after] {
-			s(w)
+		for _, step := range steps[:after] {
+			step(h)
 		}
-		return w.dir.OpCount() - from, w
+		return h.dir.OpCount() - firstOp, h
 	}
-	total, _ := play(len(steps), 0)
+	total, _ := runSteps(len(steps), 0)
 	points := 0
-	most := int64(0)
-	check := func(w *world, what string) {
+	maxDiskBytes := int64(0)
+	check := func(h *harness, what string) {
 		points++
-		w.crash()
-		w.calm([]string{"k", "s0", "s17", "s35999"})
-		for _, e := range w.wrong {
-			t.Fatalf("%s: %s", what, e)
+		h.crash()
+		h.settle([]string{"k", "s0", "s17", "s35999"})
+		for _, violation := range h.violations {
+			t.Fatalf("%s: %s", what, violation)
 		}
-		if keys, _, _, _ := w.table.Counts(); keys != subjects+1 {
-			t.Fatalf("%s: %d keys", what, keys)
+		if keys, _, _, _ := h.table.Counts(); keys != subjects+1 {
+			t.Fatalf("%s: got %d keys, want %d", what, keys, subjects+1)
 		}
-		most = max(most, w.dir.Bytes())
+		maxDiskBytes = max(maxDiskBytes, h.dir.Bytes())
 	}
 	for n := range len(steps) + 1 {
-		_, w := play(n, 0)
-		check(w, fmt.Sprint("after step ", n))
+		_, h := runSteps(n, 0)
+		check(h, fmt.Sprint("after step ", n))
 	}
-	for f := 1; f <= total; f++ {
-		_, w := play(len(steps), f)
-		check(w, fmt.Sprint("at operation ", f))
+	for fault := 1; fault <= total; fault++ {
+		_, h := runSteps(len(steps), fault)
+		check(h, fmt.Sprint("at operation ", fault))
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	_, w := play(0, 0)
+	_, h := runSteps(0, 0)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	memory := int64(after.HeapAlloc) - int64(before.HeapAlloc) - w.dir.Bytes()
-	t.Logf("%d points; %d bytes on the disk at most, %d bytes of memory, %d a subject", points, most, memory, memory/subjects)
-	if most > int64(full.DiskMB)<<20 || memory > 40<<20 {
-		t.Errorf("%d bytes on the disk, %d of memory", most, memory)
+	memoryBytes := int64(after.HeapAlloc) - int64(before.HeapAlloc) - h.dir.Bytes()
+	t.Logf("%d crashes; at most %d bytes on disk, %d bytes of memory, %d per operation", points, maxDiskBytes, memoryBytes,
+		memoryBytes/subjects)
+	if maxDiskBytes > int64(config.DiskMB)<<20 || memoryBytes > 40<<20 {
+		t.Errorf("got %d bytes on disk and %d of memory, want at most %d and %d", maxDiskBytes, memoryBytes,
+			int64(config.DiskMB)<<20, 40<<20)
 	}
-	runtime.KeepAlive(w)
+	runtime.KeepAlive(h)
 }
 
-// A disk that is full for a while: what is in hand is answered, new bookings are refused and provably not run, and once
-// there is room all goes on.
+// While the disk is full, operations in progress are answered, and new ones are refused and not run. Once there is
+// space, the node continues.
 func TestFullDisk(t *testing.T) {
-	w := newWorld(1, usual)
-	w.ask("a", "b:a")
-	w.lay()
-	w.read()
-	w.dir.SetCapacity(w.dir.Bytes() + 50) // the end of a does not fit
-	for _, id := range w.unfinished() {
-		w.finish(id)
+	h := newHarness(1, defaultConfig)
+	h.request("a", "b:a")
+	h.flush()
+	h.runPool()
+	h.dir.SetCapacity(h.dir.Bytes() + 50) // the record of the end of a does not fit
+	for _, id := range h.unfinishedRuns() {
+		h.finishRun(id)
 	}
 	refused := 0
 	for i := range 20 {
-		w.lay()
-		if a := w.ask(fmt.Sprint("n", i), ""); len(a.answers) == 1 && a.answers[0].Kept == "stalled" && a.answers[0].RetryAfter > 0 {
+		h.flush()
+		if req := h.request(fmt.Sprint("n", i), ""); len(req.answers) == 1 && req.answers[0].Kept == "stalled" &&
+			req.answers[0].RetryAfter > 0 {
 			refused++
 		}
-		w.pass(100)
+		h.advance(100)
 	}
-	if len(w.order) != 1 || refused < 15 {
-		t.Errorf("%d runs, %d refused", len(w.order), refused)
+	if len(h.runOrder) != 1 || refused < 15 {
+		t.Errorf("got %d runs and %d refused requests, want 1 run and at least 15 refused", len(h.runOrder), refused)
 	}
-	w.dir.SetCapacity(0)
-	w.lay()
-	w.lay()
-	w.calm([]string{"a", "n0", "n19"})
-	for _, e := range w.wrong {
-		t.Error(e)
+	h.dir.SetCapacity(0)
+	h.flush()
+	h.flush()
+	h.settle([]string{"a", "n0", "n19"})
+	for _, violation := range h.violations {
+		t.Error(violation)
 	}
 }
 
-// A byte that goes bad while the node runs costs one result: its segment is moved all the same, the journal stays small and
-// the others are told as before.
-func TestBadByteDoesNotHoldUpTheMoving(t *testing.T) {
-	w := newWorld(1, usual)
-	book := func(key string) {
-		w.ask(key, "b:"+key)
-		w.lay()
-		w.read()
-		for _, id := range w.unfinished() {
-			w.finish(id)
+// Guards against a journal that grows without bound because of one unreadable record. A byte that becomes corrupt while
+// the node runs costs one result; the segment's other records are still copied, the segment is dropped and the journal
+// stays small.
+func TestBadByteDoesNotBlockCompaction(t *testing.T) {
+	h := newHarness(1, defaultConfig)
+	complete := func(key string) {
+		h.request(key, "b:"+key)
+		h.flush()
+		h.runPool()
+		for _, id := range h.unfinishedRuns() {
+			h.finishRun(id)
 		}
-		w.lay()
+		h.flush()
 	}
-	book("a")
-	book("b")
-	for _, i := range w.table.Operations() {
-		if i.Key == "book/a" {
-			w.dir.FlipBit(fmt.Sprintf("%08d.log", i.Position.Segment), int(i.Position.Offset+i.Position.Length-3))
+	complete("a")
+	complete("b")
+	for _, op := range h.table.Operations() {
+		if op.Key == "book/a" {
+			h.dir.FlipBit(fmt.Sprintf("%08d.log", op.Position.Segment), int(op.Position.Offset+op.Position.Length-3))
 		}
 	}
-	read := w.ask("a", "b:a")
-	w.lay()
-	if len(read.answers) != 1 || read.answers[0].Kept != "unreadable" {
-		t.Errorf("%+v", read.answers)
+	readReq := h.request("a", "b:a")
+	h.flush()
+	if len(readReq.answers) != 1 || readReq.answers[0].Kept != "unreadable" {
+		t.Errorf("request for the corrupt result: got answers %+v, want one with Kept unreadable", readReq.answers)
 	}
 	for i := range 40 {
-		w.leave(w.ask(fmt.Sprint("n", i), "")) // what counts no more
-		w.lay()
-		w.pass(40)
-		w.lay()
+		h.abandon(h.request(fmt.Sprint("n", i), "")) // fills segments with records that are not live
+		h.flush()
+		h.advance(40)
+		h.flush()
 	}
-	if first := w.j.Segments()[0].Number; first < 5 || w.j.Bytes() > 2000 {
-		t.Errorf("%d bytes, the first segment is %d", w.j.Bytes(), first)
+	if first := h.j.Segments()[0].Number; first < 5 || h.j.Bytes() > 2000 {
+		t.Errorf("got %d bytes and first segment %d, want at most 2000 bytes and at least 5", h.j.Bytes(), first)
 	}
-	if a, b := w.last("a"), w.last("b"); a.answers[0].Kept != "failed" || string(b.answers[0].Result) != "r:book/b" {
-		t.Errorf("%+v, %+v", a.answers, b.answers)
+	if a, b := h.finalRequest("a"), h.finalRequest("b"); a.answers[0].Kept != "failed" ||
+		string(b.answers[0].Result) != "r:book/b" {
+		t.Errorf("got answers %+v for a and %+v for b, want Kept failed for a and result r:book/b for b", a.answers, b.answers)
 	}
-	w.crash()
-	w.boot()
-	if w.failed != nil {
-		t.Error(w.failed)
+	h.crash()
+	h.boot()
+	if h.bootErr != nil {
+		t.Error(h.bootErr)
 	}
 }
 
-// An end that does not last in time is told by the due time all the same, and to those that wait for it as well.
-func TestLateSyncIsToldInTime(t *testing.T) {
-	w := newWorld(1, usual)
-	a := w.ask("a", "b:a")
-	w.lay()
-	w.read()
-	b := w.ask("a", "b:a")
-	for _, id := range w.unfinished() {
-		w.finish(id)
+// If the end of an operation is not durable in time, its caller and the callers of waiting repeats still get the result
+// by their due time.
+func TestLateSyncIsAnsweredInTime(t *testing.T) {
+	h := newHarness(1, defaultConfig)
+	first := h.request("a", "b:a")
+	h.flush()
+	h.runPool()
+	repeat := h.request("a", "b:a")
+	for _, id := range h.unfinishedRuns() {
+		h.finishRun(id)
 	}
-	for w.now < a.due && len(a.answers) == 0 {
-		w.pass(5)
+	for h.now < first.due && len(first.answers) == 0 {
+		h.advance(5)
 	}
-	w.pass(a.due - w.now)
-	for _, x := range []*try{a, b} {
-		if len(x.answers) != 1 || string(x.answers[0].Result) != "r:book/a" {
-			t.Errorf("%s: %+v at its due time", x.id, x.answers)
+	h.advance(first.due - h.now)
+	for _, req := range []*testRequest{first, repeat} {
+		if len(req.answers) != 1 || string(req.answers[0].Result) != "r:book/a" {
+			t.Errorf("%s: got answers %+v at its due time, want one with result r:book/a", req.id, req.answers)
 		}
 	}
-	w.calm([]string{"a"})
-	for _, e := range w.wrong {
-		t.Error(e)
+	h.settle([]string{"a"})
+	for _, violation := range h.violations {
+		t.Error(violation)
 	}
 }
--- a/internal/kept/model_test.go
+++ b/internal/kept/model_test.go
@@ -18,221 +18,229 @@
 	"whinrudder/internal/storagetest"
 )
 
-// move is a thing that may happen next; it returns false where it can't.
+// move is an event that may happen next. apply reports whether the event was possible.
 type move struct {
-	name string
-	do   func(w *world) bool
+	name  string
+	apply func(h *harness) bool
 }
 
-// moves are all that may happen in the explored worlds: three requests of two keys, one with another body, at most.
+// moves are all events of the explored histories. The first three send requests: at most two of key a, one of key b,
+// and one of key a with another body. TestHistoriesAreLinearizable uses the others.
 var moves = []move{
-	{"ask a", func(w *world) bool { return w.askOnce("a", "b:a", 2) }},
-	{"ask b", func(w *world) bool { return w.askOnce("b", "b:b", 1) }},
-	{"ask other", func(w *world) bool { return w.askOnce("a", "other", 1) }},
-	{"lay", func(w *world) bool {
-		can := !w.dead && len(w.writes)+len(w.fetches)+len(w.drops) > 0
-		w.lay()
-		return can
+	{"request a", func(h *harness) bool { return h.requestUpTo("a", "b:a", 2) }},
+	{"request b", func(h *harness) bool { return h.requestUpTo("b", "b:b", 1) }},
+	{"request a with another body", func(h *harness) bool { return h.requestUpTo("a", "other", 1) }},
+	{"flush", func(h *harness) bool {
+		applicable := !h.down && len(h.writes)+len(h.fetches)+len(h.drops) > 0
+		h.flush()
+		return applicable
 	}},
-	{"lay fails", func(w *world) bool {
-		can := !w.dead && len(w.writes) > 0
-		w.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
+	{"flush fails", func(h *harness) bool {
+		applicable := !h.down && len(h.writes) > 0
+		h.dir.SetFaults(func(o storagetest.Op) storagetest.Fault {
 			if o.Kind == "sync" {
 				return storagetest.Fail
 			}
 			return storagetest.None
 		})
-		w.lay()
-		w.dir.SetFaults(nil)
-		return can
+		h.flush()
+		h.dir.SetFaults(nil)
+		return applicable
 	}},
-	{"read", func(w *world) bool {
-		can := len(w.inbox) > 0
-		w.read()
-		return can
+	{"pool reads", func(h *harness) bool {
+		applicable := len(h.poolInput) > 0
+		h.runPool()
+		return applicable
 	}},
-	{"finish", func(w *world) bool {
-		un := w.unfinished()
-		if len(un) > 0 {
-			w.finish(un[0])
+	{"run finishes", func(h *harness) bool {
+		unfinished := h.unfinishedRuns()
+		if len(unfinished) > 0 {
+			h.finishRun(unfinished[0])
 		}
-		return len(un) > 0
+		return len(unfinished) > 0
 	}},
-	{"break", func(w *world) bool {
-		can := w.linked
-		w.unlink()
-		return can
+	{"disconnect", func(h *harness) bool {
+		applicable := h.connected
+		h.disconnect()
+		return applicable
 	}},
-	{"relink", func(w *world) bool {
-		can := !w.linked && !w.dead
-		if can {
-			w.relink()
+	{"connect", func(h *harness) bool {
+		applicable := !h.connected && !h.down
+		if applicable {
+			h.connect()
 		}
-		return can
+		return applicable
 	}},
-	{"leave", func(w *world) bool {
-		for _, a := range w.asks {
-			if a.id == w.firstOpen() {
-				w.leave(a)
+	{"caller gives up", func(h *harness) bool {
+		for _, req := range h.requests {
+			if req.id == h.firstOpen() {
+				h.abandon(req)
 				return true
 			}
 		}
 		return false
 	}},
-	{"due", func(w *world) bool {
-		can := w.firstOpen() != ""
-		w.pass(6000)
-		return can
+	{"due", func(h *harness) bool {
+		applicable := h.firstOpen() != ""
+		h.advance(6000)
+		return applicable
 	}},
-	{"crash", func(w *world) bool {
-		w.crash()
-		w.boot()
+	{"crash", func(h *harness) bool {
+		h.crash()
+		h.boot()
 		return true
 	}},
 }
 
-func (w *world) askOnce(key, body string, most int) bool {
-	n := 0
-	for _, a := range w.asks {
-		if a.key == "book/"+key && a.body == body {
-			n++
+// requestUpTo sends a request unless there have been maxRequests with the same key and body, and reports whether it
+// did.
+func (h *harness) requestUpTo(key, body string, maxRequests int) bool {
+	count := 0
+	for _, req := range h.requests {
+		if req.key == "book/"+key && req.body == body {
+			count++
 		}
 	}
-	if n < most {
-		w.ask(key, body)
+	if count < maxRequests {
+		h.request(key, body)
 	}
-	return n < most
+	return count < maxRequests
 }
 
-// firstOpen returns the id of the oldest request that is owed an answer.
-func (w *world) firstOpen() (id string) {
-	for _, a := range w.asks {
-		if !a.gone && len(a.answers) == 0 && (id == "" || a.id < id) {
-			id = a.id
+// firstOpen returns the ID of the oldest request that still waits for an answer, or "".
+func (h *harness) firstOpen() (id string) {
+	for _, req := range h.requests {
+		if !req.abandoned && len(req.answers) == 0 && (id == "" || req.id < id) {
+			id = req.id
 		}
 	}
 	return id
 }
 
-// print is what tells states apart: all but times and what the module has learned.
-func (w *world) print() uint64 {
+// fingerprint returns a hash that distinguishes states. It leaves out times and what the node has learned.
+func (h *harness) fingerprint() uint64 {
 	var b strings.Builder
-	if !w.dead {
-		fmt.Fprintln(&b, w.core.Dump(), w.link.Dump())
+	if !h.down {
+		fmt.Fprintln(&b, h.core.Dump(), h.link.Dump())
 	}
-	fmt.Fprintln(&b, w.linked, string(w.inbox), w.serial, w.told, len(w.writes), len(w.fetches), len(w.drops), w.order)
+	fmt.Fprintln(&b, h.connected, string(h.poolInput), h.poolSerial, h.noticedSerial, len(h.writes), len(h.fetches),
+		len(h.drops), h.runOrder)
 	ids := []string{}
-	for id, a := range w.asks {
-		ids = append(ids, fmt.Sprint(id, a.key, a.body, a.gone, a.promised, len(a.answers)))
-		for _, x := range a.answers {
-			ids = append(ids, fmt.Sprint(id, x.Outcome, x.Kept))
+	for id, req := range h.requests {
+		ids = append(ids, fmt.Sprint(id, req.key, req.body, req.abandoned, req.promised, len(req.answers)))
+		for _, answer := range req.answers {
+			ids = append(ids, fmt.Sprint(id, answer.Outcome, answer.Kept))
 		}
 	}
-	for id, r := range w.runs {
-		ids = append(ids, fmt.Sprint(id, r.over))
+	for id, run := range h.runs {
+		ids = append(ids, fmt.Sprint(id, run.finished))
 	}
 	slices.Sort(ids)
 	fmt.Fprintln(&b, ids)
 	return xxhash.Sum64String(b.String())
 }
 
-// play makes a world in which some moves have been made.
-func play(path []byte, back bool) (w *world, can bool) {
-	w = newWorld(1, usual)
-	w.back = back
-	can = true
-	for _, m := range path {
-		can = moves[m].do(w)
+// replayMoves applies moves to a new harness and reports whether the last one was possible.
+func replayMoves(moveIndexes []byte, replaysNotices bool) (h *harness, applicable bool) {
+	h = newHarness(1, defaultConfig)
+	h.replaysNotices = replaysNotices
+	applicable = true
+	for _, i := range moveIndexes {
+		applicable = moves[i].apply(h)
 	}
-	return w, can
+	return h, applicable
 }
 
-func names(path []byte) (out []string) {
-	for _, m := range path {
-		out = append(out, moves[m].name)
+func moveNames(moveIndexes []byte) (out []string) {
+	for _, i := range moveIndexes {
+		out = append(out, moves[i].name)
 	}
 	return out
 }
 
-// modelDepth is how many moves are explored; WHINRUDDER_DEPTH sets another for a long run by hand.
+// modelDepth returns the number of moves to explore. The environment variable WHINRUDDER_DEPTH overrides it for long
+// manual runs.
 func modelDepth() int {
 	depth := 6
 	fmt.Sscan(os.Getenv("WHINRUDDER_DEPTH"), &depth)
 	return depth
 }
 
-// All that can happen in so many moves, in any order, with the real core, table, link and journal: no key runs twice, no
-// request has two answers or a wrong one, and from each state all comes to an end in which every request has been answered.
+// Explores all sequences of modelDepth moves with the real core, table, link and journal. No key runs twice, no request
+// gets two answers or a wrong one, and from each state a final state can be reached in which every request has been
+// answered.
 func TestModel(t *testing.T) {
-	for _, back := range []bool{true, false} {
+	for _, replays := range []bool{true, false} {
 		seen := map[uint64]bool{}
 		level := [][]byte{nil}
-		states, steps, ran := 0, 0, 0
+		states, steps, runCount := 0, 0, 0
 		for depth := 0; depth < modelDepth(); depth++ {
 			type state struct {
-				path  []byte
-				can   bool
-				print uint64
-				ran   int
-				wrong []string
+				moveIndexes []byte
+				applicable  bool
+				fingerprint uint64
+				runCount    int
+				violations  []string
 			}
-			all := make([]state, len(level)*len(moves))
-			each(len(all), func(i int) {
-				to := append(slices.Clone(level[i/len(moves)]), byte(i%len(moves)))
-				w, can := play(to, back)
-				all[i] = state{path: to, can: can, print: w.print(), ran: len(w.order)}
+			next := make([]state, len(level)*len(moves))
+			parallelFor(len(next), func(i int) {
+				moveIndexes := append(slices.Clone(level[i/len(moves)]), byte(i%len(moves)))
+				h, applicable := replayMoves(moveIndexes, replays)
+				next[i] = state{moveIndexes: moveIndexes, applicable: applicable, fingerprint: h.fingerprint(),
+					runCount: len(h.runOrder)}
 			})
-			steps += len(all)
-			all = slices.DeleteFunc(all, func(s state) bool {
-				old := !s.can || seen[s.print]
-				seen[s.print] = seen[s.print] || s.can
-				return old
+			steps += len(next)
+			next = slices.DeleteFunc(next, func(s state) bool {
+				drop := !s.applicable || seen[s.fingerprint]
+				seen[s.fingerprint] = seen[s.fingerprint] || s.applicable
+				return drop
 			})
-			each(len(all), func(i int) {
-				w, _ := play(all[i].path, back)
-				if len(w.wrong) == 0 {
-					w.calm([]string{"a", "b"})
+			parallelFor(len(next), func(i int) {
+				h, _ := replayMoves(next[i].moveIndexes, replays)
+				if len(h.violations) == 0 {
+					h.settle([]string{"a", "b"})
 				}
-				all[i].wrong = w.wrong
+				next[i].violations = h.violations
 			})
 			level = level[:0:0]
-			for _, s := range all {
-				if len(s.wrong) > 0 {
-					t.Fatalf("notices reach back %v, after %v: %s", back, names(s.path), s.wrong[0])
+			for _, s := range next {
+				if len(s.violations) > 0 {
+					t.Fatalf("pool replays notices %v, after %v: %s", replays, moveNames(s.moveIndexes), s.violations[0])
 				}
 				states++
-				ran += s.ran
-				level = append(level, s.path)
+				runCount += s.runCount
+				level = append(level, s.moveIndexes)
 			}
 		}
-		t.Logf("notices reach back %v: %d states, %d moves to depth %d, %d runs in them", back, states, steps, modelDepth(), ran)
-		if ran == 0 {
-			t.Error("nothing ran")
+		t.Logf("pool replays notices %v: %d states, %d moves to depth %d, %d runs in them", replays, states, steps,
+			modelDepth(), runCount)
+		if runCount == 0 {
+			t.Error("got no runs, want some")
 		}
 	}
 }
 
-// each does something for all numbers under n, side by side.
-func each(n int, do func(i int)) {
+// parallelFor calls task for each i from 0 to n-1 on several goroutines.
+func parallelFor(n int, task func(i int)) {
 	var next atomic.Int64
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
-				do(i)
+				task(i)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// Each fault is a line of the sources that is taken out: the model checker or the crash matrix must find it. Where the
-// checks can't fail, they prove nothing.
-func TestFaultsPutInAreFound(t *testing.T) {
+// Guards against model and crash tests that can't fail. Each mutation changes some lines of the sources, and TestModel or
+// TestCrashAtEveryOperation must fail with it.
+func TestSourceMutationsAreFound(t *testing.T) {
 	if testing.Short() || os.Getenv("WHINRUDDER_DEPTH") != "" {
-		t.Skip("it builds the tests anew for each fault")
+		t.Skip("rebuilds and runs the tests for each mutation")
 	}
-	for _, f := range []struct{ file, line, instead string }{
+	for _, mutation := range []struct{ file, line, replacement string }{
 		{"ops/disk.go", "	t.turn(o, InDoubt, r.At)\n", "	t.forget(o)\n"},
 		{"ops/ops.go", "	t.writing = append(t.writing, o)\n", "	t.writing = append(t.writing, o)\n	t.do(StartRun{id})\n"},
 		{"ops/ops.go", "	case o.digest != digest:\n		t.do(LogEvent{\"other-body\", key, id})\n		return Verdict{Kind: VerdictFails, Reason: ReasonOtherBody}\n", ""},
@@ -241,34 +249,36 @@
 		{"core/core.go", "			c.ops.Cancel(c.now, r.ID)\n", ""},
 		{"core/kept.go", "		all[i].Repeat, all[i].Window = whinrudder.Keyed, 0\n", "		_ = all[i]\n"},
 	} {
-		t.Run(f.file+" "+strings.TrimSpace(strings.SplitN(f.line, "\n", 2)[0]), func(t *testing.T) {
+		t.Run(mutation.file+" "+strings.TrimSpace(strings.SplitN(mutation.line, "\n", 2)[0]), func(t *testing.T) {
 			t.Parallel()
-			path, err := filepath.Abs(filepath.Join("..", f.file))
+			path, err := filepath.Abs(filepath.Join("..", mutation.file))
 			if err != nil {
 				t.Fatal(err)
 			}
-			text, err := os.ReadFile(path)
+			source, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if strings.Count(string(text), f.line) != 1 {
-				t.Fatalf("the line is there %d times", strings.Count(string(text), f.line))
+			if strings.Count(string(source), mutation.line) != 1 {
+				t.Fatalf("got the line %d times in the source, want 1", strings.Count(string(source), mutation.line))
 			}
 			dir := t.TempDir()
 			changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
-			list, err := json.Marshal(map[string]map[string]string{"Replace": {path: changed}})
+			replacements, err := json.Marshal(map[string]map[string]string{"Replace": {path: changed}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(changed, []byte(strings.Replace(string(text), f.line, f.instead, 1)), 0o600); err != nil {
+			if err := os.WriteFile(changed,
+				[]byte(strings.Replace(string(source), mutation.line, mutation.replacement, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(overlay, list, 0o600); err != nil {
+			if err := os.WriteFile(overlay, replacements, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			out, err := exec.Command("go", "test", "-short", "-vet=off", "-overlay", overlay, "-run", "TestModel|TestCrash", ".").CombinedOutput()
+			out, err := exec.Command("go", "test", "-short", "-vet=off", "-overlay", overlay, "-run", "TestModel|TestCrash",
+				".").CombinedOutput()
 			if err == nil || !strings.Contains(string(out), "--- FAIL") {
-				t.Errorf("not found: %s", out)
+				t.Errorf("no test failed with the mutation: %s", out)
 			}
 			for line := range strings.Lines(string(out)) {
 				if strings.Contains(line, "_test.go") {
--- a/internal/kept/owner_test.go
+++ b/internal/kept/owner_test.go
@@ -12,25 +12,25 @@
 	"whinrudder/internal/ops"
 )
 
-// The end of a process waits for a try for the journal that is under way, and for no longer than its time.
-func TestEndedWaitsForATry(t *testing.T) {
+// EndShutdown waits for an attempt to open the journal that is in progress.
+func TestEndShutdownWaitsForOpen(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	begun, free := make(chan bool, 9), make(chan bool)
-	var over atomic.Bool
-	h := NewOwner(Host{Send: func(core.Input) {}, Log: func(string, ...any) {}}, t.TempDir(), func(float64) (*Store, *ops.Table, error) {
-		begun <- true
-		<-free
+	started, proceed := make(chan bool, 9), make(chan bool)
+	var ended atomic.Bool
+	o := NewOwner(Host{Send: func(core.Input) {}, Log: func(string, ...any) {}}, t.TempDir(), func(float64) (*Store, *ops.Table, error) {
+		started <- true
+		<-proceed
 		time.Sleep(50 * time.Millisecond)
-		over.Store(true)
-		return nil, nil, errors.New("a disk that takes its time")
+		ended.Store(true)
+		return nil, nil, errors.New("slow disk")
 	})
-	if _, err := h.Start(true); err != nil {
+	if _, err := o.Start(true); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
-	close(free)
-	h.EndShutdown(now() + 20e3)
-	if !over.Load() {
-		t.Error("the end did not wait")
+	<-started
+	close(proceed)
+	o.EndShutdown(now() + 20e3)
+	if !ended.Load() {
+		t.Error("EndShutdown returned before the attempt to open the journal ended")
 	}
 }
