--- a/internal/kept/harness_test.go
+++ b/internal/kept/harness_test.go
@@ -41,7 +41,7 @@
 	runOrder      []string        // request IDs in the order in which their runs started
 	poolSerial    uint64          // of the worker pool's last notice
 	notices       []notice
-	noticedSerial uint64 // serial up to which the link has received notices
+	noticedSerial uint64 // serial up to which the link has received notices; 0 after a boot with replaysNotices
 
 	notRunKeys map[string]bool // keys whose last record in the journal is NotRun
 	requests   map[string]*testRequest
@@ -335,7 +335,7 @@
 	}
 }
 
-// sendNotice sends a notice to the node.
+// sendNotice sends a notice to the node. If the pool replays notices, a rebooted node gets them from serial 1 on.
 func (h *harness) sendNotice(n notice) {
 	h.noticedSerial = n.serial
 	h.receive(fmt.Sprintf(`{"msg":"finished","serial":%d,%s`, n.serial, n.line))
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -71,14 +71,14 @@
 	keys, inDoubt, _, diskBytes := table.Counts()
 	h.Log("kept", "code", "open", "records", summary.Records, "segments", summary.Segments, "bytes", diskBytes,
 		"torn", summary.TornBytes, "keys", keys, "doubts", inDoubt)
-	k := &Store{host: h, dir: dir, j: j, wakeWriter: make(chan struct{}, 1), wakeReader: make(chan struct{}, 1),
+	s := &Store{host: h, dir: dir, j: j, wakeWriter: make(chan struct{}, 1), wakeReader: make(chan struct{}, 1),
 		stop: make(chan struct{}), written: make(chan struct{})}
-	return k, table, nil
+	return s, table, nil
 }
 
 // Start starts the goroutines. path is the journal's directory, in which the operators' socket is created; if it is
 // empty, there is no socket.
-func (k *Store) Start(path string) error {
+func (s *Store) Start(path string) error {
 	if path != "" {
 		path = filepath.Join(path, socketName)
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -88,26 +88,26 @@
 		if err != nil {
 			return err
 		}
-		k.socket = listener
-		go k.acceptOperators(listener)
+		s.socket = listener
+		go s.acceptOperators(listener)
 	}
-	go k.writeLoop()
-	go k.readLoop()
+	go s.writeLoop()
+	go s.readLoop()
 	return nil
 }
 
 // HandleOutput queues an output of the core that concerns the journal and ignores all others.
-func (k *Store) HandleOutput(o core.Output) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	wake := k.wakeWriter
+func (s *Store) HandleOutput(o core.Output) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	wake := s.wakeWriter
 	switch o := o.(type) {
 	case core.Append:
-		k.writes = append(k.writes, o.Write)
+		s.writes = append(s.writes, o.Write)
 	case core.DropSegment:
-		k.drops = append(k.drops, o.Segment)
+		s.drops = append(s.drops, o.Segment)
 	case core.Fetch:
-		k.fetches, wake = append(k.fetches, o), k.wakeReader
+		s.fetches, wake = append(s.fetches, o), s.wakeReader
 	default:
 		return
 	}
@@ -119,50 +119,50 @@
 
 // Shutdown closes the socket, writes the queued records and closes the journal. It stops waiting for that at
 // deadlineMs, in Unix milliseconds.
-func (k *Store) Shutdown(deadlineMs float64) {
-	close(k.stop)
-	if k.socket != nil {
-		k.socket.Close()
+func (s *Store) Shutdown(deadlineMs float64) {
+	close(s.stop)
+	if s.socket != nil {
+		s.socket.Close()
 	}
 	timer := time.NewTimer(time.Until(time.UnixMicro(int64(deadlineMs * 1e3))))
 	defer timer.Stop()
 	select {
-	case <-k.written:
+	case <-s.written:
 	case <-timer.C:
-		k.host.Log("kept", "code", "late-end")
+		s.host.Log("kept", "code", "late-end")
 	}
 }
 
 // nextBatch removes the next batch of writes and all segments to drop from the queues.
-func (k *Store) nextBatch() (writes []ops.Write, drops []uint32) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Store) nextBatch() (writes []ops.Write, drops []uint32) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	count, bytes := 0, 0
-	for count < min(len(k.writes), maxBatchRecords) && bytes < maxBatchBytes {
-		bytes += len(k.writes[count].Record.Result) + int(k.writes[count].CopyFrom.Length) + 256
+	for count < min(len(s.writes), maxBatchRecords) && bytes < maxBatchBytes {
+		bytes += len(s.writes[count].Record.Result) + int(s.writes[count].CopyFrom.Length) + 256
 		count++
 	}
-	writes = append(writes, k.writes[:count]...)
-	if k.writes = k.writes[count:]; len(k.writes) == 0 {
-		k.writes = nil
+	writes = append(writes, s.writes[:count]...)
+	if s.writes = s.writes[count:]; len(s.writes) == 0 {
+		s.writes = nil
 	}
-	drops, k.drops = k.drops, nil
+	drops, s.drops = s.drops, nil
 	return writes, drops
 }
 
 // writeLoop writes batches until the node shuts down and none is left, or one fails after that.
-func (k *Store) writeLoop() {
-	defer close(k.written)
-	defer k.j.Close()
+func (s *Store) writeLoop() {
+	defer close(s.written)
+	defer s.j.Close()
 	for {
-		writes, drops := k.nextBatch()
+		writes, drops := s.nextBatch()
 		for _, seg := range drops {
-			err := k.j.DropOldest()
-			k.host.Send(core.SegmentDropped{Segment: seg, Err: err, Segments: k.j.Segments()})
+			err := s.j.DropOldest()
+			s.host.Send(core.SegmentDropped{Segment: seg, Err: err, Segments: s.j.Segments()})
 		}
 		stopped := false
 		select {
-		case <-k.stop:
+		case <-s.stop:
 			stopped = true
 		default:
 		}
@@ -171,12 +171,12 @@
 				return
 			}
 			select {
-			case <-k.wakeWriter:
-			case <-k.stop:
+			case <-s.wakeWriter:
+			case <-s.stop:
 			}
 			continue
 		}
-		if !k.writeBatch(writes) && stopped {
+		if !s.writeBatch(writes) && stopped {
 			return
 		}
 	}
@@ -184,15 +184,15 @@
 
 // writeBatch writes a batch and reports whether that succeeded. If a record to be copied can't be read, only that write
 // fails.
-func (k *Store) writeBatch(writes []ops.Write) bool {
+func (s *Store) writeBatch(writes []ops.Write) bool {
 	var records []journal.Record
 	var copyErr error
 	for _, write := range writes {
 		record := write.Record
 		if write.CopyFrom.Segment > 0 {
 			var err error
-			if record, err = journal.Read(k.dir, write.CopyFrom); err != nil {
-				k.host.Log("kept", "code", "unreadable", "segment", write.CopyFrom.Segment, "at", write.CopyFrom.Offset,
+			if record, err = journal.Read(s.dir, write.CopyFrom); err != nil {
+				s.host.Log("kept", "code", "unreadable", "segment", write.CopyFrom.Segment, "at", write.CopyFrom.Offset,
 					"error", err)
 				copyErr = err
 				break
@@ -201,56 +201,56 @@
 		records = append(records, record)
 	}
 	if len(records) > 0 {
-		positions, err := k.j.Append(records)
+		positions, err := s.j.Append(records)
 		if err != nil {
-			k.host.Log("kept", "code", "unwritten", "records", len(writes), "error", err)
-			k.host.Send(core.AppendFailed{N: len(writes), Segments: k.j.Segments()})
-			k.waitBeforeRetry()
+			s.host.Log("kept", "code", "unwritten", "records", len(writes), "error", err)
+			s.host.Send(core.AppendFailed{N: len(writes), Segments: s.j.Segments()})
+			s.waitBeforeRetry()
 			return false
 		}
-		k.host.Send(core.Appended{Positions: positions, Segments: k.j.Segments()})
+		s.host.Send(core.Appended{Positions: positions, Segments: s.j.Segments()})
 	}
 	if copyErr != nil {
 		if errors.Is(copyErr, journal.ErrDamaged) {
-			k.host.Send(core.CopyUnreadable{})
+			s.host.Send(core.CopyUnreadable{})
 		} else { // the read error may be temporary, so the record is not given up
-			k.host.Send(core.AppendFailed{N: 1, Segments: k.j.Segments()})
-			k.waitBeforeRetry()
+			s.host.Send(core.AppendFailed{N: 1, Segments: s.j.Segments()})
+			s.waitBeforeRetry()
 		}
 		if rest := writes[len(records)+1:]; len(rest) > 0 {
-			return k.writeBatch(rest)
+			return s.writeBatch(rest)
 		}
 	}
 	return true
 }
 
 // waitBeforeRetry waits for retryDelayMs, or until the node shuts down.
-func (k *Store) waitBeforeRetry() {
+func (s *Store) waitBeforeRetry() {
 	timer := time.NewTimer(retryDelayMs * time.Millisecond)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-k.stop:
+	case <-s.stop:
 	}
 }
 
 // readLoop reads records until the node shuts down.
-func (k *Store) readLoop() {
+func (s *Store) readLoop() {
 	for {
-		k.mu.Lock()
-		fetches := k.fetches
-		k.fetches = nil
-		k.mu.Unlock()
+		s.mu.Lock()
+		fetches := s.fetches
+		s.fetches = nil
+		s.mu.Unlock()
 		for _, f := range fetches {
-			record, err := journal.Read(k.dir, f.Position)
-			k.host.Send(core.RecordFetched{ID: f.ID, Position: f.Position, Result: record.Result, Err: err})
+			record, err := journal.Read(s.dir, f.Position)
+			s.host.Send(core.RecordFetched{ID: f.ID, Position: f.Position, Result: record.Result, Err: err})
 		}
 		if len(fetches) > 0 {
 			continue
 		}
 		select {
-		case <-k.wakeReader:
-		case <-k.stop:
+		case <-s.wakeReader:
+		case <-s.stop:
 			return
 		}
 	}
--- a/internal/kept/owner_test.go
+++ b/internal/kept/owner_test.go
@@ -12,7 +12,7 @@
 	"whinrudder/internal/ops"
 )
 
-// EndShutdown waits for an attempt to open the journal that is in progress.
+// EndShutdown waits, up to its deadline, for an attempt to open the journal that is in progress.
 func TestEndShutdownWaitsForOpen(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	started, proceed := make(chan bool, 9), make(chan bool)
--- a/internal/kept/resolve.go
+++ b/internal/kept/resolve.go
@@ -73,7 +73,7 @@
 }
 
 // acceptOperators accepts connections of operators until the listener is closed.
-func (k *Store) acceptOperators(listener net.Listener) {
+func (s *Store) acceptOperators(listener net.Listener) {
 	slots := make(chan struct{}, maxOperatorConns)
 	for {
 		conn, err := listener.Accept()
@@ -82,9 +82,9 @@
 		}
 		slots <- struct{}{}
 		go func() {
-			code := k.serveOperator(conn)
+			code := s.serveOperator(conn)
 			conn.Close()
-			k.host.Log("conn", "front", "resolve", "code", code)
+			s.host.Log("conn", "front", "resolve", "code", code)
 			<-slots
 		}()
 	}
@@ -92,7 +92,7 @@
 
 // serveOperator reads one resolution from a connection, hands it to the core and writes the outcome. It returns the
 // code for the log.
-func (k *Store) serveOperator(conn net.Conn) (code string) {
+func (s *Store) serveOperator(conn net.Conn) (code string) {
 	deadline := time.Now().Add(requestTimeoutMs * time.Millisecond)
 	conn.SetDeadline(deadline)
 	line, err := bufio.NewReaderSize(conn, maxRequestBytes).ReadSlice('\n')
@@ -105,7 +105,7 @@
 		return "bad-word"
 	}
 	outcome := make(chan error, 1)
-	k.host.Send(core.Resolve{Key: res.Key, Kind: res.Kind, Result: res.Result, By: res.By,
+	s.host.Send(core.Resolve{Key: res.Key, Kind: res.Kind, Result: res.Result, By: res.By,
 		Done: func(err error) { outcome <- err }})
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -113,7 +113,7 @@
 	case err = <-outcome:
 	case <-timer.C:
 		return "late"
-	case <-k.stop:
+	case <-s.stop:
 		return "end"
 	}
 	if err != nil {
--- a/internal/storagetest/storagetest.go
+++ b/internal/storagetest/storagetest.go
@@ -69,11 +69,11 @@
 }
 
 // Clone returns a directory with the same files, all of them synced.
-func (f *Dir) Clone(seed uint64) *Dir {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (d *Dir) Clone(seed uint64) *Dir {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	out := New(seed)
-	for n, c := range f.files {
+	for n, c := range d.files {
 		out.files[n] = &content{data: slices.Clone(c.data), synced: len(c.data)}
 		out.syncedFiles[n] = out.files[n]
 	}
@@ -81,65 +81,65 @@
 }
 
 // SetFaults sets the function that selects the fault of each operation; nil turns faults off.
-func (f *Dir) SetFaults(faults func(Op) Fault) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.faults = faults
+func (d *Dir) SetFaults(faults func(Op) Fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.faults = faults
 }
 
 // SetCapacity limits the total size of all files; 0 removes the limit.
-func (f *Dir) SetCapacity(bytes int64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.capacity = bytes
+func (d *Dir) SetCapacity(bytes int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.capacity = bytes
 }
 
 // OpCount returns the number of operations so far.
-func (f *Dir) OpCount() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.opCount
+func (d *Dir) OpCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.opCount
 }
 
 // Bytes returns the total size of all files.
-func (f *Dir) Bytes() (n int64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.bytes()
+func (d *Dir) Bytes() (n int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.bytes()
 }
 
-func (f *Dir) bytes() (n int64) {
-	for _, c := range f.files {
+func (d *Dir) bytes() (n int64) {
+	for _, c := range d.files {
 		n += int64(len(c.data))
 	}
 	return n
 }
 
-// FlipBit flips one bit of the byte at offset at of a file.
-func (f *Dir) FlipBit(name string, at int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.files[name].data[at] ^= 1 << (at % 8)
+// FlipBit flips one bit of the byte at an offset of a file.
+func (d *Dir) FlipBit(name string, offset int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.files[name].data[offset] ^= 1 << (offset % 8)
 }
 
 // Read returns a copy of a file's content.
-func (f *Dir) Read(name string) []byte {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.files[name].data)
+func (d *Dir) Read(name string) []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.files[name].data)
 }
 
 // Reboot releases the lock and leaves only what survives a crash: synced data, and random parts of the rest.
-func (f *Dir) Reboot() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.crashed, f.held = false, false
+func (d *Dir) Reboot() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.crashed, d.held = false, false
 	names := map[string]*content{}
-	for _, n := range sortedNames(f.files, f.syncedFiles) {
-		now, last := f.files[n], f.syncedFiles[n]
-		c := now
-		if now != last && f.rng.IntN(2) == 0 {
-			c = last // the change of the name was not synced and is lost
+	for _, n := range sortedNames(d.files, d.syncedFiles) {
+		current, synced := d.files[n], d.syncedFiles[n]
+		c := current
+		if current != synced && d.rng.IntN(2) == 0 {
+			c = synced // the change of the name was not synced and is lost
 		}
 		if c == nil {
 			continue
@@ -148,7 +148,7 @@
 		if rest := c.data[c.synced:]; len(rest) > 0 {
 			for at := 0; at < len(rest); {
 				end := min(len(rest), at+sectorBytes-(c.synced+at)%sectorBytes)
-				switch f.rng.IntN(3) {
+				switch d.rng.IntN(3) {
 				case 0: // the sector was not written, but the file has grown over it
 					data = append(data, make([]byte, end-at)...)
 				case 1:
@@ -162,10 +162,10 @@
 		}
 		names[n] = &content{data: data, synced: len(data)}
 	}
-	f.files = names
-	f.syncedFiles = map[string]*content{}
+	d.files = names
+	d.syncedFiles = map[string]*content{}
 	for n, c := range names {
-		f.syncedFiles[n] = c
+		d.syncedFiles[n] = c
 	}
 }
 
@@ -184,100 +184,100 @@
 }
 
 // op counts an operation and returns the error of its fault, if any.
-func (f *Dir) op(kind, name string) error {
-	if f.crashed {
+func (d *Dir) op(kind, name string) error {
+	if d.crashed {
 		return ErrCrash
 	}
-	f.opCount++
-	if f.faults == nil {
+	d.opCount++
+	if d.faults == nil {
 		return nil
 	}
-	switch f.faults(Op{f.opCount, kind, name}) {
+	switch d.faults(Op{d.opCount, kind, name}) {
 	case Fail:
 		return ErrInjected
 	case Full:
 		return ErrFull
 	case Crash:
-		f.crashed = true
+		d.crashed = true
 		return ErrCrash
 	}
 	return nil
 }
 
 // Names implements storage.Dir.
-func (f *Dir) Names() ([]string, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.crashed {
+func (d *Dir) Names() ([]string, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.crashed {
 		return nil, ErrCrash
 	}
-	return sortedNames(f.files, nil), nil
+	return sortedNames(d.files, nil), nil
 }
 
 // Create implements storage.Dir.
-func (f *Dir) Create(name string) (storage.File, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err := f.op("create", name); err != nil {
+func (d *Dir) Create(name string) (storage.File, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err := d.op("create", name); err != nil {
 		return nil, err
 	}
-	if f.files[name] != nil {
+	if d.files[name] != nil {
 		return nil, fs.ErrExist
 	}
-	f.files[name] = &content{}
-	return &file{f, name, f.files[name]}, nil
+	d.files[name] = &content{}
+	return &file{d, name, d.files[name]}, nil
 }
 
 // Open implements storage.Dir.
-func (f *Dir) Open(name string) (storage.File, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err := f.op("open", name); err != nil {
+func (d *Dir) Open(name string) (storage.File, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err := d.op("open", name); err != nil {
 		return nil, err
 	}
-	if f.files[name] == nil {
+	if d.files[name] == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &file{f, name, f.files[name]}, nil
+	return &file{d, name, d.files[name]}, nil
 }
 
 // Remove implements storage.Dir.
-func (f *Dir) Remove(name string) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err := f.op("remove", name); err != nil {
+func (d *Dir) Remove(name string) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err := d.op("remove", name); err != nil {
 		return err
 	}
-	delete(f.files, name)
+	delete(d.files, name)
 	return nil
 }
 
 // Sync implements storage.Dir.
-func (f *Dir) Sync() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err := f.op("syncdir", ""); err != nil {
+func (d *Dir) Sync() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err := d.op("syncdir", ""); err != nil {
 		return err
 	}
-	f.syncedFiles = map[string]*content{}
-	for n, c := range f.files {
-		f.syncedFiles[n] = c
+	d.syncedFiles = map[string]*content{}
+	for n, c := range d.files {
+		d.syncedFiles[n] = c
 	}
 	return nil
 }
 
 // Lock implements storage.Dir.
-func (f *Dir) Lock() (func(), error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.held {
+func (d *Dir) Lock() (func(), error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.held {
 		return nil, storage.ErrInUse
 	}
-	f.held = true
+	d.held = true
 	return func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.held = false
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.held = false
 	}, nil
 }
 
@@ -323,16 +323,16 @@
 	return nil
 }
 
-func (f *file) ReadAt(p []byte, at int64) (int, error) {
+func (f *file) ReadAt(p []byte, offset int64) (int, error) {
 	f.dir.mu.Lock()
 	defer f.dir.mu.Unlock()
 	if f.dir.crashed {
 		return 0, ErrCrash
 	}
-	if at >= int64(len(f.data)) {
+	if offset >= int64(len(f.data)) {
 		return 0, io.EOF
 	}
-	n := copy(p, f.data[at:])
+	n := copy(p, f.data[offset:])
 	if n < len(p) {
 		return n, io.EOF
 	}
