--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -12,210 +12,213 @@
 	"whinrudder/internal/front"
 )
 
-// At the limit of sockets a connection that has said nothing for youngFor, or nothing more for restFor, gives way
-// to a new one, in milliseconds. A shorter silence may be that of a request on its way.
+// When the connection table is full, a new connection may replace one that has sent no request for newConnGraceMs
+// since its accept, or none for idleConnGraceMs since its last answer. After a shorter silence a request may be in
+// flight.
 const (
-	youngFor = 100
-	restFor  = 500
+	newConnGraceMs  = 100
+	idleConnGraceMs = 500
 )
 
-// After a fault was told, so long and so many bytes are read on.
+// After a protocol error was answered, the connection reads and discards input for at most this time and this many
+// bytes.
 const (
-	lingerFor  = 1000
-	lingerMost = 64 << 10
+	lingerMs       = 1000
+	lingerMaxBytes = 64 << 10
 )
 
-// accept takes connections until the listener is closed. Running out of descriptors is survived.
+// accept takes connections until the listener is closed. Other errors, such as running out of file descriptors,
+// are logged and retried.
 func (n *Node) accept(l net.Listener, name string, protocol func(now float64) front.Protocol) {
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil && n.held(l, err) {
+		if err != nil && n.waitForSuccessor(l, err) {
 			continue
 		}
 		if err != nil {
 			n.log("accept", "front", name, "error", err)
-			time.Sleep(time.Until(at(now() + 20)))
+			time.Sleep(time.Until(timeOf(now() + 20)))
 			continue
 		}
 		k := &conn{node: n, c: c, front: name, proto: protocol(now())}
 		if !n.conns.add(k) {
-			k.end("full")
+			k.logAndClose("full")
 			continue
 		}
 		go k.serve()
 	}
 }
 
-// conn drives one connection: one goroutine that reads, also while requests are in hand, and writes. The core leaves
-// answers in the mailbox and wakes the goroutine by a read deadline that is over.
+// conn drives one connection. A single goroutine reads, also while requests are pending, and writes. The core
+// puts answers into the mailbox and wakes that goroutine by setting a read deadline in the past.
 type conn struct {
 	node  *Node
 	c     net.Conn
 	front string
 	proto front.Protocol
 
-	mu      sync.Mutex // of what follows
-	mail    []letter
-	leaving bool // the node wants no more requests
-	ending  bool // and has ended: what is in the mailbox is the last
-	called  bool // the deadline was set by the core's goroutine
+	mu              sync.Mutex // guards the fields up to deadlineChanged
+	mailbox         []delivery
+	draining        bool // the node accepts no more requests
+	nodeEnded       bool // the node has ended: the mailbox holds the last answers
+	deadlineChanged bool // another goroutine has set the read deadline
 
-	wake    float64   // the deadline as it was set last; -1: it is over
-	letters []letter  // taken from the mailbox
-	open    []pending // messages in hand
-	left    bool      // the protocol was told that the node leaves
-	out     []byte
-	unsaid  int     // answers that the peer may not have taken yet
-	writeBy float64 // a peer that has not taken what is to be written by then is cut; 0: writeFor from now
+	readDeadline  float64    // the deadline that was set last, in Unix milliseconds; -1 if it has expired
+	deliveries    []delivery // being processed, taken from the mailbox
+	pending       []message  // messages without an answer
+	drainStarted  bool       // the protocol knows that the node drains
+	output        []byte
+	unsentAnswers int     // answers that were possibly not written
+	writeDeadline float64 // of the output, in Unix milliseconds; 0: defaultWriteTimeoutMs from now
 
-	place place // of the table
+	state connState // guarded by connTable.mu
 }
 
-// letter is an answer in the mailbox.
-type letter struct {
+// delivery is an answer in the mailbox.
+type delivery struct {
 	tag    uint32
 	answer core.Answer
 }
 
-// pending is a message in hand: a request by its id, or a check.
-type pending struct {
+// message is a message without an answer: a request, or a health check, which has no ID.
+type message struct {
 	tag uint32
 	id  string
 }
 
-// ticket is what the core answers to.
-type ticket struct {
+// replyHandle is where the core sends the answer to a message.
+type replyHandle struct {
 	k   *conn
 	tag uint32
 }
 
-// writeFor is how long a peer may take what is no answer, in milliseconds.
-const writeFor = 1000
+// defaultWriteTimeoutMs is how long a peer may take to read output that contains no answer.
+const defaultWriteTimeoutMs = 1000
 
-// Deliver leaves an answer for the connection. It is called by the core's goroutine and does not wait.
-func (t ticket) Deliver(a core.Answer) {
+// Deliver puts an answer into the mailbox of the connection. The core's goroutine calls it; it does not block.
+func (t replyHandle) Deliver(a core.Answer) {
 	t.k.mu.Lock()
-	t.k.mail = append(t.k.mail, letter{t.tag, a})
-	first := len(t.k.mail) == 1
-	t.k.called = true
+	t.k.mailbox = append(t.k.mailbox, delivery{t.tag, a})
+	first := len(t.k.mailbox) == 1
+	t.k.deadlineChanged = true
 	t.k.mu.Unlock()
 	if first {
-		t.k.c.SetReadDeadline(past)
+		t.k.c.SetReadDeadline(expiredDeadline)
 	}
 }
 
-// leave tells the connection that the node wants no more requests.
-func (k *conn) leave() {
+// startDrain notifies the connection that the node accepts no more requests.
+func (k *conn) startDrain() {
 	k.mu.Lock()
-	k.leaving, k.called = true, true
+	k.draining, k.deadlineChanged = true, true
 	k.mu.Unlock()
-	k.c.SetReadDeadline(past)
+	k.c.SetReadDeadline(expiredDeadline)
 }
 
-// woken tells whether the deadline was set by somebody else since the last time.
-func (k *conn) woken() bool {
+// takeDeadlineChanged reports whether another goroutine has set the deadline since the last call.
+func (k *conn) takeDeadlineChanged() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	was := k.called
-	k.called = false
-	return was
+	changed := k.deadlineChanged
+	k.deadlineChanged = false
+	return changed
 }
 
-// mailed tells whether there is something in the mailbox.
-func (k *conn) mailed() bool {
+// hasWork reports whether an answer is in the mailbox or the protocol has to be told about the drain.
+func (k *conn) hasWork() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.mail) > 0 || k.leaving && !k.left
+	return len(k.mailbox) > 0 || k.draining && !k.drainStarted
 }
 
-// ends tells that the node has ended and nothing is left in the mailbox.
-func (k *conn) ends() bool {
+// canEnd reports whether the node has ended and the mailbox is empty.
+func (k *conn) canEnd() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ending && len(k.mail) == 0
+	return k.nodeEnded && len(k.mailbox) == 0
 }
 
-// take hands what is in the mailbox to the protocol.
-func (k *conn) take(t float64) {
+// processMailbox passes the contents of the mailbox to the protocol.
+func (k *conn) processMailbox(t float64) {
 	k.mu.Lock()
-	k.mail, k.letters = k.letters[:0], k.mail
-	leaving := k.leaving && !k.left
+	k.mailbox, k.deliveries = k.deliveries[:0], k.mailbox
+	startDrain := k.draining && !k.drainStarted
 	k.mu.Unlock()
-	if leaving {
-		k.left = true
+	if startDrain {
+		k.drainStarted = true
 		k.proto.StartDrain(t)
 	}
-	for i, l := range k.letters {
-		if k.writeBy == 0 || l.answer.WriteDeadline < k.writeBy {
-			k.writeBy = l.answer.WriteDeadline
+	for i, l := range k.deliveries {
+		if k.writeDeadline == 0 || l.answer.WriteDeadline < k.writeDeadline {
+			k.writeDeadline = l.answer.WriteDeadline
 		}
-		k.close(l.tag)
-		k.unsaid++
+		k.removePending(l.tag)
+		k.unsentAnswers++
 		k.proto.Answer(t, l.tag, l.answer)
-		k.letters[i] = letter{} // its result must not be kept from the collector
+		k.deliveries[i] = delivery{} // allows the result to be garbage collected
 	}
-	if len(k.letters) > 0 && len(k.open) == 0 {
-		_, at := k.proto.Served()
-		k.node.conns.rest(k, place{spoke: true, since: at})
+	if len(k.deliveries) > 0 && len(k.pending) == 0 {
+		_, lastAnswer := k.proto.Served()
+		k.node.conns.markIdle(k, connState{answered: true, since: lastAnswer})
 	}
 }
 
-// close takes a message out of those in hand and returns it.
-func (k *conn) close(tag uint32) (p pending, ok bool) {
-	for i := range k.open {
-		if k.open[i].tag == tag {
-			p = k.open[i]
-			k.open[i] = k.open[len(k.open)-1]
-			k.open = k.open[:len(k.open)-1]
+// removePending removes a message from the pending ones and returns it.
+func (k *conn) removePending(tag uint32) (p message, ok bool) {
+	for i := range k.pending {
+		if k.pending[i].tag == tag {
+			p = k.pending[i]
+			k.pending[i] = k.pending[len(k.pending)-1]
+			k.pending = k.pending[:len(k.pending)-1]
 			return p, true
 		}
 	}
 	return p, false
 }
 
-// end closes the connection and leaves its one line in the log.
-func (k *conn) end(code string) {
+// logAndClose logs the end of the connection and closes it.
+func (k *conn) logAndClose(code string) {
 	served, _ := k.proto.Served()
 	if code == "write" {
-		served = max(0, served-k.unsaid)
+		served = max(0, served-k.unsentAnswers)
 	}
 	k.node.log("conn", "front", k.front, "peer", k.c.RemoteAddr(), "code", code, "served", served)
 	k.c.Close()
 }
 
 func (k *conn) serve() {
-	code := k.talk()
-	for _, p := range k.open {
+	code := k.run()
+	for _, p := range k.pending {
 		if p.id != "" {
-			k.node.tell(core.CallerGone{ID: p.id})
+			k.node.submit(core.CallerGone{ID: p.id})
 		}
 	}
-	k.end(code)
-	k.node.conns.remove(k) // after the line was left: the end of the node waits for this
+	k.logAndClose(code)
+	k.node.conns.remove(k) // after the log line, because shutdown waits for the removal
 }
 
-// talk reads and writes until the connection is to end, and returns the code of the reason.
-func (k *conn) talk() string {
+// run reads and writes until the connection has to end, and returns the code of the reason.
+func (k *conn) run() string {
 	buf := make([]byte, 4096)
 	for {
 		t := now()
-		k.take(t)
+		k.processMailbox(t)
 		for {
 			e, ok := k.proto.Next(t)
 			if !ok {
 				break
 			}
-			if !k.event(e) {
+			if !k.handleEvent(e) {
 				return "room"
 			}
 		}
-		if k.out = k.proto.AppendOutput(t, k.out[:0]); len(k.out) > 0 {
+		if k.output = k.proto.AppendOutput(t, k.output[:0]); len(k.output) > 0 {
 			code, linger := k.proto.CloseReason()
 			if code != "" && linger {
-				k.node.conns.rest(k, place{}) // a fault was told: the connection may give its place
+				k.node.conns.markIdle(k, connState{}) // a protocol error was answered: the connection may be evicted
 			}
 			if err := k.write(); err != nil && !linger {
 				return "write"
@@ -223,27 +226,27 @@
 				k.linger()
 			}
 			if code == "" {
-				continue // what was written may have made room for more
+				continue // the write may have made room for more output
 			}
 		}
 		if code, _ := k.proto.CloseReason(); code != "" {
 			return code
 		}
-		idle := float64(k.node.idle.Load())
-		if wake := k.proto.NextDeadline(idle); k.woken() || wake != k.wake {
-			k.wake = wake
-			k.c.SetReadDeadline(at(wake))
+		idle := float64(k.node.idleTimeoutMs.Load())
+		if wake := k.proto.NextDeadline(idle); k.takeDeadlineChanged() || wake != k.readDeadline {
+			k.readDeadline = wake
+			k.c.SetReadDeadline(timeOf(wake))
 		}
-		if k.node.conns.given(k) {
+		if k.node.conns.revoked(k) {
 			return "room"
 		}
-		if k.mailed() {
-			continue // it came before the deadline was set, which may have undone its call
+		if k.hasWork() {
+			continue // it arrived before SetReadDeadline, which may have overwritten the wake-up
 		}
-		if k.node.moving.Load() && k.moves() {
+		if k.node.successorActive.Load() && k.handOff() {
 			return "moved"
 		}
-		if k.ends() {
+		if k.canEnd() {
 			return "drain"
 		}
 		n, err := k.c.Read(buf)
@@ -254,8 +257,8 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			k.wake = -1 // the deadline is over: it is to be set anew, whoever set it
-			k.proto.HandleDeadline(now(), float64(k.node.idle.Load()))
+			k.readDeadline = -1 // expired: it has to be set again, whoever set it
+			k.proto.HandleDeadline(now(), float64(k.node.idleTimeoutMs.Load()))
 		case errors.Is(err, net.ErrClosed):
 			return "drain"
 		default:
@@ -264,199 +267,202 @@
 	}
 }
 
-// event hands an event to the core. It returns false if the place of the connection was given away before.
-func (k *conn) event(e front.Event) bool {
+// handleEvent passes a protocol event to the core. It returns false if the connection has been evicted.
+func (k *conn) handleEvent(e front.Event) bool {
 	if e.Code != "" {
 		k.node.log("stream", "front", k.front, "peer", k.c.RemoteAddr(), "stream", int(e.Tag), "code", e.Code)
 		return true
 	}
 	if e.Cancelled {
-		if p, ok := k.close(e.Tag); ok && p.id != "" {
-			k.node.tell(core.CallerGone{ID: p.id})
+		if p, ok := k.removePending(e.Tag); ok && p.id != "" {
+			k.node.submit(core.CallerGone{ID: p.id})
 		}
-		if len(k.open) == 0 {
-			_, at := k.proto.Served()
-			k.node.conns.rest(k, place{spoke: true, since: at})
+		if len(k.pending) == 0 {
+			_, lastAnswer := k.proto.Served()
+			k.node.conns.markIdle(k, connState{answered: true, since: lastAnswer})
 		}
 		return true
 	}
-	if len(k.open) == 0 && !k.node.conns.work(k) {
+	if len(k.pending) == 0 && !k.node.conns.markBusy(k) {
 		return false
 	}
-	to := ticket{k, e.Tag}
+	to := replyHandle{k, e.Tag}
 	if e.Request == nil {
-		k.open = append(k.open, pending{tag: e.Tag})
-		k.node.tell(core.HealthCheck{Deep: e.DeepCheck, ReplyTo: to})
+		k.pending = append(k.pending, message{tag: e.Tag})
+		k.node.submit(core.HealthCheck{Deep: e.DeepCheck, ReplyTo: to})
 		return true
 	}
-	k.open = append(k.open, pending{e.Tag, e.Request.ID})
+	k.pending = append(k.pending, message{e.Tag, e.Request.ID})
 	e.Request.ReplyTo = to
-	k.node.tell(core.RequestArrived{Request: e.Request})
+	k.node.submit(core.RequestArrived{Request: e.Request})
 	return true
 }
 
-// linger reads on for a moment after a fault was told: closing on bytes that nobody read would reset the
-// connection, and the peer would lose the answer with it.
+// linger reads and discards input for a moment after a protocol error was answered. Closing a socket with
+// unread input would reset the connection, and the peer could lose the answer.
 func (k *conn) linger() {
 	if c, ok := k.c.(*net.TCPConn); ok {
 		c.CloseWrite()
 	}
-	k.c.SetReadDeadline(at(now() + lingerFor))
-	if k.node.conns.given(k) {
+	k.c.SetReadDeadline(timeOf(now() + lingerMs))
+	if k.node.conns.revoked(k) {
 		return
 	}
-	io.CopyN(io.Discard, k.c, lingerMost)
+	io.CopyN(io.Discard, k.c, lingerMaxBytes)
 }
 
-// write writes what is to be written by the time of the earliest answer in it.
+// write writes the output within the earliest write deadline of the answers in it.
 func (k *conn) write() error {
-	by := k.writeBy
+	by := k.writeDeadline
 	if by == 0 {
-		by = now() + writeFor
+		by = now() + defaultWriteTimeoutMs
 	}
-	k.writeBy = 0
-	k.c.SetWriteDeadline(at(by))
-	_, err := k.c.Write(k.out)
+	k.writeDeadline = 0
+	k.c.SetWriteDeadline(timeOf(by))
+	_, err := k.c.Write(k.output)
 	if err == nil {
-		k.unsaid = 0
+		k.unsentAnswers = 0
 	}
 	return err
 }
 
-// place is what the table knows of a connection.
-type place struct {
-	busy  bool    // a message is in hand
-	given bool    // it was given to another connection
-	spoke bool    // it has had an answer that was no fault
-	since float64 // and when, or when it was accepted
+// connState is what the table knows about a connection.
+type connState struct {
+	busy     bool    // a message is pending
+	revoked  bool    // evicted: its place was given to another connection
+	answered bool    // it has been sent an answer other than a protocol error
+	since    float64 // time of the last answer, or else of the accept, in Unix milliseconds
 }
 
-// connTable holds the connections of callers, within the limit of sockets.
+// connTable holds the connections of callers, up to a limit.
 type connTable struct {
-	mu   sync.Mutex
-	most int
-	all  map[*conn]bool
-	gone sync.Cond // one was removed
+	mu       sync.Mutex
+	maxConns int
+	conns    map[*conn]bool
+	removed  sync.Cond // signalled when a connection is removed
 }
 
-// add takes a new connection into the table. If that is full, one that rests gives its place, and add waits until it
-// has ended; if all are at work, there is none.
+// add adds a new connection. If the table is full, it evicts an idle connection and waits until that has ended.
+// It returns false if every connection is busy or too recent to evict.
 func (t *connTable) add(k *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.all == nil {
-		t.all, t.gone.L = map[*conn]bool{}, &t.mu
+	if t.conns == nil {
+		t.conns, t.removed.L = map[*conn]bool{}, &t.mu
 	}
-	k.place.since = now()
-	for len(t.all) >= t.most {
-		v := t.resting(k.place.since)
-		if v == nil {
+	k.state.since = now()
+	for len(t.conns) >= t.maxConns {
+		victim := t.evictionCandidate(k.state.since)
+		if victim == nil {
 			return false
 		}
-		v.place.given = true
-		v.c.SetReadDeadline(past)
-		t.gone.Wait()
+		victim.state.revoked = true
+		victim.c.SetReadDeadline(expiredDeadline)
+		t.removed.Wait()
 	}
-	t.all[k] = true
+	t.conns[k] = true
 	return true
 }
 
-// resting returns the connection that has been silent longest since its accept, or else the one that has rested
-// longest since its last answer, or nil.
-func (t *connTable) resting(now float64) (found *conn) {
-	for k := range t.all {
-		p := k.place
+// evictionCandidate returns, of the connections without an answer, the one that was accepted first, or else the
+// one whose last answer is the oldest, or nil.
+func (t *connTable) evictionCandidate(now float64) (found *conn) {
+	for k := range t.conns {
+		p := k.state
 		switch {
-		case p.busy || p.given, !p.spoke && now-p.since < youngFor, p.spoke && now-p.since < restFor:
-		case found == nil || !p.spoke && found.place.spoke,
-			p.spoke == found.place.spoke && p.since < found.place.since:
+		case p.busy || p.revoked, !p.answered && now-p.since < newConnGraceMs,
+			p.answered && now-p.since < idleConnGraceMs:
+		case found == nil || !p.answered && found.state.answered,
+			p.answered == found.state.answered && p.since < found.state.since:
 			found = k
 		}
 	}
 	return found
 }
 
-// work notes that a connection has a message in hand. It tells false if its place was given away before.
-func (t *connTable) work(k *conn) bool {
+// markBusy notes that a connection has a pending message. It returns false if the connection was evicted
+// before.
+func (t *connTable) markBusy(k *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k.place.busy = !k.place.given
-	return k.place.busy
+	k.state.busy = !k.state.revoked
+	return k.state.busy
 }
 
-// rest notes that a connection has nothing in hand.
-func (t *connTable) rest(k *conn, p place) {
+// markIdle notes that a connection has no pending message.
+func (t *connTable) markIdle(k *conn, p connState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p.given = k.place.given
-	k.place = p
+	p.revoked = k.state.revoked
+	k.state = p
 }
 
-// given tells whether the place of a connection was given to another.
-func (t *connTable) given(k *conn) bool {
+// revoked reports whether a connection was evicted.
+func (t *connTable) revoked(k *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return k.place.given
+	return k.state.revoked
 }
 
-// limit sets how many connections there may be. Those that are open stay.
-func (t *connTable) limit(most int) {
+// setLimit sets the maximum number of connections. Open connections are not closed.
+func (t *connTable) setLimit(most int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.most = most
+	t.maxConns = most
 }
 
 func (t *connTable) remove(k *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.all, k)
-	t.gone.Broadcast()
+	delete(t.conns, k)
+	t.removed.Broadcast()
 }
 
-// leaveAll tells all connections that the node wants no more requests.
-func (t *connTable) leaveAll() {
-	t.each((*conn).leave)
+// drainAll notifies all connections that the node accepts no more requests.
+func (t *connTable) drainAll() {
+	t.each((*conn).startDrain)
 }
 
-// wakeAll makes all connections look at their deadlines again.
+// wakeAll makes all connections compute their deadlines again.
 func (t *connTable) wakeAll() {
-	t.each(func(k *conn) { k.c.SetReadDeadline(past) })
+	t.each(func(k *conn) { k.c.SetReadDeadline(expiredDeadline) })
 }
 
-// Times of the end, in milliseconds: connections write what is in their mailboxes, then those that are left are cut, and their
-// lines in the log are waited for.
+// Times of shutdown, in milliseconds: the connections first write the answers in their mailboxes, then the remaining
+// ones are closed and their log lines are waited for.
 const (
-	answersFor = 40
-	linesFor   = 10
+	finalAnswersMs  = 40
+	finalLogLinesMs = 10
 )
 
-// closeAll ends all connections. The step that ends the node may also answer its last requests: they are written first.
+// closeAll ends all connections. The core's last step may answer requests as well, so pending answers are
+// written first.
 func (t *connTable) closeAll() {
 	t.each(func(k *conn) {
 		k.mu.Lock()
-		k.ending, k.called = true, true
+		k.nodeEnded, k.deadlineChanged = true, true
 		k.mu.Unlock()
-		k.c.SetReadDeadline(past)
+		k.c.SetReadDeadline(expiredDeadline)
 	})
-	t.empty(now() + answersFor)
+	t.waitEmpty(now() + finalAnswersMs)
 	t.each(func(k *conn) { k.c.Close() })
-	t.empty(now() + linesFor)
+	t.waitEmpty(now() + finalLogLinesMs)
 }
 
-// each does something with all connections.
+// each calls do for every connection.
 func (t *connTable) each(do func(*conn)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for k := range t.all {
+	for k := range t.conns {
 		do(k)
 	}
 }
 
-// empty waits until there are no connections, or until an absolute time.
-func (t *connTable) empty(by float64) {
+// waitEmpty waits until there are no connections, at most until an absolute time.
+func (t *connTable) waitEmpty(by float64) {
 	for ; now() < by; time.Sleep(time.Millisecond) {
 		t.mu.Lock()
-		left := len(t.all)
+		left := len(t.conns)
 		t.mu.Unlock()
 		if left == 0 {
 			return
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -16,56 +16,57 @@
 	"whinrudder/internal/settings"
 )
 
-// lines takes the log, one line a write, and keeps what follows the time and the peer.
-type lines chan string
+// logLines receives the log, one line per write, and keeps what follows "code=".
+type logLines chan string
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logLines) Write(b []byte) (int, error) {
 	_, code, _ := strings.Cut(strings.TrimSpace(string(b)), "code=")
 	l <- code
 	return len(b), nil
 }
 
-func testNode(log lines) *Node {
-	n := &Node{cfg: settings.Config{}, out: newLogger(log, false), in: make(chan core.Input, 8), over: make(chan struct{})}
-	n.conns.most = 8
-	n.idle.Store(30000)
-	n.site = front.NewValidator(nil, n.cfg.Settings.Policy)
+func testNode(log logLines) *Node {
+	n := &Node{cfg: settings.Config{}, logger: newLogger(log, false), inputs: make(chan core.Input, 8),
+		done: make(chan struct{})}
+	n.conns.maxConns = 8
+	n.idleTimeoutMs.Store(30000)
+	n.validator = front.NewValidator(nil, n.cfg.Settings.Policy)
 	return n
 }
 
-// A peer that never reads its answer must not hold its goroutine for ever: it is cut at the answer's own time. A
-// pipe has no buffer, so that nothing but the deadline can end the write.
+// A peer that never reads its answer must not block its goroutine forever: the connection is closed at the
+// answer's write deadline. A pipe has no buffer, so only the deadline can end the write.
 func TestPeerThatDoesNotReadIsCut(t *testing.T) {
-	log := make(lines, 4)
+	log := make(logLines, 4)
 	n := testNode(log)
 	here, there := net.Pipe()
 	defer there.Close()
-	k := &conn{node: n, c: here, front: "http", proto: front.NewSerialConn(httpfront.New(n.site), now())}
+	k := &conn{node: n, c: here, front: "http", proto: front.NewSerialConn(httpfront.New(n.validator), now())}
 	go k.serve()
 	if _, err := there.Write([]byte("GET /health HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	(<-n.in).(core.HealthCheck).ReplyTo.Deliver(core.Answer{WriteDeadline: now() + 20})
+	(<-n.inputs).(core.HealthCheck).ReplyTo.Deliver(core.Answer{WriteDeadline: now() + 20})
 	if diff := cmp.Diff("write served=0", <-log); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// The step that ends the node may answer its last request: the answer is written before the connection is closed, though its
-// goroutine had no turn since, as on the one core of the platform.
+// The core's last step may answer a request. That answer must be written before the connection is closed, even
+// if the connection's goroutine has not run since, as can happen on one core.
 func TestLastAnswerIsWrittenBeforeTheEnd(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	log := make(lines, 4)
+	log := make(logLines, 4)
 	n := testNode(log)
 	here, there := net.Pipe()
 	defer there.Close()
-	k := &conn{node: n, c: here, front: "http", proto: front.NewSerialConn(httpfront.New(n.site), now())}
+	k := &conn{node: n, c: here, front: "http", proto: front.NewSerialConn(httpfront.New(n.validator), now())}
 	n.conns.add(k)
 	go k.serve()
 	if _, err := there.Write([]byte("GET /health HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	to := (<-n.in).(core.HealthCheck).ReplyTo
+	to := (<-n.inputs).(core.HealthCheck).ReplyTo
 	read := make(chan string)
 	go func() {
 		b := make([]byte, 4096)
@@ -75,53 +76,53 @@
 	to.Deliver(core.Answer{WriteDeadline: now() + 1000})
 	n.conns.closeAll()
 	if got := <-read; !strings.HasPrefix(got, "HTTP/1.1 200 ") {
-		t.Errorf("the caller read %q", got)
+		t.Errorf("caller read %q, want a response with status 200", got)
 	}
 	if diff := cmp.Diff("drain served=1", <-log); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// stuck is a log that nobody reads: a write never ends.
-type stuck chan struct{}
+// blockedWriter is a log that is never read: a write does not return.
+type blockedWriter chan struct{}
 
-func (s stuck) Write(b []byte) (int, error) { <-s; return len(b), nil }
+func (s blockedWriter) Write(b []byte) (int, error) { <-s; return len(b), nil }
 
-// A log that nobody reads must not stop the core, nor the end of the process.
+// A log that is not read must not block the core or the end of the process.
 func TestCoreDoesNotWaitForTheLog(t *testing.T) {
-	l := newLogger(make(stuck), false)
-	for range 2 * logRoom {
+	l := newLogger(make(blockedWriter), false)
+	for range 2 * logQueueLines {
 		l.event("line")
 	}
 	l.flush(now() + 20)
-	if n := l.dropped.Load(); n < logRoom-1 {
-		t.Errorf("%d lines dropped of %d", n, 2*logRoom)
+	if n := l.dropped.Load(); n < logQueueLines-1 {
+		t.Errorf("dropped %d of %d lines, want at least %d", n, 2*logQueueLines, logQueueLines-1)
 	}
 }
 
-// held is a log that is read at once.
-type held chan string
+// lineWriter passes each write to its reader.
+type lineWriter chan string
 
-func (k held) Write(b []byte) (int, error) { k <- string(b); return len(b), nil }
+func (k lineWriter) Write(b []byte) (int, error) { k <- string(b); return len(b), nil }
 
-// Lines that wait for a slow reader must be their own, whatever zerolog does with its buffer.
+// Lines that wait for a slow reader must be copies, because zerolog reuses its buffer.
 func TestJSONLinesDoNotShareABuffer(t *testing.T) {
-	log := make(held)
+	log := make(lineWriter)
 	l := newLogger(log, true)
 	for n := range 20 {
 		l.event("conn", "code", "eof", "served", n)
 	}
 	for n := range 20 {
 		if _, got, _ := strings.Cut(<-log, `"word":`); got != fmt.Sprintf(`"conn","code":"eof","served":%d}`+"\n", n) {
-			t.Errorf("line %d is %q", n, got)
+			t.Errorf("line %d: got %q", n, got)
 		}
 	}
 }
 
-// listener fails as one does that is out of descriptors, then hands out a connection, then is closed.
-type listener struct{ results []any }
+// fakeListener returns the given connections and errors in order.
+type fakeListener struct{ results []any }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *fakeListener) Accept() (net.Conn, error) {
 	r := l.results[0]
 	l.results = l.results[1:]
 	if c, ok := r.(net.Conn); ok {
@@ -129,18 +130,19 @@
 	}
 	return nil, r.(error)
 }
-func (l *listener) Close() error   { return nil }
-func (l *listener) Addr() net.Addr { return nil }
+func (l *fakeListener) Close() error   { return nil }
+func (l *fakeListener) Addr() net.Addr { return nil }
 
-// An error of accept must not end the front: what is out of descriptors now is not so later.
+// An error of Accept, such as one for lack of file descriptors, must not end the accept loop, because later
+// calls can succeed.
 func TestAcceptErrorsAreSurvived(t *testing.T) {
-	log := make(lines, 4)
+	log := make(logLines, 4)
 	n := testNode(log)
 	here, there := net.Pipe()
 	there.Close()
-	n.accept(&listener{[]any{errors.New("too many open files"), here, net.ErrClosed}}, "http",
-		single(func() front.Parser { return httpfront.New(n.site) }))
-	<-log // of the error
+	n.accept(&fakeListener{[]any{errors.New("too many open files"), here, net.ErrClosed}}, "http",
+		serialProtocol(func() front.Parser { return httpfront.New(n.validator) }))
+	<-log // the line of the error
 	if diff := cmp.Diff("eof served=0", <-log); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -11,89 +11,92 @@
 	"whinrudder/internal/pool"
 )
 
-// Times of the link to the worker pool, in milliseconds.
+// Timeouts of the link to the worker pool, in milliseconds.
 const (
-	linkWrite = 2000 // a worker pool that has not taken commands by then is cut
-	linkAgain = 100  // pause between two tries to connect
-	linkDial  = 100  // a worker pool that has not taken the connection by then is tried again
-	linkLeave = 200  // how long a link that moves waits for the answer to its last poll
+	linkWriteTimeoutMs  = 2000 // a worker pool that has not read the commands in this time is disconnected
+	linkRedialMs        = 100  // pause between two connection attempts
+	linkDialTimeoutMs   = 100  // a connection attempt that takes longer is retried
+	linkDetachTimeoutMs = 200  // how long a link that changes its address waits for the answer to its last poll
 )
 
-// link drives the connection to the worker pool, in one goroutine; the core's only queues commands and wakes it.
+// link drives the connection to the worker pool in one goroutine. The core's goroutine only queues commands and
+// wakes it.
 type link struct {
-	node    *Node
-	addr    string
-	mu      sync.Mutex // of all below
-	machine *pool.Link
-	pushed  bool
-	c       net.Conn
+	node   *Node
+	addr   string
+	mu     sync.Mutex // guards the fields up to c
+	state  *pool.Link // the protocol's state machine
+	queued bool       // commands were queued since the last flush
+	c      net.Conn   // nil while disconnected
 
-	refused string // why the last try to connect failed; of the goroutine of run
+	lastDialError string // why the last connection attempt failed; used by the goroutine of run only
 }
 
-func (l *link) push(o core.Output) {
+// enqueue queues a command for the worker pool; flush sends it.
+func (l *link) enqueue(o core.Output) {
 	l.mu.Lock()
-	l.machine.Enqueue(o)
-	l.pushed = true
+	l.state.Enqueue(o)
+	l.queued = true
 	l.mu.Unlock()
 }
 
-// flush wakes the goroutine of the link if commands wait.
+// flush wakes the link's goroutine if commands are queued.
 func (l *link) flush() {
 	l.mu.Lock()
-	if l.pushed && l.c != nil {
-		l.c.SetReadDeadline(past)
+	if l.queued && l.c != nil {
+		l.c.SetReadDeadline(expiredDeadline)
 	}
-	l.pushed = false
+	l.queued = false
 	l.mu.Unlock()
 }
 
-// move makes the link change to another address.
-func (l *link) move(addr string) {
+// setAddr makes the link move to another address.
+func (l *link) setAddr(addr string) {
 	l.mu.Lock()
 	l.addr = addr
 	l.mu.Unlock()
-	l.close()
+	l.interrupt()
 }
 
-func (l *link) to() string {
+func (l *link) currentAddr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr
 }
 
-// close wakes the goroutine of the link: the node ends, or the address is another.
-func (l *link) close() {
+// interrupt wakes the link's goroutine because the node ends or the address has changed.
+func (l *link) interrupt() {
 	l.mu.Lock()
 	if l.c != nil {
-		l.c.SetReadDeadline(past)
+		l.c.SetReadDeadline(expiredDeadline)
 	}
 	l.mu.Unlock()
 }
 
-// wire is a connection to the worker pool and the address that it was made to.
-type wire struct {
+// poolConn is a connection to the worker pool with the address that was dialed.
+type poolConn struct {
 	net.Conn
 	addr string
 }
 
-// run holds the link open as long as the process lives. A broken link is made again at once, then every linkAgain.
+// run keeps the link connected until the node ends. A broken link is dialed again at once, then every
+// linkRedialMs.
 func (l *link) run() {
-	var c, next *wire
-	for again := now(); !l.node.ended(); c, next = next, nil {
+	var c, next *poolConn
+	for redialAt := now(); !l.node.hasEnded(); c, next = next, nil {
 		if c == nil {
-			time.Sleep(time.Until(at(again)))
-			again = now() + linkAgain
+			time.Sleep(time.Until(timeOf(redialAt)))
+			redialAt = now() + linkRedialMs
 			if c = l.dial(); c == nil {
 				continue
 			}
 		}
 		code := ""
-		code, next = l.talk(c)
+		code, next = l.serveConn(c)
 		l.mu.Lock()
 		l.c = nil
 		l.mu.Unlock()
-		l.node.tell(core.LinkLost{})
+		l.node.submit(core.LinkLost{})
 		l.node.log("link", "pool", c.addr, "code", code)
 		c.Close()
 	}
@@ -102,72 +105,73 @@
 	}
 }
 
-// dial connects to the worker pool, which is on the same machine, or returns nil. Tries that fail for one reason in a row
-// leave one line: they come every linkAgain.
-func (l *link) dial() *wire {
-	addr := l.to()
-	d := net.Dialer{Deadline: at(now() + linkDial)}
+// dial connects to the worker pool, which runs on the same machine, or returns nil. Consecutive attempts that
+// fail for the same reason are logged once, because they come every linkRedialMs.
+func (l *link) dial() *poolConn {
+	addr := l.currentAddr()
+	d := net.Dialer{Deadline: timeOf(now() + linkDialTimeoutMs)}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
-		if l.refused != err.Error() {
-			l.refused = err.Error()
+		if l.lastDialError != err.Error() {
+			l.lastDialError = err.Error()
 			l.node.log("link", "pool", addr, "code", "dial", "error", err)
 		}
 		return nil
 	}
-	l.refused = ""
-	return &wire{c, addr}
+	l.lastDialError = ""
+	return &poolConn{c, addr}
 }
 
-// talk speaks on a connection until it ends. Where the address is another now, it connects there, takes leave here
-// and returns the new connection; as long as that fails, it stays.
-func (l *link) talk(c *wire) (code string, next *wire) {
+// serveConn runs the protocol on a connection until it ends, and returns the code of the reason. If the address
+// has changed, it connects to the new one, detaches from the old one and returns the new connection; while
+// connecting fails, it stays on the old one.
+func (l *link) serveConn(c *poolConn) (code string, next *poolConn) {
 	buf, out := make([]byte, 32<<10), []byte(nil)
 	l.mu.Lock()
 	l.c = c
-	out = append(out, l.machine.StartConnection()...)
+	out = append(out, l.state.StartConnection()...)
 	l.mu.Unlock()
-	again, leaveBy := 0.0, 0.0 // when to connect to the other address again, and how long the leave may take
+	redialAt, detachBy := 0.0, 0.0 // when to dial the new address again; when the detach times out
 	for {
-		if next == nil && l.to() != c.addr && now() >= again {
-			again = now() + linkAgain
+		if next == nil && l.currentAddr() != c.addr && now() >= redialAt {
+			redialAt = now() + linkRedialMs
 			if next = l.dial(); next != nil {
-				leaveBy = now() + linkLeave
+				detachBy = now() + linkDetachTimeoutMs
 				l.mu.Lock()
-				out = append(out, l.machine.Detach()...)
+				out = append(out, l.state.Detach()...)
 				l.mu.Unlock()
 			}
 		}
 		if len(out) > 0 {
-			c.SetWriteDeadline(at(now() + linkWrite))
+			c.SetWriteDeadline(timeOf(now() + linkWriteTimeoutMs))
 			if _, err := c.Write(out); err != nil {
 				return "write", next
 			}
 			out = out[:0]
 		}
-		c.SetReadDeadline(at(max(again, leaveBy)))
-		l.mu.Lock() // after the deadline was set: commands that come later set it anew
-		out = l.machine.AppendCommands(out)
-		left, moved := l.machine.Detached(), next == nil && l.addr != c.addr
+		c.SetReadDeadline(timeOf(max(redialAt, detachBy)))
+		l.mu.Lock() // after SetReadDeadline: commands that are queued later set an expired one
+		out = l.state.AppendCommands(out)
+		detached, addrChanged := l.state.Detached(), next == nil && l.addr != c.addr
 		l.mu.Unlock()
 		switch {
-		case next != nil && (left || now() >= leaveBy):
+		case next != nil && (detached || now() >= detachBy):
 			return "moved", next
-		case len(out) > 0 || moved && now() >= again:
+		case len(out) > 0 || addrChanged && now() >= redialAt:
 			continue
 		}
 		n, err := c.Read(buf)
 		l.mu.Lock()
-		tell, reply, bad := l.machine.Feed(buf[:n])
+		inputs, reply, feedErr := l.state.Feed(buf[:n])
 		l.mu.Unlock()
-		for _, i := range tell {
-			l.node.tell(i)
+		for _, i := range inputs {
+			l.node.submit(i)
 		}
 		out = append(out, reply...)
 		switch {
-		case l.node.ended():
+		case l.node.hasEnded():
 			return "end", next
-		case bad != nil:
+		case feedErr != nil:
 			return "bad-notice", next
 		case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 			return "eof", next
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -10,27 +10,28 @@
 	"whinrudder/internal/eventlog"
 )
 
-// logRoom is how many lines may wait: more than a node has connections at its limit of sockets on the platform.
-const logRoom = 2048
+// logQueueLines is how many lines may wait to be written: more than a node has connections at its limit of
+// sockets on the platform.
+const logQueueLines = 2048
 
-// lineSize is what most lines need, in bytes.
-const lineSize = 128
+// typicalLineBytes is enough for most lines.
+const typicalLineBytes = 128
 
-// logger writes events to a log that may be read slowly or not at all. Nothing waits for it, least of all the core:
-// lines for which there is no room are dropped, and counted.
+// logger writes events to a log that may be read slowly or not at all. Callers never wait for it, least of all
+// the core: when the queue is full, lines are dropped and counted.
 type logger struct {
 	lines   chan []byte
-	flushed chan chan struct{}
-	dropped atomic.Int64
-	json    *zerolog.Logger // nil where the log is text
+	flushed chan chan struct{} // each channel is closed once the lines queued before it are written
+	dropped atomic.Int64       // lines dropped since the last "log" event
+	json    *zerolog.Logger    // nil if the log is text
 }
 
-// newLogger returns the logger of a log, in the form that the operator's file names.
+// newLogger returns a logger that writes to w as text or as JSON.
 func newLogger(w io.Writer, json bool) *logger {
-	l := &logger{lines: make(chan []byte, logRoom), flushed: make(chan chan struct{})}
+	l := &logger{lines: make(chan []byte, logQueueLines), flushed: make(chan chan struct{})}
 	if json {
-		to := zerolog.New(l)
-		l.json = &to
+		zl := zerolog.New(l)
+		l.json = &zl
 	}
 	go func() {
 		for {
@@ -51,22 +52,23 @@
 	return l
 }
 
-// event writes a line if there is room for it: for more than all connections at once, if anybody reads the log.
+// event queues a line. The queue has room for a line from every connection at once, provided that the log is
+// read.
 func (l *logger) event(word string, pairs ...any) {
 	if l.json != nil {
 		eventlog.WriteJSON(l.json, time.Now(), word, pairs)
 		return
 	}
-	l.put(eventlog.AppendText(make([]byte, 0, lineSize), time.Now(), word, pairs))
+	l.enqueue(eventlog.AppendText(make([]byte, 0, typicalLineBytes), time.Now(), word, pairs))
 }
 
-// Write takes a line of zerolog, which keeps its buffer.
+// Write queues a line from zerolog. It copies the line because zerolog reuses its buffer.
 func (l *logger) Write(b []byte) (int, error) {
-	l.put(append(make([]byte, 0, len(b)), b...))
+	l.enqueue(append(make([]byte, 0, len(b)), b...))
 	return len(b), nil
 }
 
-func (l *logger) put(b []byte) {
+func (l *logger) enqueue(b []byte) {
 	select {
 	case l.lines <- b:
 	default:
@@ -74,17 +76,17 @@
 	}
 }
 
-// flush waits until what was written so far is out, or until an absolute time.
+// flush waits until the queued lines are written, at most until an absolute time.
 func (l *logger) flush(by float64) {
-	late := time.After(time.Until(at(by)))
+	timeout := time.After(time.Until(timeOf(by)))
 	done := make(chan struct{})
 	select {
 	case l.flushed <- done:
-	case <-late:
+	case <-timeout:
 		return
 	}
 	select {
 	case <-done:
-	case <-late:
+	case <-timeout:
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,7 @@
-// Package node drives the payout node on real sockets: it wires the fronts, the worker pool and the announce
-// service to the core, and keeps the limits of the process. It decides nothing.
+// Package node runs the payout node on real sockets. It connects the listeners of each front (HTTP/1.1, h2c,
+// uwsgi), the worker pool and the announce service to the core, handles signals, applies the limits of the
+// process, and starts the optional subsystems. All decisions about requests are made by the core; this package
+// only drives it.
 package node
 
 import (
@@ -27,75 +29,77 @@
 	"whinrudder/internal/uwsgi"
 )
 
-// now is the system's Unix clock in milliseconds.
+// now returns the current Unix time in milliseconds.
 func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-// at turns a time of that clock into one for deadlines of sockets; 0 is none.
-func at(ms float64) time.Time {
+// timeOf converts a Unix time in milliseconds to a time for socket deadlines; 0 means no deadline.
+func timeOf(ms float64) time.Time {
 	if ms <= 0 {
 		return time.Time{}
 	}
 	return time.UnixMicro(int64(ms * 1e3))
 }
 
-// past is a deadline that is over: it wakes a connection that waits for bytes.
-var past = time.UnixMilli(1)
+// expiredDeadline is a deadline in the past. Setting it wakes a goroutine that waits in Read or Accept.
+var expiredDeadline = time.UnixMilli(1)
 
-// flushFor is how long the end waits for the log, in milliseconds: less than the core leaves before the stop.
-const flushFor = 40
+// logFlushMs is how long shutdown waits for the log to be written. It is less than the time that the core
+// leaves between the end of the drain and the stop.
+const logFlushMs = 40
 
-// partsFor is how long the parts may take to end, in milliseconds.
-const partsFor = 20
+// subsystemEndMs is how long the subsystems may take to end.
+const subsystemEndMs = 20
 
-// leastConns is the part of the limit of sockets that callers have at least.
-const leastConns = 8
+// minConnsDivisor sets the smallest share of the socket limit that is left to callers: one socket in this many.
+const minConnsDivisor = 8
 
-// sockets that the process keeps for itself: its listeners, the links, the log, the runtime's own.
-const ownSockets = 32
+// reservedSockets is the number of sockets that the process reserves for itself: its listeners, the link to the
+// worker pool, the log, and those of the Go runtime.
+const reservedSockets = 32
 
 // Node is one payout node.
 type Node struct {
-	cfg  settings.Config
-	op   settings.Operator
-	site *front.Validator
-	out  *logger
-
-	in   chan core.Input
-	core *core.Core
-	link *link
-
-	figures counters.Registry
-	serving atomic.Bool // the worker pool is up, and the module serves
-
-	reports reporter
-	mu      sync.Mutex // of what follows, which a reload changes
-	stopMs  float64
-	view    classindex.View
-	granted settings.Config // the last one that held
-
-	catalog *classindex.Allocator // of the goroutine of reloads
-	succession
-	moving atomic.Bool // a successor takes new connections, and those at rest
-	leave  leave       // set before the core hears of it
-	away   atomic.Bool // operators have sent the clients away
-
-	folderAt  func(path string) (storage.Dir, error)
-	holder    *kept.Owner // nil: no results are kept
-	parts     []Subsystem // what the operator's file turns on, see parts.go
-	peerAddr  string      // of the peer port
-	listeners []net.Listener
-	sockets   map[string]net.Listener // by front, that of the peer port included; of mu
-	starts    []func()                // of the fronts, which wait until the node serves
-	addrs     map[string]string       // of the fronts
-	conns     connTable
-	idle      atomic.Int64 // milliseconds that a connection may be idle
-	taking    atomic.Bool
-	inHand    atomic.Int64  // requests in hand
-	quit      chan struct{} // closed by Kill
-	over      chan struct{} // closed once the node has ended
+	cfg       settings.Config
+	op        settings.Operator // the operator's file
+	validator *front.Validator
+	logger    *logger
+
+	inputs chan core.Input
+	core   *core.Core
+	link   *link
+
+	counters counters.Registry
+	serving  atomic.Bool // the worker pool is up and the node answers requests
+
+	reporter      reporter
+	mu            sync.Mutex // guards stopMs, view, appliedConfig, listenersByName and sharing
+	stopMs        float64    // time from the stop notice to the stop
+	view          classindex.View
+	appliedConfig settings.Config // the last configuration that was applied
+
+	allocator *classindex.Allocator // used by the reload goroutine only
+	upgradeState
+	successorActive atomic.Bool  // a successor process accepts new connections and takes over idle ones
+	shutdown        shutdownPlan // set before the core receives the stop notice
+	operatorDrained atomic.Bool  // the operator has drained the node by the admin port
+
+	openDir         func(path string) (storage.Dir, error) // opens the directory of kept results
+	keptOwner       *kept.Owner                            // nil if no results are kept
+	subsystems      []Subsystem                            // enabled by the operator's file, see subsystems.go
+	peerAddr        string                                 // address of the peer port
+	listeners       []net.Listener                         // of the fronts
+	listenersByName map[string]net.Listener                // by front name, including "peer"; guarded by mu
+	acceptStarts    []func()                               // start the accept loops of the fronts
+	addrs           map[string]string                      // listen addresses by front name, including "admin"
+	conns           connTable
+	idleTimeoutMs   atomic.Int64  // how long a connection may be idle
+	accepting       atomic.Bool   // false once the drain has started
+	pendingCount    atomic.Int64  // requests that have not been answered
+	killed          chan struct{} // closed by Kill
+	done            chan struct{} // closed once the node has ended
 }
 
-// New returns the node of a configuration that has passed its check.
+// New returns a node for a configuration that has passed its checks.
 func New(cfg settings.Config, op settings.Operator, log io.Writer) (*Node, error) {
 	c, err := core.New(cfg.Settings.Policy, cfg.Seed)
 	if err != nil {
@@ -105,73 +109,78 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, op: op, site: front.NewValidator(cfg.Settings.ClassNames, cfg.Settings.Policy), out: newLogger(log, op.JSONLog), core: c,
-		addrs: map[string]string{}, sockets: map[string]net.Listener{}, in: make(chan core.Input, 4096), quit: make(chan struct{}), over: make(chan struct{})}
-	n.folderAt, n.catalog = storage.OpenDir, classindex.New(cfg.Settings)
-	n.view = n.catalog.View(cfg.Settings.Policy)
-	n.site.SetConfig(n.terms(n.view, kept))
-	c.SetCounters(n.figures.Classes(n.view.Names))
-	n.granted = cfg
-	n.conns.most = n.mostConns(cfg, false)
-	n.idle.Store(int64(cfg.Settings.Policy.KeepAlive))
-	n.taking.Store(true)
+	n := &Node{cfg: cfg, op: op, validator: front.NewValidator(cfg.Settings.ClassNames, cfg.Settings.Policy),
+		logger: newLogger(log, op.JSONLog), core: c, addrs: map[string]string{},
+		listenersByName: map[string]net.Listener{}, inputs: make(chan core.Input, 4096),
+		killed: make(chan struct{}), done: make(chan struct{})}
+	n.openDir, n.allocator = storage.OpenDir, classindex.New(cfg.Settings)
+	n.view = n.allocator.View(cfg.Settings.Policy)
+	n.validator.SetConfig(n.validatorConfig(n.view, kept))
+	c.SetCounters(n.counters.Classes(n.view.Names))
+	n.appliedConfig = cfg
+	n.conns.maxConns = n.maxConns(cfg, false)
+	n.idleTimeoutMs.Store(int64(cfg.Settings.Policy.KeepAlive))
+	n.accepting.Store(true)
 	n.stopMs = cfg.StopMs
-	n.reports = reporter{addr: cfg.Announce, wake: make(chan struct{}, 1)}
-	n.link = &link{node: n, addr: cfg.Pool, machine: pool.New(cfg.Settings.ClassNames, cfg.Settings.GaugeNames)}
+	n.reporter = reporter{addr: cfg.Announce, wake: make(chan struct{}, 1)}
+	n.link = &link{node: n, addr: cfg.Pool, state: pool.New(cfg.Settings.ClassNames, cfg.Settings.GaugeNames)}
 	return n, nil
 }
 
-// mostConns is how many connections of callers there may be.
-func (n *Node) mostConns(cfg settings.Config, beside bool) int {
-	most := cfg.Sockets
-	if beside {
-		most /= 2
+// maxConns returns how many connections of callers may be open. While another process of the node is running
+// (sharing), the two share the limit of sockets.
+func (n *Node) maxConns(cfg settings.Config, sharing bool) int {
+	limit := cfg.Sockets
+	if sharing {
+		limit /= 2
 	}
 	if n.cfg.Admin != "" {
-		most -= admin.MaxConns
+		limit -= admin.MaxConns
 	}
-	return max(most-ownSockets, cfg.Sockets/leastConns)
+	return max(limit-reservedSockets, cfg.Sockets/minConnsDivisor)
 }
 
-func (n *Node) log(word string, pairs ...any) { n.out.event(word, pairs...) }
+func (n *Node) log(word string, pairs ...any) { n.logger.event(word, pairs...) }
 
-// limits keeps the process within what the configuration grants it. A sync of a disk holds a thread, and with it, for as
-// long as the runtime does not notice, its place among those that run: a node that keeps results has one place more.
-func limits(cfg settings.Config, op settings.Operator, beside bool) {
-	places := max(1, int(cfg.Cores))
+// setProcessLimits applies the configured limits of cores and memory to the Go runtime. A disk sync blocks a
+// thread and, until the runtime notices, its processor as well, so a node that keeps results gets one processor
+// more.
+func setProcessLimits(cfg settings.Config, op settings.Operator, sharing bool) {
+	processors := max(1, int(cfg.Cores))
 	if op.Kept.Enabled() {
-		places++
+		processors++
 	}
-	runtime.GOMAXPROCS(places)
+	runtime.GOMAXPROCS(processors)
 	memory := int64(cfg.MemoryMB) << 20
-	if beside {
+	if sharing {
 		memory /= 2
 	}
 	debug.SetMemoryLimit(memory * 3 / 4)
 }
 
-// stopAfter is how long the node has from the notice to leave to the stop.
-func (n *Node) stopAfter() float64 {
+// stopTimeoutMs returns the time from the stop notice to the stop.
+func (n *Node) stopTimeoutMs() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stopMs
 }
 
-// Listen opens the listeners of all fronts and takes connections on them. Requests wait for Run.
+// Listen opens the listeners of all fronts. Connections are accepted at once, or, if the sockets come from a
+// predecessor, when the worker pool is ready. Requests wait for Run.
 func (n *Node) Listen() error {
-	if err := n.succeed(); err != nil {
+	if err := n.takeOver(); err != nil {
 		return err
 	}
-	if err := n.keep(); err != nil {
+	if err := n.openKeptResults(); err != nil {
 		return err
 	}
 	fronts := []struct {
 		name, addr string
 		protocol   func(now float64) front.Protocol
 	}{
-		{"http", n.cfg.Listen, single(func() front.Parser { return httpfront.New(n.site) })},
-		{"h2c", n.op.H2C, func(now float64) front.Protocol { return h2.New(n.site, now) }},
-		{"uwsgi", n.op.UWSGI, single(func() front.Parser { return uwsgi.New(n.site) })},
+		{"http", n.cfg.Listen, serialProtocol(func() front.Parser { return httpfront.New(n.validator) })},
+		{"h2c", n.op.H2C, func(now float64) front.Protocol { return h2.New(n.validator, now) }},
+		{"uwsgi", n.op.UWSGI, serialProtocol(func() front.Parser { return uwsgi.New(n.validator) })},
 	}
 	for _, f := range fronts {
 		if f.addr == "" {
@@ -184,82 +193,83 @@
 		n.listeners = append(n.listeners, l)
 		n.addrs[f.name] = l.Addr().String()
 		n.log("serve", "name", n.cfg.Name, "front", f.name, "listen", l.Addr(), "pool", n.cfg.Pool)
-		n.starts = append(n.starts, func() { go n.accept(l, f.name, f.protocol) })
+		n.acceptStarts = append(n.acceptStarts, func() { go n.accept(l, f.name, f.protocol) })
 	}
-	if n.taken == nil {
-		n.open()
+	if n.handoff == nil {
+		n.startAccepting()
 	}
-	return n.start()
+	return n.startSubsystems()
 }
 
-// open begins to take connections.
-func (n *Node) open() {
-	for _, start := range n.starts {
+// startAccepting starts the accept loops of the fronts, unless they are running.
+func (n *Node) startAccepting() {
+	for _, start := range n.acceptStarts {
 		start()
 	}
-	n.starts = nil
+	n.acceptStarts = nil
 }
 
-// PeerAddr returns the address of the peer port, or an empty one.
+// PeerAddr returns the address of the peer port, or "" if it is off.
 func (n *Node) PeerAddr() string { return n.peerAddr }
 
-// single makes the protocol of connections with one message at a time.
-func single(parser func() front.Parser) func(float64) front.Protocol {
+// serialProtocol returns a constructor of protocols that carry one message at a time.
+func serialProtocol(parser func() front.Parser) func(float64) front.Protocol {
 	return func(now float64) front.Protocol { return front.NewSerialConn(parser(), now) }
 }
 
-// Addr returns the address of a front that listens: http, uwsgi or h2c.
+// Addr returns the listen address of a front (http, uwsgi, h2c) or of the admin port (admin).
 func (n *Node) Addr(front string) string { return n.addrs[front] }
 
-// Run serves until a signal or the end of ctx makes the node leave and all is answered. At each signal of reload it
-// takes over what load then gives, see reload.go.
+// Run serves until a stop signal or the end of ctx starts the drain and the drain has finished. At each reload
+// signal it applies the configuration that load returns, see reload.go.
 func (n *Node) Run(ctx context.Context, stop, reload <-chan os.Signal, load LoadFunc) {
-	n.grant()
+	n.applyLimits()
 	go n.link.run()
-	go n.announce()
-	go n.reloads(reload, load)
+	go n.announceLoop()
+	go n.reloadLoop(reload, load)
 	go func() {
 		select {
 		case <-stop:
 		case <-ctx.Done():
 		}
-		n.leave = n.leaveNow()
-		n.in <- core.StopNotice{StopAt: now() + n.leave.ms, HasSuccessor: n.leave.succeeded}
+		n.shutdown = n.planShutdown()
+		n.inputs <- core.StopNotice{StopAt: now() + n.shutdown.stopMs, HasSuccessor: n.shutdown.hasSuccessor}
 	}()
 	n.loop()
-	close(n.over)
-	n.deafen()
+	close(n.done)
+	n.closeListeners()
 	n.conns.closeAll()
-	n.link.close()
-	n.parted(func(p Subsystem) { p.EndShutdown(now() + partsFor) })
+	n.link.interrupt()
+	n.eachSubsystem(func(p Subsystem) { p.EndShutdown(now() + subsystemEndMs) })
 	n.log("end", "name", n.cfg.Name)
-	n.out.flush(now() + flushFor)
+	n.logger.flush(now() + logFlushMs)
 }
 
-// tell hands something to the core, unless the node has ended.
-func (n *Node) tell(i core.Input) {
+// submit passes an input to the core, unless the node has ended.
+func (n *Node) submit(i core.Input) {
 	select {
-	case n.in <- i:
-	case <-n.over:
+	case n.inputs <- i:
+	case <-n.done:
 	}
 }
 
-// PendingRequests tells how many requests are owed an answer.
-func (n *Node) PendingRequests() int { return int(n.inHand.Load()) }
+// PendingRequests returns how many requests have not been answered.
+func (n *Node) PendingRequests() int { return int(n.pendingCount.Load()) }
 
-// Kill ends the node at once, as a kill of its process would.
-func (n *Node) Kill() { close(n.quit) }
+// Kill ends the node at once, as killing its process would.
+func (n *Node) Kill() { close(n.killed) }
 
-func (n *Node) ended() bool {
+func (n *Node) hasEnded() bool {
 	select {
-	case <-n.over:
+	case <-n.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// loop is the goroutine of the core: one step for all that is ready.
+// loop runs the core in the calling goroutine. Each step handles all inputs that are ready, up to a fixed
+// number.
 func (n *Node) loop() {
 	var batch []core.Input
 	timer := time.NewTimer(time.Hour)
@@ -272,67 +282,67 @@
 		if wait > 0 {
 			timer.Reset(wait)
 			select {
-			case i := <-n.in:
+			case i := <-n.inputs:
 				batch = append(batch, i)
 			case <-timer.C:
-			case <-n.quit:
+			case <-n.killed:
 				return
 			}
 		}
 	ready:
 		for len(batch) < 4096 {
 			select {
-			case i := <-n.in:
+			case i := <-n.inputs:
 				batch = append(batch, i)
 			default:
 				break ready
 			}
 		}
 		for _, o := range n.core.Step(now(), batch) {
-			if _, over := o.(core.DrainFinished); over {
+			if _, finished := o.(core.DrainFinished); finished {
 				return
 			}
-			n.carry(o)
+			n.perform(o)
 		}
-		n.inHand.Store(int64(n.core.Open()))
+		n.pendingCount.Store(int64(n.core.Open()))
 		n.link.flush()
 	}
 }
 
-// carry carries out what the core wants. Nothing here waits for a socket.
-func (n *Node) carry(o core.Output) {
+// perform carries out one output of the core. It never waits for a socket.
+func (n *Node) perform(o core.Output) {
 	switch o := o.(type) {
 	case core.Reply:
 		o.To.Deliver(o.Answer)
 	case core.Spawn, core.Suspend, core.Poll, core.Verify:
-		n.link.push(o)
+		n.link.enqueue(o)
 	case core.SetIdleTimeout:
-		n.idle.Store(int64(o.After))
+		n.idleTimeoutMs.Store(int64(o.After))
 		n.conns.wakeAll()
 	case core.Ready:
 		n.log("ready", "cold", o.Cold)
-		n.open()
+		n.startAccepting()
 		n.serving.Store(true)
-		n.parted(func(p Subsystem) { p.Ready(o.Cold) })
+		n.eachSubsystem(func(p Subsystem) { p.Ready(o.Cold) })
 	case core.DrainStarted:
-		n.taking.Store(false)
-		n.reports.now()
-		n.log("drain", "stop_ms", n.leave.ms, "succeeded", n.leave.succeeded)
-		by := now() + n.leave.ms/2
-		n.parted(func(p Subsystem) { p.BeginShutdown(by) })
+		n.accepting.Store(false)
+		n.reporter.sendNow()
+		n.log("drain", "stop_ms", n.shutdown.stopMs, "succeeded", n.shutdown.hasSuccessor)
+		by := now() + n.shutdown.stopMs/2
+		n.eachSubsystem(func(p Subsystem) { p.BeginShutdown(by) })
 	case core.DrainConns:
-		n.conns.leaveAll()
+		n.conns.drainAll()
 	case core.StopAccepting:
-		n.deafen()
+		n.closeListeners()
 	case core.LogEvent:
 		n.log(o.Event, o.Pairs...)
 	case core.Append, core.Fetch, core.DropSegment, core.OpsReleased:
-		n.holder.HandleOutput(o)
+		n.keptOwner.HandleOutput(o)
 	}
 }
 
-// deafen closes the listeners.
-func (n *Node) deafen() {
+// closeListeners closes the listeners of the fronts.
+func (n *Node) closeListeners() {
 	for _, l := range n.listeners {
 		l.Close()
 	}
--- a/internal/node/refused_test.go
+++ b/internal/node/refused_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// closedPort returns an address of this machine where nobody listens.
+// closedPort returns a local address on which nothing listens.
 func closedPort(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -19,9 +19,9 @@
 	return l.Addr().String()
 }
 
-// said returns the codes that were logged so far.
-func said(n *Node, log lines) (codes []string) {
-	n.out.flush(now() + 1000)
+// loggedCodes returns the codes that were logged so far.
+func loggedCodes(n *Node, log logLines) (codes []string) {
+	n.logger.flush(now() + 1000)
 	for len(log) > 0 {
 		code, _, _ := strings.Cut(<-log, " ")
 		codes = append(codes, code)
@@ -29,9 +29,9 @@
 	return codes
 }
 
-// A connection to the worker pool that the system refuses leaves a line, once for each time that it begins to be.
+// Repeated failures to connect to the worker pool are logged once, and once more after a connection in between.
 func TestRefusedLinkIsLoggedOnce(t *testing.T) {
-	log := make(lines, 16)
+	log := make(logLines, 16)
 	n := testNode(log)
 	l := &link{node: n, addr: closedPort(t)}
 	for range 3 {
@@ -46,32 +46,32 @@
 	c := l.dial()
 	to.Close()
 	if c == nil {
-		t.Fatal("did not connect")
+		t.Fatal("could not connect to an open port")
 	}
 	c.Close()
 	l.dial()
-	if diff := cmp.Diff([]string{"dial", "dial"}, said(n, log)); diff != "" {
+	if diff := cmp.Diff([]string{"dial", "dial"}, loggedCodes(n, log)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Reports that can't be sent leave a line, and the node goes on trying.
+// Reports that cannot be sent are logged once, and the node keeps trying.
 func TestRefusedReportsAreLoggedOnce(t *testing.T) {
-	log := make(lines, 16)
+	log := make(logLines, 16)
 	n := testNode(log)
-	n.reports = reporter{addr: "127.0.0.1:99999", wake: make(chan struct{}, 1)}
+	n.reporter = reporter{addr: "127.0.0.1:99999", wake: make(chan struct{}, 1)}
 	done := make(chan struct{})
-	go func() { n.announce(); close(done) }()
-	for range 4 { // each is taken by a round of its own
+	go func() { n.announceLoop(); close(done) }()
+	for range 4 { // the loop must run once for each
 		select {
-		case n.reports.wake <- struct{}{}:
+		case n.reporter.wake <- struct{}{}:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the reports have stopped")
+			t.Fatal("the report loop has stopped")
 		}
 	}
-	close(n.over)
+	close(n.done)
 	<-done
-	if diff := cmp.Diff([]string{"dial"}, said(n, log)); diff != "" {
+	if diff := cmp.Diff([]string{"dial"}, loggedCodes(n, log)); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,15 +12,15 @@
 	"whinrudder/internal/settings"
 )
 
-// LoadFunc reads the configuration and the operator's file anew and checks them whole.
+// LoadFunc reads the configuration and the operator's file again and validates them.
 type LoadFunc func() (settings.Config, settings.Operator, error)
 
-// reloads takes over a new configuration at each signal. Signals that come close together may be taken as one: the
-// file is read after the last of them. A faulty file is logged, and the old configuration stays.
-func (n *Node) reloads(signals <-chan os.Signal, load LoadFunc) {
+// reloadLoop applies a new configuration at each signal. Signals in quick succession may be handled as one: the
+// file is read after the last of them. A faulty file is logged, and the current configuration stays in effect.
+func (n *Node) reloadLoop(signals <-chan os.Signal, load LoadFunc) {
 	for {
 		select {
-		case <-n.over:
+		case <-n.done:
 			return
 		case <-signals:
 		}
@@ -29,14 +29,14 @@
 			err = n.reload(cfg, op)
 		}
 		if err != nil {
-			n.figures.ConfInvalid.Add(1)
+			n.counters.ConfInvalid.Add(1)
 			n.log("reload", "code", "faulty", "error", err)
 		}
 	}
 }
 
-// reload moves the link and the reports to new addresses and applies the settings, the limits and stop_ms. The rest is
-// fixed for the life of the process. An error means that nothing was changed.
+// reload moves the link and the reports to new addresses and applies the settings, the limits and stop_ms.
+// Everything else is fixed for the life of the process. If it returns an error, nothing was changed.
 func (n *Node) reload(cfg settings.Config, op settings.Operator) error {
 	if err := cfg.CheckMissingKeys(n.cfg); err != nil {
 		return err
@@ -44,11 +44,11 @@
 	if _, err := n.op.KeptClassNames(cfg); err != nil {
 		return err
 	}
-	view, err := n.catalog.Update(cfg.Settings, now())
+	view, err := n.allocator.Update(cfg.Settings, now())
 	if err != nil {
 		return err
 	}
-	var kept []string
+	var unchanged []string // settings whose change is ignored
 	for _, f := range []struct {
 		name     string
 		old, new any
@@ -57,48 +57,49 @@
 		{"admin", n.cfg.Admin, cfg.Admin}, {"operator", n.op, op},
 	} {
 		if !reflect.DeepEqual(f.old, f.new) {
-			kept = append(kept, f.name)
+			unchanged = append(unchanged, f.name)
 		}
 	}
 	n.mu.Lock()
-	n.stopMs, n.granted = cfg.StopMs, cfg
+	n.stopMs, n.appliedConfig = cfg.StopMs, cfg
 	n.mu.Unlock()
-	n.retune(view, cfg.Settings.GaugeNames)
-	n.grant()
-	n.link.move(cfg.Pool)
-	n.reports.move(cfg.Announce)
-	n.parted(Subsystem.Reload)
-	n.figures.ConfLoaded.Add(1)
-	n.log("reload", "code", "ok", "pool", cfg.Pool, "announce", cfg.Announce, "classes", len(cfg.Settings.ClassNames), "kept",
-		strings.Join(kept, ","))
+	n.applySettings(view, cfg.Settings.GaugeNames)
+	n.applyLimits()
+	n.link.setAddr(cfg.Pool)
+	n.reporter.setAddr(cfg.Announce)
+	n.eachSubsystem(Subsystem.Reload)
+	n.counters.ConfLoaded.Add(1)
+	n.log("reload", "code", "ok", "pool", cfg.Pool, "announce", cfg.Announce, "classes", len(cfg.Settings.ClassNames),
+		"kept", strings.Join(unchanged, ","))
 	return nil
 }
 
-// retune takes over new settings: first the link, which must know a class before a run of it is handed over, then the
-// core, which must know it before a request of it comes, and at last the fronts.
-func (n *Node) retune(v classindex.View, gauges []string) {
+// applySettings applies new settings: first to the link, which must know a class before a run of it is queued,
+// then to the core, which must know it before a request of it arrives, and last to the fronts.
+func (n *Node) applySettings(v classindex.View, gauges []string) {
 	n.mu.Lock()
 	n.view = v
 	n.mu.Unlock()
 	n.link.mu.Lock()
-	n.link.machine.SetNames(v.Names, gauges)
+	n.link.state.SetNames(v.Names, gauges)
 	n.link.mu.Unlock()
 	names := map[int]string{}
 	for _, k := range n.op.Kept.Classes {
 		names[v.Active[k]] = k
 	}
-	t := n.terms(v, names)
-	n.tell(core.ChangeSettings{Settings: v.Settings, NewIndices: v.NewIndices, Counters: n.figures.Classes(v.Names), KeptClasses: t.KeptClasses})
-	n.site.SetConfig(t)
+	t := n.validatorConfig(v, names)
+	n.submit(core.ChangeSettings{Settings: v.Settings, NewIndices: v.NewIndices, Counters: n.counters.Classes(v.Names),
+		KeptClasses: t.KeptClasses})
+	n.validator.SetConfig(t)
 }
 
-// terms are what the fronts must know of a view, with the classes whose results are kept.
-func (n *Node) terms(v classindex.View, kept map[int]string) front.ValidatorConfig {
+// validatorConfig returns what the fronts have to know about a view, with the classes whose results are kept.
+func (n *Node) validatorConfig(v classindex.View, kept map[int]string) front.ValidatorConfig {
 	return front.ValidatorConfig{ClassIndex: v.Active, Policy: v.Settings, KeptClasses: kept}
 }
 
-// present returns the present settings and the names of the classes, by their places.
-func (n *Node) present() ([]string, whinrudder.Settings) {
+// currentSettings returns the class names in the order of their indices, and the current settings.
+func (n *Node) currentSettings() ([]string, whinrudder.Settings) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	names := make([]string, len(n.view.Names))
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -8,65 +8,65 @@
 	"whinrudder/internal/announce"
 )
 
-// reporter holds where the reports go. A quick word that something has changed sends one at once.
+// reporter holds the address of the announce service. A value in wake makes announceLoop send a report at once.
 type reporter struct {
 	mu   sync.Mutex
 	addr string
 	wake chan struct{}
 }
 
-func (r *reporter) to() string {
+func (r *reporter) currentAddr() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addr
 }
 
-// move makes the reports go to another address, the first one at once.
-func (r *reporter) move(addr string) {
+// setAddr changes the address of the announce service and triggers a report.
+func (r *reporter) setAddr(addr string) {
 	r.mu.Lock()
 	r.addr = addr
 	r.mu.Unlock()
-	r.now()
+	r.sendNow()
 }
 
-// now sends a report at once. It does not wait.
-func (r *reporter) now() {
+// sendNow triggers a report. It does not block.
+func (r *reporter) sendNow() {
 	select {
 	case r.wake <- struct{}{}:
-	default: // one is on its way, and will tell what holds then
+	default: // a report is already triggered and will carry the state of that moment
 	}
 }
 
-// announce reports to the announce service until the node ends.
-func (n *Node) announce() {
+// announceLoop reports to the announce service until the node ends.
+func (n *Node) announceLoop() {
 	var c net.Conn
-	addr, refused := "", ""
+	addr, lastDialError := "", ""
 	for {
-		if to := n.reports.to(); c == nil || to != addr {
+		if current := n.reporter.currentAddr(); c == nil || current != addr {
 			if c != nil {
 				c.Close()
 			}
-			addr = to
-			why, err := "", error(nil)
+			addr = current
+			dialError, err := "", error(nil)
 			if c, err = net.Dial("udp", addr); err != nil {
-				why = err.Error()
+				dialError = err.Error()
 			}
-			if why != "" && why != refused { // the next round tries again, and leaves no line for the same reason
+			if dialError != "" && dialError != lastDialError { // each round retries; the same error is logged once
 				n.log("announce", "to", addr, "code", "dial", "error", err)
 			}
-			refused = why
+			lastDialError = dialError
 		}
 		next := now() + announce.IntervalMs
-		if c != nil && !n.moving.Load() { // a successor reports under the same name
-			c.SetWriteDeadline(at(next))
-			// A report that is refused while the service is down is of no account: the next one follows.
-			c.Write(announce.Report(n.cfg.Name, n.taking.Load()))
+		if c != nil && !n.successorActive.Load() { // a successor reports under the same name
+			c.SetWriteDeadline(timeOf(next))
+			// A write error while the service is down is ignored: the next report follows.
+			c.Write(announce.Report(n.cfg.Name, n.accepting.Load()))
 		}
 		select {
-		case <-n.over:
+		case <-n.done:
 			return
-		case <-n.reports.wake:
-		case <-time.After(time.Until(at(next))):
+		case <-n.reporter.wake:
+		case <-time.After(time.Until(timeOf(next))):
 		}
 	}
 }
--- /dev/null
+++ b/internal/node/subsystems.go
@@ -0,0 +1,224 @@
+package node
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"whinrudder/internal/admin"
+	"whinrudder/internal/core"
+	"whinrudder/internal/kept"
+	"whinrudder/internal/membership"
+	"whinrudder/internal/ops"
+	"whinrudder/internal/storage"
+	"whinrudder/internal/warmup"
+	"whinrudder/internal/zk"
+)
+
+// Subsystem is an optional part of the node. It is started once the fronts listen and is notified of changes in
+// the node's state. Its methods must not wait for a socket, except EndShutdown, which has until an absolute
+// time.
+type Subsystem interface {
+	Ready(cold bool)          // the worker pool is up
+	Reload()                  // a reloaded configuration was applied
+	SuccessorChanged(on bool) // a successor process takes over (true) or was lost (false)
+	BeginShutdown(by float64) // the drain starts; what others were told about the node is withdrawn by then
+	EndShutdown(by float64)   // all requests are answered
+}
+
+// startSubsystems starts the subsystems that the configuration and the operator's file enable.
+func (n *Node) startSubsystems() error {
+	if n.upgrade != nil {
+		n.subsystems = append(n.subsystems, n.upgrade)
+	}
+	if n.cfg.Admin != "" {
+		d, err := admin.Listen(n.cfg.Admin, adminNode{n}, n.log)
+		if err != nil {
+			return err
+		}
+		n.addrs["admin"] = d.Addr()
+		n.subsystems = append(n.subsystems, adminSubsystem{d})
+	}
+	peerAddr := ""
+	if n.op.Peer.Enabled() {
+		h := warmup.Host{Name: n.cfg.Name, CurrentSettings: n.currentSettings, Seed: n.cfg.Seed,
+			Submit: n.submit, Log: n.log, PendingRequests: n.PendingRequests}
+		if len(n.op.Ensemble) > 0 {
+			h.DiscoverSources = n.findDonors
+		}
+		h.Listen = func(addr string) (net.Listener, error) { return n.listen("peer", addr) }
+		w, err := warmup.Start(h, n.op.Peer)
+		if err != nil {
+			return err
+		}
+		n.peerAddr = w.Addr()
+		peerAddr = n.op.Peer.Listen
+		n.subsystems = append(n.subsystems, warmUpSubsystem{w})
+	}
+	if len(n.op.Ensemble) > 0 {
+		n.subsystems = append(n.subsystems, &znodeSubsystem{node: n, self: membership.Entry{Name: n.cfg.Name,
+			Listen: n.cfg.Listen, UWSGI: n.op.UWSGI, H2C: n.op.H2C, Peer: peerAddr,
+			Start: membership.NewStartID(now(), rand.Uint64())}})
+	}
+	return nil
+}
+
+// SetFolderOpener replaces the function that opens the directory of kept results, by default one on disk. It
+// must be called before Listen.
+func (n *Node) SetFolderOpener(open func(path string) (storage.Dir, error)) { n.openDir = open }
+
+// openKeptResults recovers the operations whose results are kept, before any request is read. If a predecessor
+// process is running, the recovery happens once that has released them.
+func (n *Node) openKeptResults() error {
+	if !n.op.Kept.Enabled() {
+		return nil
+	}
+	dir, err := n.openDir(n.op.Kept.Dir)
+	if err != nil {
+		return err
+	}
+	host := kept.Host{Name: n.cfg.Name, Send: n.submit, Log: n.log}
+	h := kept.NewOwner(host, n.op.Kept.Dir, func(now float64) (*kept.Store, *ops.Table, error) {
+		return kept.Open(host, dir, n.op.Kept, now)
+	})
+	t, err := h.Start(n.handoff != nil)
+	if err != nil {
+		return fmt.Errorf("kept: %w", err)
+	}
+	n.core.KeepResults(t, n.validator.Config().KeptClasses)
+	n.keptOwner, n.subsystems = h, append(n.subsystems, h)
+	return nil
+}
+
+// eachSubsystem calls do for every subsystem.
+func (n *Node) eachSubsystem(do func(Subsystem)) {
+	for _, p := range n.subsystems {
+		do(p)
+	}
+}
+
+// findDonors returns the peer addresses of the other nodes, which it reads from their znodes.
+func (n *Node) findDonors(by float64) (addrs []string, err error) {
+	found, err := zk.ReadChildren(n.op.Ensemble, n.op.SessionMs, n.op.ZNodePath, by)
+	for _, data := range found {
+		if e, ok := membership.ParseEntry(data); ok && e.Name != n.cfg.Name && e.Peer != "" {
+			addrs = append(addrs, e.Peer)
+		}
+	}
+	return addrs, err
+}
+
+// warmUpSubsystem exchanges learned state with other nodes.
+type warmUpSubsystem struct{ *warmup.WarmUp }
+
+func (l warmUpSubsystem) BeginShutdown(float64) { l.WarmUp.BeginShutdown() }
+func (warmUpSubsystem) SuccessorChanged(bool)   {}
+
+// znodeSubsystem registers the node in ZooKeeper.
+type znodeSubsystem struct {
+	node  *Node
+	self  membership.Entry
+	mu    sync.Mutex       // guards znode
+	znode *zk.Registration // nil until the node is ready
+}
+
+// registration returns the registration, or nil.
+func (m *znodeSubsystem) registration() *zk.Registration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.znode
+}
+
+func (m *znodeSubsystem) Ready(bool) {
+	if !m.node.accepting.Load() {
+		return
+	}
+	auth, err := zk.ReadAuth(m.node.op.AuthFile)
+	if err != nil {
+		m.node.log("zk", "path", m.node.op.ZNodePath, "code", "off", "error", err)
+		return
+	}
+	r := zk.Register(m.node.op.Ensemble, m.node.op.SessionMs, m.node.op.ZNodePath, m.self, auth, m.node.log)
+	r.SetDraining(m.node.operatorDrained.Load())
+	m.mu.Lock()
+	m.znode = r
+	m.mu.Unlock()
+}
+
+func (m *znodeSubsystem) Reload() {}
+
+func (m *znodeSubsystem) SuccessorChanged(on bool) {
+	if r := m.registration(); r != nil {
+		r.SetYielded(on)
+	}
+}
+
+func (m *znodeSubsystem) BeginShutdown(by float64) {
+	if r := m.registration(); r != nil {
+		r.Remove(by)
+	}
+}
+
+func (m *znodeSubsystem) SetOperatorDrain(on bool) {
+	if r := m.registration(); r != nil {
+		r.SetDraining(on)
+	}
+}
+
+func (m *znodeSubsystem) EndShutdown(float64) {}
+
+// adminSubsystem is the admin port.
+type adminSubsystem struct{ *admin.Server }
+
+func (adminSubsystem) Ready(bool)               {}
+func (adminSubsystem) Reload()                  {}
+func (adminSubsystem) SuccessorChanged(bool)    {}
+func (adminSubsystem) BeginShutdown(float64)    {}
+func (o adminSubsystem) EndShutdown(by float64) { o.Close(by) }
+
+// adminNode is the node as the admin port sees it.
+type adminNode struct{ *Node }
+
+// Ready reports whether the process can serve. If it takes over from a predecessor, the handover must have gone
+// far enough that the predecessor may be told to stop.
+func (o adminNode) Ready() bool {
+	return o.serving.Load() && o.accepting.Load() && (o.upgrade == nil || o.upgrade.TakeoverAcknowledged())
+}
+
+func (o adminNode) AppendMetrics(b []byte) []byte {
+	return o.counters.AppendText(b, o.PendingRequests())
+}
+
+func (o adminNode) SetDraining(on bool, by float64) bool {
+	done := make(chan struct{})
+	timeout := time.NewTimer(time.Until(timeOf(by)))
+	defer timeout.Stop()
+	select {
+	case o.inputs <- core.OperatorDrain{On: on, Done: func() { o.setOperatorDrained(on); close(done) }}:
+	case <-o.done:
+		return false
+	case <-timeout.C:
+		return false
+	}
+	select {
+	case <-done:
+		return true
+	case <-o.done:
+		return false
+	case <-timeout.C:
+		return false
+	}
+}
+
+// setOperatorDrained notes that the operator has drained the node or has undone that. It is called by the core
+// and does not block.
+func (n *Node) setOperatorDrained(on bool) {
+	n.operatorDrained.Store(on)
+	n.eachSubsystem(func(p Subsystem) {
+		if d, ok := p.(interface{ SetOperatorDrain(on bool) }); ok {
+			d.SetOperatorDrain(on)
+		}
+	})
+}
--- /dev/null
+++ b/internal/node/upgrade.go
@@ -0,0 +1,192 @@
+package node
+
+import (
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"whinrudder/internal/core"
+	"whinrudder/internal/front"
+	"whinrudder/internal/handover"
+	"whinrudder/internal/httpfront"
+	"whinrudder/internal/knowledge"
+	"whinrudder/internal/upgrade"
+)
+
+// holdPollMs is how often a paused accept loop checks whether it may continue.
+const holdPollMs = 20
+
+// upgradeState is what a node knows about its predecessor and successor processes.
+type upgradeState struct {
+	upgrade *upgrade.Upgrade // nil: upgrades are off
+	handoff *upgrade.Handoff // what the predecessor handed over; nil: there was none
+	sharing bool             // another process of the node uses part of the descriptors and memory; guarded by Node.mu
+}
+
+// takeOver looks for a running process of this node and takes over its listening sockets. They are not used
+// until this process can serve.
+func (n *Node) takeOver() (err error) {
+	if n.op.UpgradeDir == "" {
+		return nil
+	}
+	n.upgrade = upgrade.New(upgrade.Host{Name: n.cfg.Name, Dir: n.op.UpgradeDir, ListenAddrs: n.listenAddrs,
+		Submit: n.submit, Log: n.log, CurrentSettings: n.currentSettings, Listeners: n.tcpListeners,
+		OperatorDrained: n.operatorDrained.Load, SuccessorChanged: n.successorChanged,
+		PredecessorEnded: n.predecessorEnded, AdoptConn: n.adoptConn})
+	if n.handoff, err = n.upgrade.TakeOver(); err != nil || n.handoff == nil {
+		return err
+	}
+	n.setSharing(true)
+	if n.handoff.OperatorDrained {
+		n.inputs <- core.OperatorDrain{On: true, Done: func() { n.operatorDrained.Store(true) }}
+	}
+	names, s := n.currentSettings()
+	prior, remarks := knowledge.Merge(knowledge.DefaultTrustParams,
+		knowledge.Recipient{ClassNames: names, Settings: s}, []knowledge.Report{n.handoff.Report})
+	for _, r := range remarks {
+		n.log("prior", r.Pairs()...)
+	}
+	if !prior.Empty() {
+		n.inputs <- core.AdoptPrior{Prior: prior}
+	}
+	return nil
+}
+
+// listenAddrs returns the listen addresses by front name: those of open listeners, or else the configured ones.
+func (n *Node) listenAddrs() map[string]string {
+	addrs := map[string]string{"http": n.cfg.Listen, "h2c": n.op.H2C, "uwsgi": n.op.UWSGI, "peer": n.op.Peer.Listen}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for name, l := range n.listenersByName {
+		addrs[name] = l.Addr().String()
+	}
+	return addrs
+}
+
+// listen returns the listener that the predecessor handed over, or opens one.
+func (n *Node) listen(name, addr string) (net.Listener, error) {
+	var l net.Listener
+	if n.handoff != nil && n.handoff.Listeners[name] != nil {
+		l = n.handoff.Listeners[name]
+	} else {
+		var err error
+		if l, err = net.Listen("tcp", addr); err != nil {
+			return nil, err
+		}
+	}
+	n.mu.Lock()
+	n.listenersByName[name] = l
+	n.mu.Unlock()
+	return l, nil
+}
+
+// tcpListeners returns the TCP listeners by front name.
+func (n *Node) tcpListeners() map[string]*net.TCPListener {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	out := map[string]*net.TCPListener{}
+	for name, l := range n.listenersByName {
+		if t, ok := l.(*net.TCPListener); ok {
+			out[name] = t
+		}
+	}
+	return out
+}
+
+// successorChanged reacts to a successor (on): it stops accepting connections and hands over idle ones. If the
+// successor is lost, the node continues as before.
+func (n *Node) successorChanged(on bool) {
+	n.successorActive.Store(on)
+	n.setSharing(on)
+	n.eachSubsystem(func(p Subsystem) { p.SuccessorChanged(on) })
+	if !on {
+		n.reporter.sendNow()
+		return
+	}
+	n.mu.Lock()
+	for _, l := range n.listeners {
+		if t, ok := l.(*net.TCPListener); ok {
+			t.SetDeadline(expiredDeadline)
+		}
+	}
+	n.mu.Unlock()
+	n.conns.drainAll()
+}
+
+// waitForSuccessor waits while a successor accepts the new connections. It returns false if the listener is
+// closed or the error has another cause.
+func (n *Node) waitForSuccessor(l net.Listener, err error) bool {
+	t, ok := l.(*net.TCPListener)
+	if !ok || !errors.Is(err, os.ErrDeadlineExceeded) {
+		return false
+	}
+	for n.successorActive.Load() && !n.hasEnded() {
+		time.Sleep(time.Until(timeOf(now() + holdPollMs)))
+	}
+	return t.SetDeadline(time.Time{}) == nil
+}
+
+// setSharing halves the limits of descriptors and memory while another process of this node is running and uses
+// the other half.
+func (n *Node) setSharing(on bool) {
+	n.mu.Lock()
+	n.sharing = on
+	n.mu.Unlock()
+	n.applyLimits()
+}
+
+// applyLimits applies the limits of the current configuration, or half of them while another process shares
+// them.
+func (n *Node) applyLimits() {
+	n.mu.Lock()
+	cfg, sharing := n.appliedConfig, n.sharing
+	n.mu.Unlock()
+	n.conns.setLimit(n.maxConns(cfg, sharing))
+	setProcessLimits(cfg, n.op, sharing)
+}
+
+// shutdownPlan is how a shutdown proceeds.
+type shutdownPlan struct {
+	stopMs       float64 // time from the stop notice to the stop
+	hasSuccessor bool
+}
+
+// predecessorEnded is called when the predecessor process has ended.
+func (n *Node) predecessorEnded() { n.setSharing(false) }
+
+// planShutdown returns the plan for a shutdown that starts now.
+func (n *Node) planShutdown() shutdownPlan {
+	if n.upgrade == nil || !n.upgrade.HasSuccessor() {
+		return shutdownPlan{n.stopTimeoutMs(), false}
+	}
+	_, s := n.currentSettings()
+	return shutdownPlan{handover.GraceMs(s.Classes), true}
+}
+
+// handOff hands an idle connection to the successor. It returns true if the connection now belongs to the
+// successor.
+func (k *conn) handOff() bool {
+	s, ok := k.proto.(*front.SerialConn)
+	if !ok || k.front != "http" || len(k.pending) > 0 || !s.Idle() {
+		return false
+	}
+	served, since := s.Served()
+	return k.node.upgrade.HandOffConn(k.c, handover.Conn{Front: k.front, Served: served, Since: since})
+}
+
+// adoptConn takes over a connection from the predecessor. It returns false if the connection is not an HTTP/1.1
+// one or the table is full.
+func (n *Node) adoptConn(c net.Conn, state handover.Conn) bool {
+	if state.Front != "http" {
+		return false
+	}
+	k := &conn{node: n, c: c, front: state.Front,
+		proto: front.ResumeSerialConn(httpfront.New(n.validator), state.Served, min(state.Since, now()))}
+	if !n.conns.add(k) {
+		return false
+	}
+	n.conns.markIdle(k, connState{answered: state.Served > 0, since: min(state.Since, now())})
+	go k.serve()
+	return true
+}
