--- a/internal/acceptdrain/acceptdrain.go
+++ b/internal/acceptdrain/acceptdrain.go
@@ -1,6 +1,7 @@
-// Package acceptdrain ends a listener with as few resets as can be. A listener that is closed resets the connections that the
-// kernel has established for it and that nobody has accepted; their callers can't tell whether what they sent has run. A
-// Listener that leaves takes all that wait, and closes at the moment at which none does.
+// Package acceptdrain closes a TCP listener with as few connection resets as possible. Closing a listener
+// resets the connections that the kernel has established for it but that have not been accepted yet; their
+// callers can't know whether their requests were executed. A Listener first accepts all pending connections and
+// closes when there are none.
 package acceptdrain
 
 import (
@@ -14,65 +15,69 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener is a TCP listener that can leave. Create it with New.
+// Listener is a TCP listener that can be drained. Create it with New.
 type Listener struct {
 	*net.TCPListener
-	leaving atomic.Bool
-	accept  func(fd int) (int, error) // as unix.Accept4; tests put their own
-	once    sync.Once
-	err     error         // of the close
-	gone    chan struct{} // closed with the listener
+	draining  atomic.Bool
+	accept    func(fd int) (int, error) // unix.Accept4; replaced in tests
+	closeOnce sync.Once
+	closeErr  error         // the error of closing TCPListener
+	closed    chan struct{} // closed with the listener
 }
 
-// New returns a listener that can leave.
+// New returns a listener that can be drained.
 func New(l *net.TCPListener) *Listener {
-	return &Listener{TCPListener: l, gone: make(chan struct{}), accept: func(fd int) (int, error) {
+	return &Listener{TCPListener: l, closed: make(chan struct{}), accept: func(fd int) (int, error) {
 		n, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		return n, err
 	}}
 }
 
-// againFor is the pause after an accept for which the system had no room.
-const againFor = 5 * time.Millisecond
+// acceptRetryPause is the pause after an accept that failed because the system lacked resources.
+const acceptRetryPause = 5 * time.Millisecond
 
-// Accept implements net.Listener. After Drain it returns what waits, without waiting itself, and then net.ErrClosed.
+// Accept implements net.Listener. After Drain was called it returns pending connections without blocking, and
+// then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
-	for !l.leaving.Load() {
+	for !l.draining.Load() {
 		c, err := l.TCPListener.Accept()
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return c, err
 		}
 	}
 	for {
-		c, err := l.next()
+		c, err := l.acceptPending()
 		switch {
 		case errors.Is(err, unix.EAGAIN):
 			l.Close()
 			return nil, net.ErrClosed
 		case errors.Is(err, unix.ECONNABORTED), errors.Is(err, unix.EINTR):
-			continue // that caller is gone
-		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE), errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM):
-			time.Sleep(againFor) // what is in hand ends and makes room; Drain has an end
+			continue // the caller has closed its connection, or the call was interrupted
+		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE),
+			errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM):
+			time.Sleep(acceptRetryPause) // requests that finish free resources; the deadline of Drain ends this loop
 			continue
 		}
 		return c, err
 	}
 }
 
-// next accepts what waits. If nothing does it shuts the socket in the same breath and returns unix.EAGAIN: whoever is
-// established between the two calls is reset. The runtime's own accept can't do it: once its time is over it does not look.
-func (l *Listener) next() (net.Conn, error) {
+// acceptPending accepts a pending connection. If there is none, it shuts the socket down immediately and
+// returns unix.EAGAIN; only a connection that is established between these two system calls is reset. The
+// accept of the Go runtime can't be used for this: once its deadline has passed, it returns without looking at
+// the socket.
+func (l *Listener) acceptPending() (net.Conn, error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	fd, bad := -1, error(nil)
+	fd, acceptErr := -1, error(nil)
 	err = raw.Control(func(s uintptr) {
-		if fd, bad = l.accept(int(s)); bad == unix.EAGAIN {
+		if fd, acceptErr = l.accept(int(s)); acceptErr == unix.EAGAIN {
 			unix.Shutdown(int(s), unix.SHUT_RD)
 		}
 	})
-	if err := errors.Join(err, bad); err != nil {
+	if err := errors.Join(err, acceptErr); err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fd), "accepted")
@@ -80,25 +85,26 @@
 	return net.FileConn(f)
 }
 
-// Drain takes all that waits and then closes the listener, by the goroutine that accepts, which must be at work. It returns
-// once the listener is closed, or at an absolute time at which it closes it with whatever waits.
+// Drain makes the goroutine that calls Accept, which must be running, accept all pending connections and then
+// close the listener. It returns when the listener is closed. At the absolute time by it closes the listener
+// even if connections are pending.
 func (l *Listener) Drain(by time.Time) error {
-	l.leaving.Store(true)
+	l.draining.Store(true)
 	l.SetDeadline(time.Unix(1, 0))
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(by))
+	defer timeout.Stop()
 	select {
-	case <-l.gone:
-	case <-late.C:
+	case <-l.closed:
+	case <-timeout.C:
 	}
 	return l.Close()
 }
 
-// Close implements net.Listener. It may be called again.
+// Close implements net.Listener. It may be called more than once.
 func (l *Listener) Close() error {
-	l.once.Do(func() {
-		l.err = l.TCPListener.Close()
-		close(l.gone)
+	l.closeOnce.Do(func() {
+		l.closeErr = l.TCPListener.Close()
+		close(l.closed)
 	})
-	return l.err
+	return l.closeErr
 }
--- a/internal/acceptdrain/acceptdrain_test.go
+++ b/internal/acceptdrain/acceptdrain_test.go
@@ -33,14 +33,14 @@
 	return c
 }
 
-// All who wait when the listener leaves are taken and answered, though nobody had accepted any until then; a caller that
-// went meanwhile holds nothing up.
-func TestWhoWaitsIsTaken(t *testing.T) {
+// All connections that are pending when the drain starts are accepted and answered. The queue fills because the
+// accepting goroutine is slow. A caller that has closed its connection by then does not block the drain.
+func TestDrainAcceptsPendingConns(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l := listen(t)
 	first := dial(t, l, "first")
 	var callers []net.Conn
-	left := make(chan error, 1)
+	drained := make(chan error, 1)
 	n := 0
 	for {
 		c, err := l.Accept()
@@ -50,13 +50,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n++; n == 1 { // the goroutine that accepts is late: a queue builds up
+		if n++; n == 1 { // the accepting goroutine is slow: the accept queue fills
 			for i := range 20 {
 				callers = append(callers, dial(t, l, fmt.Sprintf("%05d", i)))
 			}
 			dial(t, l, "gone!").Close()
-			go func() { left <- l.Drain(time.Now().Add(20 * time.Second)) }()
-			for !l.leaving.Load() {
+			go func() { drained <- l.Drain(time.Now().Add(20 * time.Second)) }()
+			for !l.draining.Load() {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -65,27 +65,27 @@
 		fmt.Fprintf(c, "answer to %s", buf)
 		c.Close()
 	}
-	if err := <-left; err != nil || n < 21 {
-		t.Errorf("%d accepted, %v", n, err)
+	if err := <-drained; err != nil || n < 21 {
+		t.Errorf("accepted %d connections with error %v, want at least 21 and no error", n, err)
 	}
 	if b, err := io.ReadAll(first); string(b) != "answer to first" {
-		t.Errorf("the first reads %q, %v", b, err)
+		t.Errorf("the first caller read %q, error %v", b, err)
 	}
 	for i, c := range callers {
 		if b, err := io.ReadAll(c); string(b) != fmt.Sprintf("answer to %05d", i) {
-			t.Errorf("caller %d reads %q, %v", i, b, err)
+			t.Errorf("caller %d read %q, error %v", i, b, err)
 		}
 	}
 	if _, err := net.Dial("tcp", l.Addr().String()); err == nil {
-		t.Error("somebody is let in after the end")
+		t.Error("connected to a drained listener")
 	}
 	if l.Close() != nil {
-		t.Error("a second close")
+		t.Error("the second Close returned an error")
 	}
 }
 
-// A goroutine that sleeps in Accept wakes; nothing waits, so that the listener is closed at once.
-func TestLeaveWakesAccept(t *testing.T) {
+// Drain wakes a goroutine that is blocked in Accept. Nothing is pending, so the listener is closed at once.
+func TestDrainWakesAccept(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l := listen(t)
 	ended := make(chan error, 1)
@@ -101,47 +101,48 @@
 	}
 }
 
-// A goroutine that does not accept any more does not hold the end up. Whoever waits is reset: the fault that this package
-// is for.
-func TestEndsByItsTime(t *testing.T) {
+// If no goroutine accepts any more, Drain ends at its deadline. The pending connection is reset, which is the
+// fault that the package otherwise prevents.
+func TestDrainEndsAtDeadline(t *testing.T) {
 	l := listen(t)
 	c := dial(t, l, "question")
 	if err := l.Drain(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Error(err)
 	}
 	if b, err := io.ReadAll(c); err == nil {
-		t.Errorf("read %q to the end", b)
+		t.Errorf("read %q without an error, want a reset connection", b)
 	}
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 }
 
-// A process that is out of descriptors as it leaves takes who waits once there is room, and ends by its time if there never is.
-func TestOutOfDescriptors(t *testing.T) {
-	for _, room := range []bool{true, false} {
+// A process that is out of file descriptors during the drain accepts pending connections once it has
+// descriptors again, and ends at the deadline if that does not happen.
+func TestDrainOutOfDescriptors(t *testing.T) {
+	for _, recovers := range []bool{true, false} {
 		l := listen(t)
 		c := dial(t, l, "question")
-		real, tries := l.accept, 0
+		realAccept, tries := l.accept, 0
 		l.accept = func(fd int) (int, error) {
-			if tries++; tries < 4 || !room {
+			if tries++; tries < 4 || !recovers {
 				return -1, unix.EMFILE
 			}
-			return real(fd)
+			return realAccept(fd)
 		}
-		left := make(chan error, 1)
+		drained := make(chan error, 1)
 		by := time.Now().Add(20 * time.Second)
-		if !room {
+		if !recovers {
 			by = time.Now().Add(50 * time.Millisecond)
 		}
-		go func() { left <- l.Drain(by) }()
-		for !l.leaving.Load() {
+		go func() { drained <- l.Drain(by) }()
+		for !l.draining.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		got, err := l.Accept()
-		if !room {
+		if !recovers {
 			if !errors.Is(err, net.ErrClosed) {
-				t.Error(got, err)
+				t.Errorf("got %v with error %v, want net.ErrClosed", got, err)
 			}
 		} else if err != nil {
 			t.Error(err)
@@ -149,13 +150,13 @@
 			fmt.Fprint(got, "answer")
 			got.Close()
 			if b, err := io.ReadAll(c); string(b) != "answer" {
-				t.Errorf("%q %v", b, err)
+				t.Errorf("the caller read %q, error %v", b, err)
 			}
 			if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 				t.Error(err)
 			}
 		}
-		if err := <-left; err != nil {
+		if err := <-drained; err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -1,6 +1,7 @@
-// Package admin is the operators' door: a second address with HTTP/1.1, one call a connection, by which operators see
-// whether the node serves and what its figures are, and send its clients away or take them back. RequestParser is the
-// state machine of a connection and knows no socket; Server drives it. What the node is behind the door it hears from a Node.
+// Package admin is the HTTP/1.1 interface for operators, on an address of its own with one request per
+// connection. Operators query whether the node is ready, read its metrics, and start or undo a drain.
+// RequestParser is the state machine of a connection and does no I/O; Server drives it on sockets and calls the
+// Node behind it.
 package admin
 
 import (
@@ -9,127 +10,128 @@
 	"strings"
 )
 
-// Limits of a call.
+// Limits of a request.
 const (
-	maxHead = 4 << 10
-	maxBody = 4 << 10 // a body means nothing here, and is read so that it does not reset the answer
+	maxHeadBytes = 4 << 10
+	maxBodyBytes = 4 << 10 // a body is ignored, but read: unread input would reset the connection and lose the answer
 )
 
-// Action is what a call wants.
+// Action is what a request asks for.
 type Action uint8
 
-// The actions.
+// The actions. ActionNone is the zero value: no valid request was read.
 const (
 	ActionNone    Action = iota
 	ActionReady          // whether the process can serve
-	ActionMetrics        // the figures
-	ActionDrain          // send the clients away
-	ActionUndrain        // take them back
+	ActionMetrics        // the metrics
+	ActionDrain          // make the clients leave this node
+	ActionUndrain        // undo ActionDrain
 )
 
-var actions = map[string]Action{"GET /ready": ActionReady, "GET /metrics": ActionMetrics, "POST /drain": ActionDrain, "POST /undrain": ActionUndrain}
+var actions = map[string]Action{"GET /ready": ActionReady, "GET /metrics": ActionMetrics,
+	"POST /drain": ActionDrain, "POST /undrain": ActionUndrain}
 
-// RequestParser reads the one call of a connection.
+// RequestParser reads the one request of a connection.
 type RequestParser struct {
-	buf    []byte
-	head   bool
-	length int
-	action Action
-	status int // of the answer to what is no call; 0 while there is none
-	code   string
-	done   bool
+	buf       []byte
+	headDone  bool // the request line and the headers are parsed
+	bodyBytes int  // from Content-Length
+	action    Action
+	status    int    // of the error response; 0 if there is no error
+	code      string // of the error in the log; empty if there is no error
+	done      bool   // the request is complete or has failed
 }
 
-// Feed takes bytes that were read. What comes after the call is passed over.
-func (c *RequestParser) Feed(b []byte) {
-	if c.done {
+// Feed consumes bytes that were read from the connection. Bytes after the request are ignored.
+func (p *RequestParser) Feed(b []byte) {
+	if p.done {
 		return
 	}
-	c.buf = append(c.buf, b...)
-	if !c.head {
-		end := bytes.Index(c.buf, []byte("\r\n\r\n"))
-		if end > maxHead || end < 0 && len(c.buf) > maxHead {
-			c.fault(431, "long-head")
+	p.buf = append(p.buf, b...)
+	if !p.headDone {
+		end := bytes.Index(p.buf, []byte("\r\n\r\n"))
+		if end > maxHeadBytes || end < 0 && len(p.buf) > maxHeadBytes {
+			p.fail(431, "long-head")
 			return
 		}
 		if end < 0 {
 			return
 		}
-		c.head = true
-		if c.readHead(string(c.buf[:end])); c.done {
+		p.headDone = true
+		if p.readHead(string(p.buf[:end])); p.done {
 			return
 		}
-		c.buf = c.buf[end+4:]
+		p.buf = p.buf[end+4:]
 	}
-	c.done = len(c.buf) >= c.length
+	p.done = len(p.buf) >= p.bodyBytes
 }
 
-func (c *RequestParser) fault(status int, code string) { c.status, c.code, c.done = status, code, true }
+func (p *RequestParser) fail(status int, code string) { p.status, p.code, p.done = status, code, true }
 
-func (c *RequestParser) readHead(head string) {
+func (p *RequestParser) readHead(head string) {
 	line, rest, _ := strings.Cut(head, "\r\n")
 	words := strings.Split(line, " ")
 	if len(words) != 3 || words[0] == "" || words[1] == "" {
-		c.fault(400, "bad-line")
+		p.fail(400, "bad-line")
 		return
 	}
 	if words[2] != "HTTP/1.1" && words[2] != "HTTP/1.0" {
-		c.fault(505, "bad-version")
+		p.fail(505, "bad-version")
 		return
 	}
-	sized := false
+	hasLength := false
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		switch {
 		case !ok || name == "" || strings.ContainsAny(name, " \t"):
-			c.fault(400, "bad-header")
+			p.fail(400, "bad-header")
 			return
 		case strings.EqualFold(name, "Transfer-Encoding"):
-			c.fault(501, "bad-encoding")
+			p.fail(501, "bad-encoding")
 			return
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(strings.Trim(value, " \t"), 10, 31)
-			if err != nil || sized && int(n) != c.length {
-				c.fault(400, "bad-length")
+			if err != nil || hasLength && int(n) != p.bodyBytes {
+				p.fail(400, "bad-length")
 				return
 			}
-			c.length, sized = int(n), true
+			p.bodyBytes, hasLength = int(n), true
 		}
 	}
-	if c.length > maxBody {
-		c.fault(413, "long-body")
+	if p.bodyBytes > maxBodyBytes {
+		p.fail(413, "long-body")
 		return
 	}
 	path, _, _ := strings.Cut(words[1], "?")
-	if c.action = actions[words[0]+" "+path]; c.action != ActionNone {
+	if p.action = actions[words[0]+" "+path]; p.action != ActionNone {
 		return
 	}
-	for call := range actions {
-		if strings.HasSuffix(call, " "+path) {
-			c.fault(405, "bad-method")
+	for key := range actions {
+		if strings.HasSuffix(key, " "+path) {
+			p.fail(405, "bad-method")
 			return
 		}
 	}
-	c.fault(404, "bad-path")
+	p.fail(404, "bad-path")
 }
 
-// Done tells whether the call, or a fault, is whole.
-func (c *RequestParser) Done() bool { return c.done }
+// Done reports whether the request is complete or has failed.
+func (p *RequestParser) Done() bool { return p.done }
 
-// Started tells whether anything has come.
-func (c *RequestParser) Started() bool { return c.head || len(c.buf) > 0 }
+// Started reports whether any byte was received.
+func (p *RequestParser) Started() bool { return p.headDone || len(p.buf) > 0 }
 
-// Action returns what the call wants, or the status and the code of the fault.
-func (c *RequestParser) Action() (a Action, status int, code string) {
-	return c.action, c.status, c.code
+// Action returns what the request asks for, or the status and the log code of the error.
+func (p *RequestParser) Action() (a Action, status int, code string) {
+	return p.action, p.status, p.code
 }
 
 var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	413: "Content Too Large", 431: "Request Header Fields Too Large", 501: "Not Implemented", 503: "Service Unavailable",
-	505: "HTTP Version Not Supported"}
+	413: "Content Too Large", 431: "Request Header Fields Too Large", 501: "Not Implemented",
+	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// AppendResponse appends an answer. The connection ends after it.
+// AppendResponse appends a response. The connection ends after it.
 func AppendResponse(b []byte, status int, body []byte) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -11,165 +11,168 @@
 	"whinrudder/internal/eventlog"
 )
 
-// Times in milliseconds.
+// Timeouts in milliseconds.
 const (
-	callFor   = 3000 // a connection without a whole call ends then
-	actFor    = 900  // what a call wants is done by then, or is answered with 503
-	writeFor  = 1000 // a peer that has not taken its answer by then is cut
-	lingerFor = 200  // after a fault so long is read on, lest what was not read reset the answer
-	acceptFor = 20   // pause after an accept that failed
+	requestTimeoutMs = 3000 // a connection without a complete request is closed after this time
+	actionTimeoutMs  = 900  // an action that takes longer is answered with 503
+	writeTimeoutMs   = 1000 // a peer that has not read its response in this time is disconnected
+	lingerMs         = 200  // how long input is read after an error, because unread input would reset the connection
+	acceptRetryMs    = 20   // pause after an accept that failed
 )
 
-// MaxConns bounds the connections at a time. At the bound the one that has waited longest for its call gives way: it
-// owes the call, and nobody behind it should wait for that.
+// MaxConns is the maximum number of connections at a time. When it is reached, a new connection replaces the
+// one that has waited longest without a complete request, so that silent peers don't keep others out.
 const MaxConns = 32
 
-// Node is what the door asks the node. None of its methods may be called by the core's goroutine.
+// Node is the node as the server sees it. None of its methods may be called by the core's goroutine.
 type Node interface {
 	Ready() bool
 	AppendMetrics(b []byte) []byte
-	// SetDraining sends the clients away or takes them back. It tells whether that was done by an absolute time, in Unix
-	// milliseconds.
+	// SetDraining starts or undoes a drain by the operator. It reports whether that was done by an absolute time, in
+	// Unix milliseconds.
 	SetDraining(on bool, by float64) bool
 }
 
-// Server is an open door. Create it with Listen.
+// Server is a running admin server. Create it with Listen.
 type Server struct {
-	node Node
-	l    net.Listener
-	log  eventlog.Log
-
-	mu    sync.Mutex
-	conns map[*conn]bool
-	over  bool
-	wait  sync.WaitGroup
+	node     Node
+	listener net.Listener
+	log      eventlog.Log
+
+	mu         sync.Mutex // guards conns, closed and the flags of each conn
+	conns      map[*conn]bool
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
 type conn struct {
 	net.Conn
-	since float64
-	busy  bool // the call is whole
-	given bool // its place was given to another
+	acceptedAt float64 // in Unix milliseconds
+	busy       bool    // the request is complete
+	evicted    bool    // replaced by another connection
 }
 
+// now returns the current Unix time in milliseconds.
 func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-func at(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
+// timeOf converts a Unix time in milliseconds.
+func timeOf(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)) }
 
-// Listen listens on an address and takes calls until Close.
+// Listen listens on an address and serves requests until Close.
 func Listen(addr string, node Node, log eventlog.Log) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Server{node: node, l: l, log: log, conns: map[*conn]bool{}}
-	d.wait.Add(1)
-	go d.accept()
-	return d, nil
+	s := &Server{node: node, listener: l, log: log, conns: map[*conn]bool{}}
+	s.goroutines.Add(1)
+	go s.accept()
+	return s, nil
 }
 
-// Addr is the address on which it listens.
-func (d *Server) Addr() string { return d.l.Addr().String() }
+// Addr returns the address on which the server listens.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Close ends all connections and waits for them, at most until an absolute time.
-func (d *Server) Close(by float64) {
-	d.l.Close()
-	d.mu.Lock()
-	d.over = true
-	for c := range d.conns {
-		c.SetDeadline(at(by))
+func (s *Server) Close(by float64) {
+	s.listener.Close()
+	s.mu.Lock()
+	s.closed = true
+	for c := range s.conns {
+		c.SetDeadline(timeOf(by))
 		if !c.busy {
 			c.Conn.Close()
 		}
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	done := make(chan struct{})
-	go func() { d.wait.Wait(); close(done) }()
+	go func() { s.goroutines.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(time.Until(at(by))):
+	case <-time.After(time.Until(timeOf(by))):
 	}
 }
 
-func (d *Server) accept() {
-	defer d.wait.Done()
+func (s *Server) accept() {
+	defer s.goroutines.Done()
 	for {
-		c, err := d.l.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			d.log("accept", "front", "admin", "error", err)
-			time.Sleep(time.Until(at(now() + acceptFor)))
+			s.log("accept", "front", "admin", "error", err)
+			time.Sleep(time.Until(timeOf(now() + acceptRetryMs)))
 			continue
 		}
-		k := &conn{Conn: c, since: now()}
-		if !d.add(k) {
-			d.end(k, "full")
+		k := &conn{Conn: c, acceptedAt: now()}
+		if !s.add(k) {
+			s.logAndClose(k, "full")
 			continue
 		}
-		go d.serve(k)
+		go s.serve(k)
 	}
 }
 
-// add takes a connection into the table. At the bound the one that has waited longest for its call is cut.
-func (d *Server) add(k *conn) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.over {
+// add adds a connection to the table. If the table is full, it evicts the connection that has waited longest
+// without a complete request, and returns false if there is none.
+func (s *Server) add(k *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return false
 	}
-	if len(d.conns) >= MaxConns {
+	if len(s.conns) >= MaxConns {
 		var oldest *conn
-		for c := range d.conns {
-			if !c.busy && (oldest == nil || c.since < oldest.since) {
+		for c := range s.conns {
+			if !c.busy && (oldest == nil || c.acceptedAt < oldest.acceptedAt) {
 				oldest = c
 			}
 		}
 		if oldest == nil {
 			return false
 		}
-		oldest.given = true
+		oldest.evicted = true
 		oldest.Conn.Close()
-		delete(d.conns, oldest)
+		delete(s.conns, oldest)
 	}
-	d.conns[k] = true
-	d.wait.Add(1)
+	s.conns[k] = true
+	s.goroutines.Add(1)
 	return true
 }
 
-func (d *Server) end(k *conn, code string) {
-	d.log("conn", "front", "admin", "peer", k.RemoteAddr(), "code", code)
+func (s *Server) logAndClose(k *conn, code string) {
+	s.log("conn", "front", "admin", "peer", k.RemoteAddr(), "code", code)
 	k.Conn.Close()
 }
 
-func (d *Server) serve(k *conn) {
-	defer d.wait.Done()
-	code := d.talk(k)
-	d.mu.Lock()
-	if k.given {
+func (s *Server) serve(k *conn) {
+	defer s.goroutines.Done()
+	code := s.handle(k)
+	s.mu.Lock()
+	if k.evicted {
 		code = "room"
 	}
-	delete(d.conns, k)
-	d.mu.Unlock()
-	d.end(k, code)
+	delete(s.conns, k)
+	s.mu.Unlock()
+	s.logAndClose(k, code)
 }
 
-// talk reads the call and answers it. It returns the code of the end.
-func (d *Server) talk(k *conn) string {
-	var call RequestParser
+// handle reads the request and answers it. It returns the log code of the connection's end.
+func (s *Server) handle(k *conn) string {
+	var request RequestParser
 	buf := make([]byte, 1024)
-	k.SetReadDeadline(at(k.since + callFor))
-	for !call.Done() {
+	k.SetReadDeadline(timeOf(k.acceptedAt + requestTimeoutMs))
+	for !request.Done() {
 		n, err := k.Read(buf)
-		call.Feed(buf[:n])
+		request.Feed(buf[:n])
 		switch {
-		case call.Done() || err == nil:
-		case errors.Is(err, os.ErrDeadlineExceeded) && call.Started():
+		case request.Done() || err == nil:
+		case errors.Is(err, os.ErrDeadlineExceeded) && request.Started():
 			return "slow"
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return "silent"
-		case errors.Is(err, io.EOF) && call.Started():
+		case errors.Is(err, io.EOF) && request.Started():
 			return "part"
 		case errors.Is(err, io.EOF):
 			return "eof"
@@ -179,16 +182,16 @@
 			return "reset"
 		}
 	}
-	d.mu.Lock()
-	k.busy = !k.given
-	d.mu.Unlock()
-	action, status, code := call.Action()
+	s.mu.Lock()
+	k.busy = !k.evicted
+	s.mu.Unlock()
+	action, status, code := request.Action()
 	var body []byte
 	if code == "" {
-		status, body = d.act(action)
+		status, body = s.act(action)
 		code = "close"
 	}
-	k.SetWriteDeadline(at(now() + writeFor))
+	k.SetWriteDeadline(timeOf(now() + writeTimeoutMs))
 	if _, err := k.Write(AppendResponse(nil, status, body)); err != nil {
 		return "write"
 	}
@@ -196,26 +199,26 @@
 		if t, ok := k.Conn.(*net.TCPConn); ok {
 			t.CloseWrite()
 		}
-		k.SetReadDeadline(at(now() + lingerFor))
-		io.CopyN(io.Discard, k, 16*maxHead)
+		k.SetReadDeadline(timeOf(now() + lingerMs))
+		io.CopyN(io.Discard, k, 16*maxHeadBytes)
 	}
 	return code
 }
 
-// act does what a call wants.
-func (d *Server) act(a Action) (status int, body []byte) {
-	yes, text := true, "ok\n"
+// act carries out an action.
+func (s *Server) act(a Action) (status int, body []byte) {
+	ok, text := true, "ok\n"
 	switch a {
 	case ActionReady:
-		yes, text = d.node.Ready(), "ready\n"
+		ok, text = s.node.Ready(), "ready\n"
 	case ActionMetrics:
-		return 200, d.node.AppendMetrics(nil)
+		return 200, s.node.AppendMetrics(nil)
 	case ActionDrain:
-		yes = d.node.SetDraining(true, now()+actFor)
+		ok = s.node.SetDraining(true, now()+actionTimeoutMs)
 	case ActionUndrain:
-		yes = d.node.SetDraining(false, now()+actFor)
+		ok = s.node.SetDraining(false, now()+actionTimeoutMs)
 	}
-	if !yes {
+	if !ok {
 		return 503, []byte("no\n")
 	}
 	return 200, []byte(text)
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -13,26 +13,27 @@
 	"pgregory.net/rapid"
 )
 
-type toy struct{ stuck chan struct{} }
+// fakeNode is a Node whose SetDraining blocks until unblock is closed or the time is over.
+type fakeNode struct{ unblock chan struct{} }
 
-func (toy) Ready() bool                   { return true }
-func (toy) AppendMetrics(b []byte) []byte { return append(b, "n=1\n"...) }
-func (t toy) SetDraining(_ bool, by float64) bool {
+func (fakeNode) Ready() bool                   { return true }
+func (fakeNode) AppendMetrics(b []byte) []byte { return append(b, "n=1\n"...) }
+func (t fakeNode) SetDraining(_ bool, by float64) bool {
 	select {
-	case <-t.stuck:
+	case <-t.unblock:
 		return true
-	case <-time.After(time.Until(at(by))):
+	case <-time.After(time.Until(timeOf(by))):
 		return false
 	}
 }
 
-// Callers that keep their connection without a whole call must not keep others out, however many they are, and what
-// the node can't do in time is answered.
-func TestDoorUnderSilentCallers(t *testing.T) {
+// Any number of connections without a complete request must not keep other callers out, and an action that the
+// node does not finish in time is answered with 503.
+func TestSilentCallersDoNotBlockOthers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var mu sync.Mutex
 	codes := map[string]int{}
-	d, err := Listen("127.0.0.1:0", toy{make(chan struct{})}, func(_ string, pairs ...any) {
+	d, err := Listen("127.0.0.1:0", fakeNode{make(chan struct{})}, func(_ string, pairs ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		codes[pairs[len(pairs)-1].(string)]++
@@ -40,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var held []net.Conn
+	var silent []net.Conn
 	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", d.Addr())
 		if err != nil {
@@ -49,53 +50,54 @@
 		if i%2 == 0 {
 			fmt.Fprint(c, "GET /metr")
 		}
-		held = append(held, c)
+		silent = append(silent, c)
 		if i%8 != 0 {
 			continue
 		}
-		if got := ask(t, d, "GET /metrics HTTP/1.1\r\n\r\n"); got != "200 n=1\n" {
-			t.Fatalf("after %d silent callers: %q", i, got)
+		if got := sendRequest(t, d, "GET /metrics HTTP/1.1\r\n\r\n"); got != "200 n=1\n" {
+			t.Fatalf("after %d silent callers: got %q, want %q", i, got, "200 n=1\n")
 		}
 	}
-	if got := ask(t, d, "POST /drain HTTP/1.1\r\n\r\n"); got != "503 no\n" {
-		t.Errorf("a node that does not answer: %q", got)
+	if got := sendRequest(t, d, "POST /drain HTTP/1.1\r\n\r\n"); got != "503 no\n" {
+		t.Errorf("drain of a blocked node: got %q, want %q", got, "503 no\n")
 	}
 	d.Close(now() + 5000)
-	for _, c := range held {
+	for _, c := range silent {
 		c.Close()
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if codes["room"] < 2*MaxConns || codes["full"] > 0 {
-		t.Error(codes)
+		t.Errorf("got log codes %v, want at least %d times room and never full", codes, 2*MaxConns)
 	}
 }
 
-func ask(t *testing.T, d *Server, call string) string {
+func sendRequest(t *testing.T, d *Server, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	io.WriteString(c, call)
+	io.WriteString(c, request)
 	r := bufio.NewReader(c)
 	var status string
 	fmt.Fscanf(r, "HTTP/1.1 %s", &status)
-	all, _ := io.ReadAll(r)
-	for i := range all {
-		if i >= 4 && string(all[i-4:i]) == "\r\n\r\n" {
-			return status + " " + string(all[i:])
+	response, _ := io.ReadAll(r)
+	for i := range response {
+		if i >= 4 && string(response[i-4:i]) == "\r\n\r\n" {
+			return status + " " + string(response[i:])
 		}
 	}
 	return status + " no body"
 }
 
-// Pieces of any size say the same as the whole.
+// A request in pieces of any size is parsed like the whole.
 func TestCallInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := rapid.SampledFrom([]string{"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", "POST /drain HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /",
-			"POST /undrain?x=1 HTTP/1.0\r\n\r\n", "PUT /ready HTTP/1.1\r\n\r\n", "GET /x HTTP/1.1\r\n\r\n", "\r\n\r\n"}).Draw(t, "call")
+		text := rapid.SampledFrom([]string{"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n",
+			"POST /drain HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /", "POST /undrain?x=1 HTTP/1.0\r\n\r\n",
+			"PUT /ready HTTP/1.1\r\n\r\n", "GET /x HTTP/1.1\r\n\r\n", "\r\n\r\n"}).Draw(t, "call")
 		var whole, parts RequestParser
 		whole.Feed([]byte(text))
 		for at := 0; at < len(text); {
@@ -105,13 +107,16 @@
 		}
 		a, s, c := whole.Action()
 		if a2, s2, c2 := parts.Action(); a != a2 || s != s2 || c != c2 || !whole.Done() || !parts.Done() {
-			t.Fatalf("%q: %v %v %v, in pieces %v %v %v", text, a, s, c, a2, s2, c2)
+			t.Fatalf("%q: got %v %v %v as a whole, %v %v %v in pieces", text, a, s, c, a2, s2, c2)
 		}
 	})
 }
 
+// FuzzCall checks that the parser buffers a bounded number of bytes, and that each request ends with either an
+// action or an error.
 func FuzzCall(f *testing.F) {
-	for _, s := range []string{"GET /ready HTTP/1.1\r\n\r\n", "POST /drain HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", "GET /metrics HTTP/1.0\r\nA:\r\n\r\n"} {
+	for _, s := range []string{"GET /ready HTTP/1.1\r\n\r\n", "POST /drain HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
+		"GET /metrics HTTP/1.0\r\nA:\r\n\r\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -120,11 +125,11 @@
 			c.Feed(b[i : i+1])
 		}
 		action, status, code := c.Action()
-		if len(c.buf) > maxHead+maxBody+1 {
-			t.Errorf("%d bytes are kept", len(c.buf))
+		if len(c.buf) > maxHeadBytes+maxBodyBytes+1 {
+			t.Errorf("the parser buffers %d bytes, want at most %d", len(c.buf), maxHeadBytes+maxBodyBytes+1)
 		}
 		if c.Done() && (action == ActionNone) != (code != "") || (status == 0) != (code == "") {
-			t.Error(action, status, code)
+			t.Errorf("got action %v with status %d and code %q", action, status, code)
 		}
 	})
 }
