--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,5 @@
-// Package counters counts what becomes of requests, by class, for operators. Counts grow from 0 with the process. The
-// core's goroutine writes them, and anybody may read them at any time without waiting for it.
+// Package counters counts the outcomes of requests by class, as metrics for operators. Counters start at 0 with
+// the process. The core's goroutine writes them; any goroutine may read them at any time without blocking it.
 package counters
 
 import (
@@ -9,7 +9,8 @@
 	"sync/atomic"
 )
 
-// maxClasses bounds the classes that are counted by name: those of the present settings, and some that are no more.
+// maxClasses is the number of classes above which counters of classes that are no longer configured are
+// dropped.
 const maxClasses = 256
 
 // Class counts the requests of one class.
@@ -21,57 +22,58 @@
 	Sends    atomic.Int64 // runs handed to the worker pool
 }
 
-// Registry holds the figures of one process.
+// Registry holds the counters of one process.
 type Registry struct {
-	ConfLoaded  atomic.Int64 // configurations taken over at SIGHUP
-	ConfInvalid atomic.Int64 // configurations turned down at SIGHUP
+	ConfLoaded  atomic.Int64 // configurations applied at SIGHUP
+	ConfInvalid atomic.Int64 // configurations rejected at SIGHUP
 
-	mu  sync.Mutex
-	all []*Class // by first use
+	mu      sync.Mutex // guards classes
+	classes []*Class   // in order of first use
 }
 
-// Classes returns the counts of classes by their names, in that order. The same name has the same counts for the life
-// of the process; only where there are too many names, those that are not wanted now are dropped.
-func (b *Registry) Classes(names []string) []*Class {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Classes returns the counters of classes by their names, in the order of names. The same name has the same
+// counters for the life of the process, unless there are more than maxClasses: then the counters of classes
+// that are not in names are dropped.
+func (r *Registry) Classes(names []string) []*Class {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	out := make([]*Class, len(names))
 	for i, n := range names {
-		at := slices.IndexFunc(b.all, func(c *Class) bool { return c.Name == n })
-		if at < 0 {
-			at = len(b.all)
-			b.all = append(b.all, &Class{Name: n})
+		index := slices.IndexFunc(r.classes, func(c *Class) bool { return c.Name == n })
+		if index < 0 {
+			index = len(r.classes)
+			r.classes = append(r.classes, &Class{Name: n})
 		}
-		out[i] = b.all[at]
+		out[i] = r.classes[index]
 	}
-	if len(b.all) > maxClasses {
-		b.all = slices.DeleteFunc(b.all, func(c *Class) bool { return !slices.Contains(names, c.Name) })
+	if len(r.classes) > maxClasses {
+		r.classes = slices.DeleteFunc(r.classes, func(c *Class) bool { return !slices.Contains(names, c.Name) })
 	}
 	return out
 }
 
-// AppendText appends all figures, a line each: svc.transactions.CLASS.NAME=N and svc.NAME=N. Current is how many requests
-// are owed an answer.
-func (b *Registry) AppendText(to []byte, current int) []byte {
-	b.mu.Lock()
-	all := slices.Clone(b.all)
-	b.mu.Unlock()
+// AppendText appends all metrics, one per line: svc.transactions.CLASS.NAME=N and svc.NAME=N. The parameter
+// current is the number of requests that have not been answered.
+func (r *Registry) AppendText(b []byte, current int) []byte {
+	r.mu.Lock()
+	classes := slices.Clone(r.classes)
+	r.mu.Unlock()
 	line := func(n int64, path ...string) {
-		to = append(to, "svc"...)
+		b = append(b, "svc"...)
 		for _, p := range path {
-			to = append(append(to, '.'), p...)
+			b = append(append(b, '.'), p...)
 		}
-		to = strconv.AppendInt(append(to, '='), n, 10)
-		to = append(to, '\n')
+		b = strconv.AppendInt(append(b, '='), n, 10)
+		b = append(b, '\n')
 	}
-	for _, c := range all {
+	for _, c := range classes {
 		line(c.Answered.Load(), "transactions", c.Name, "answered")
 		line(c.Deferred.Load(), "transactions", c.Name, "deferred")
 		line(c.Errored.Load(), "transactions", c.Name, "errored")
 		line(c.Sends.Load(), "transactions", c.Name, "sends")
 	}
 	line(int64(current), "current")
-	line(b.ConfLoaded.Load(), "conf_loaded")
-	line(b.ConfInvalid.Load(), "conf_invalid")
-	return to
+	line(r.ConfLoaded.Load(), "conf_loaded")
+	line(r.ConfInvalid.Load(), "conf_invalid")
+	return b
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,5 +1,6 @@
-// Package eventlog gives the form of the node's log: one event a line, a word and pairs of name and value, as text that
-// people read (the default) or as JSON by zerolog. It writes nothing itself.
+// Package eventlog formats the events of the node's log, one per line. An event is a word with pairs of name
+// and value. It is written as text, which is the default, or as JSON by zerolog. The package does no I/O
+// itself.
 package eventlog
 
 import (
@@ -10,12 +11,13 @@
 	"github.com/rs/zerolog"
 )
 
-// Log takes one event: a word, then names and values in turn. A value is a string, a number, a truth value, an error or
-// something that has a String method; nothing else has a form of its own. It does not wait.
+// Log records one event: a word, then names and values in turn. A value is a string, an int, a float64, a bool,
+// an error or a fmt.Stringer; other types are formatted by fmt.Sprint. It does not block.
 type Log func(word string, pairs ...any)
 
-// quoted are the names whose values are others' words: they stand in quotes even where there is no need.
-var quoted = map[string]bool{"error": true, "text": true, "fault": true, "taker": true, "donor": true}
+// alwaysQuoted holds the names whose values come from other programs or from error texts. They are quoted even
+// if they need no quotes.
+var alwaysQuoted = map[string]bool{"error": true, "text": true, "fault": true, "taker": true, "donor": true}
 
 // AppendText appends an event as a line of text: the time of day in UTC, the word, then name=value.
 func AppendText(b []byte, at time.Time, word string, pairs []any) []byte {
@@ -36,15 +38,15 @@
 		case bool:
 			b = strconv.AppendBool(b, v)
 		default:
-			b = appendWord(b, name, wordOf(v))
+			b = appendWord(b, name, textOf(v))
 		}
 	}
 	return append(b, '\n')
 }
 
-// appendWord appends a value that is text, in quotes if it could be taken for something else.
+// appendWord appends a text value. It is quoted if it would otherwise be ambiguous.
 func appendWord(b []byte, name, v string) []byte {
-	if quoted[name] {
+	if alwaysQuoted[name] {
 		return strconv.AppendQuote(b, v)
 	}
 	for i := range len(v) {
@@ -55,7 +57,8 @@
 	return append(b, v...)
 }
 
-func wordOf(v any) string {
+// textOf returns a value of any other type as text.
+func textOf(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
@@ -67,14 +70,14 @@
 	return fmt.Sprint(v)
 }
 
-// WriteJSON sends an event to a logger of zerolog, as an object with time (RFC 3339 in milliseconds), word, code and
-// the pairs. An event that names no code has its word for it.
+// WriteJSON sends an event to a zerolog logger, as an object with time (RFC 3339 in milliseconds), word, code
+// and the pairs. If no pair is named code, the word is also the code.
 func WriteJSON(to *zerolog.Logger, at time.Time, word string, pairs []any) {
 	e := to.Log().Str("time", at.UTC().Format("2006-01-02T15:04:05.000Z07:00")).Str("word", word)
-	coded := false
+	hasCode := false
 	for i := 0; i+1 < len(pairs); i += 2 {
 		name, _ := pairs[i].(string)
-		coded = coded || name == "code"
+		hasCode = hasCode || name == "code"
 		switch v := pairs[i+1].(type) {
 		case string:
 			e.Str(name, v)
@@ -85,10 +88,10 @@
 		case bool:
 			e.Bool(name, v)
 		default:
-			e.Str(name, wordOf(v))
+			e.Str(name, textOf(v))
 		}
 	}
-	if !coded {
+	if !hasCode {
 		e.Str("code", word)
 	}
 	e.Send()
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -15,6 +15,8 @@
 
 var at = time.Date(2026, 12, 1, 14, 3, 23, 45e6, time.FixedZone("", 3600))
 
+// TestForms checks the text and JSON form of events: quoting, types of values, the time in UTC, and the code of
+// an event that has none.
 func TestForms(t *testing.T) {
 	for _, c := range []struct {
 		word       string
@@ -23,12 +25,15 @@
 	}{
 		{"ready", []any{"cold", true}, "13:03:23.045 ready cold=true",
 			`{"time":"2026-12-01T13:03:23.045Z","word":"ready","cold":true,"code":"ready"}`},
-		{"conn", []any{"front", "http", "peer", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 80}, "code", "eof", "served", 3},
+		{"conn",
+			[]any{"front", "http", "peer", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 80}, "code", "eof", "served", 3},
 			"13:03:23.045 conn front=http peer=127.0.0.1:80 code=eof served=3",
 			`{"time":"2026-12-01T13:03:23.045Z","word":"conn","front":"http","peer":"127.0.0.1:80","code":"eof","served":3}`},
-		{"peer", []any{"code", "slow", "error", errors.New("a \"b\"\n"), "taker", ""}, `13:03:23.045 peer code=slow error="a \"b\"\n" taker=""`,
+		{"peer", []any{"code", "slow", "error", errors.New("a \"b\"\n"), "taker", ""},
+			`13:03:23.045 peer code=slow error="a \"b\"\n" taker=""`,
 			`{"time":"2026-12-01T13:03:23.045Z","word":"peer","code":"slow","error":"a \"b\"\n","taker":""}`},
-		{"prior", []any{"code", "x y=z", "factor", 0.25, "kept", ""}, `13:03:23.045 prior code="x y=z" factor=0.25 kept=`,
+		{"prior", []any{"code", "x y=z", "factor", 0.25, "kept", ""},
+			`13:03:23.045 prior code="x y=z" factor=0.25 kept=`,
 			`{"time":"2026-12-01T13:03:23.045Z","word":"prior","code":"x y=z","factor":0.25,"kept":""}`},
 	} {
 		if diff := cmp.Diff(c.text+"\n", string(AppendText(nil, at, c.word, c.pairs))); diff != "" {
@@ -43,14 +48,15 @@
 	}
 }
 
-// copier keeps what is written, as zerolog uses its buffer again.
-type copier struct{}
+// copyingWriter copies what is written, as a writer that keeps it must, because zerolog reuses its buffer.
+type copyingWriter struct{}
 
-func (copier) Write(b []byte) (int, error) {
+func (copyingWriter) Write(b []byte) (int, error) {
 	return io.Discard.Write(append(make([]byte, 0, len(b)), b...))
 }
 
-// BenchmarkLine is the line that each connection leaves, as it was printed before there were events, and in both forms.
+// BenchmarkLine measures the line that is logged for each connection: formatted by fmt, and in both forms of
+// this package.
 func BenchmarkLine(b *testing.B) {
 	peer := net.Addr(&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 40123})
 	n := 7
@@ -71,7 +77,7 @@
 	})
 	b.Run("json", func(b *testing.B) {
 		b.ReportAllocs()
-		l := zerolog.New(copier{}) // as the node's queue of lines must
+		l := zerolog.New(copyingWriter{}) // like the node's queue of log lines
 		for b.Loop() {
 			WriteJSON(&l, time.Now(), "conn", []any{"front", "http", "peer", peer, "code", "eof", "served", n})
 		}
