--- a/internal/acceptdrain/acceptdrain_test.go
+++ b/internal/acceptdrain/acceptdrain_test.go
@@ -12,6 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// listen returns a listener on a free local port.
 func listen(t *testing.T) *Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,6 +22,7 @@
 	return New(l.(*net.TCPListener))
 }
 
+// dial connects to a listener and sends a text.
 func dial(t *testing.T, l net.Listener, text string) net.Conn {
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -33,7 +33,7 @@
 	defer goleak.VerifyNone(t)
 	var mu sync.Mutex
 	codes := map[string]int{}
-	d, err := Listen("127.0.0.1:0", fakeNode{make(chan struct{})}, func(_ string, pairs ...any) {
+	s, err := Listen("127.0.0.1:0", fakeNode{make(chan struct{})}, func(_ string, pairs ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		codes[pairs[len(pairs)-1].(string)]++
@@ -43,7 +43,7 @@
 	}
 	var silent []net.Conn
 	for i := range 3 * MaxConns {
-		c, err := net.Dial("tcp", d.Addr())
+		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,14 +54,14 @@
 		if i%8 != 0 {
 			continue
 		}
-		if got := sendRequest(t, d, "GET /metrics HTTP/1.1\r\n\r\n"); got != "200 n=1\n" {
+		if got := sendRequest(t, s, "GET /metrics HTTP/1.1\r\n\r\n"); got != "200 n=1\n" {
 			t.Fatalf("after %d silent callers: got %q, want %q", i, got, "200 n=1\n")
 		}
 	}
-	if got := sendRequest(t, d, "POST /drain HTTP/1.1\r\n\r\n"); got != "503 no\n" {
+	if got := sendRequest(t, s, "POST /drain HTTP/1.1\r\n\r\n"); got != "503 no\n" {
 		t.Errorf("drain of a blocked node: got %q, want %q", got, "503 no\n")
 	}
-	d.Close(now() + 5000)
+	s.Close(now() + 5000)
 	for _, c := range silent {
 		c.Close()
 	}
@@ -72,9 +72,10 @@
 	}
 }
 
-func sendRequest(t *testing.T, d *Server, request string) string {
+// sendRequest sends a request on a new connection and returns the status and the body of the response.
+func sendRequest(t *testing.T, s *Server, request string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Addr())
+	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,17 +94,17 @@
 }
 
 // A request in pieces of any size is parsed like the whole.
-func TestCallInPieces(t *testing.T) {
+func TestRequestInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SampledFrom([]string{"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n",
 			"POST /drain HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /", "POST /undrain?x=1 HTTP/1.0\r\n\r\n",
 			"PUT /ready HTTP/1.1\r\n\r\n", "GET /x HTTP/1.1\r\n\r\n", "\r\n\r\n"}).Draw(t, "call")
 		var whole, parts RequestParser
 		whole.Feed([]byte(text))
-		for at := 0; at < len(text); {
-			n := rapid.IntRange(1, len(text)-at).Draw(t, "size")
-			parts.Feed([]byte(text[at : at+n]))
-			at += n
+		for offset := 0; offset < len(text); {
+			n := rapid.IntRange(1, len(text)-offset).Draw(t, "size")
+			parts.Feed([]byte(text[offset : offset+n]))
+			offset += n
 		}
 		a, s, c := whole.Action()
 		if a2, s2, c2 := parts.Action(); a != a2 || s != s2 || c != c2 || !whole.Done() || !parts.Done() {
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -336,10 +336,10 @@
 
 // connTable holds the connections of callers, up to a limit.
 type connTable struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all fields and the state of each conn
 	maxConns int
 	conns    map[*conn]bool
-	removed  sync.Cond // signalled when a connection is removed
+	removed  sync.Cond // broadcast when a connection is removed
 }
 
 // add adds a new connection. If the table is full, it evicts an idle connection and waits until that has ended.
@@ -368,12 +368,12 @@
 // one whose last answer is the oldest, or nil.
 func (t *connTable) evictionCandidate(now float64) (found *conn) {
 	for k := range t.conns {
-		p := k.state
+		s := k.state
 		switch {
-		case p.busy || p.revoked, !p.answered && now-p.since < newConnGraceMs,
-			p.answered && now-p.since < idleConnGraceMs:
-		case found == nil || !p.answered && found.state.answered,
-			p.answered == found.state.answered && p.since < found.state.since:
+		case s.busy || s.revoked, !s.answered && now-s.since < newConnGraceMs,
+			s.answered && now-s.since < idleConnGraceMs:
+		case found == nil || !s.answered && found.state.answered,
+			s.answered == found.state.answered && s.since < found.state.since:
 			found = k
 		}
 	}
@@ -390,11 +390,11 @@
 }
 
 // markIdle notes that a connection has no pending message.
-func (t *connTable) markIdle(k *conn, p connState) {
+func (t *connTable) markIdle(k *conn, s connState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p.revoked = k.state.revoked
-	k.state = p
+	s.revoked = k.state.revoked
+	k.state = s
 }
 
 // revoked reports whether a connection was evicted.
@@ -405,10 +405,10 @@
 }
 
 // setLimit sets the maximum number of connections. Open connections are not closed.
-func (t *connTable) setLimit(most int) {
+func (t *connTable) setLimit(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maxConns = most
+	t.maxConns = limit
 }
 
 func (t *connTable) remove(k *conn) {
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -25,6 +25,7 @@
 	return len(b), nil
 }
 
+// testNode returns a node without listeners and core, whose inputs the test reads.
 func testNode(log logLines) *Node {
 	n := &Node{cfg: settings.Config{}, logger: newLogger(log, false), inputs: make(chan core.Input, 8),
 		done: make(chan struct{})}
@@ -36,7 +37,7 @@
 
 // A peer that never reads its answer must not block its goroutine forever: the connection is closed at the
 // answer's write deadline. A pipe has no buffer, so only the deadline can end the write.
-func TestPeerThatDoesNotReadIsCut(t *testing.T) {
+func TestWriteDeadlineClosesConn(t *testing.T) {
 	log := make(logLines, 4)
 	n := testNode(log)
 	here, there := net.Pipe()
@@ -135,7 +136,7 @@
 
 // An error of Accept, such as one for lack of file descriptors, must not end the accept loop, because later
 // calls can succeed.
-func TestAcceptErrorsAreSurvived(t *testing.T) {
+func TestAcceptContinuesAfterError(t *testing.T) {
 	log := make(logLines, 4)
 	n := testNode(log)
 	here, there := net.Pipe()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -240,7 +240,7 @@
 	n.closeListeners()
 	n.conns.closeAll()
 	n.link.interrupt()
-	n.eachSubsystem(func(p Subsystem) { p.EndShutdown(now() + subsystemEndMs) })
+	n.eachSubsystem(func(s Subsystem) { s.EndShutdown(now() + subsystemEndMs) })
 	n.log("end", "name", n.cfg.Name)
 	n.logger.flush(now() + logFlushMs)
 }
@@ -323,13 +323,13 @@
 		n.log("ready", "cold", o.Cold)
 		n.startAccepting()
 		n.serving.Store(true)
-		n.eachSubsystem(func(p Subsystem) { p.Ready(o.Cold) })
+		n.eachSubsystem(func(s Subsystem) { s.Ready(o.Cold) })
 	case core.DrainStarted:
 		n.accepting.Store(false)
 		n.reporter.sendNow()
 		n.log("drain", "stop_ms", n.shutdown.stopMs, "succeeded", n.shutdown.hasSuccessor)
 		by := now() + n.shutdown.stopMs/2
-		n.eachSubsystem(func(p Subsystem) { p.BeginShutdown(by) })
+		n.eachSubsystem(func(s Subsystem) { s.BeginShutdown(by) })
 	case core.DrainConns:
 		n.conns.drainAll()
 	case core.StopAccepting:
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -34,12 +34,12 @@
 		n.subsystems = append(n.subsystems, n.upgrade)
 	}
 	if n.cfg.Admin != "" {
-		d, err := admin.Listen(n.cfg.Admin, adminNode{n}, n.log)
+		server, err := admin.Listen(n.cfg.Admin, adminNode{n}, n.log)
 		if err != nil {
 			return err
 		}
-		n.addrs["admin"] = d.Addr()
-		n.subsystems = append(n.subsystems, adminSubsystem{d})
+		n.addrs["admin"] = server.Addr()
+		n.subsystems = append(n.subsystems, adminSubsystem{server})
 	}
 	peerAddr := ""
 	if n.op.Peer.Enabled() {
@@ -94,8 +94,8 @@
 
 // eachSubsystem calls do for every subsystem.
 func (n *Node) eachSubsystem(do func(Subsystem)) {
-	for _, p := range n.subsystems {
-		do(p)
+	for _, s := range n.subsystems {
+		do(s)
 	}
 }
 
@@ -113,7 +113,7 @@
 // warmUpSubsystem exchanges learned state with other nodes.
 type warmUpSubsystem struct{ *warmup.WarmUp }
 
-func (l warmUpSubsystem) BeginShutdown(float64) { l.WarmUp.BeginShutdown() }
+func (w warmUpSubsystem) BeginShutdown(float64) { w.WarmUp.BeginShutdown() }
 func (warmUpSubsystem) SuccessorChanged(bool)   {}
 
 // znodeSubsystem registers the node in ZooKeeper.
@@ -125,49 +125,49 @@
 }
 
 // registration returns the registration, or nil.
-func (m *znodeSubsystem) registration() *zk.Registration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.znode
+func (z *znodeSubsystem) registration() *zk.Registration {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	return z.znode
 }
 
-func (m *znodeSubsystem) Ready(bool) {
-	if !m.node.accepting.Load() {
+func (z *znodeSubsystem) Ready(bool) {
+	if !z.node.accepting.Load() {
 		return
 	}
-	auth, err := zk.ReadAuth(m.node.op.AuthFile)
+	auth, err := zk.ReadAuth(z.node.op.AuthFile)
 	if err != nil {
-		m.node.log("zk", "path", m.node.op.ZNodePath, "code", "off", "error", err)
+		z.node.log("zk", "path", z.node.op.ZNodePath, "code", "off", "error", err)
 		return
 	}
-	r := zk.Register(m.node.op.Ensemble, m.node.op.SessionMs, m.node.op.ZNodePath, m.self, auth, m.node.log)
-	r.SetDraining(m.node.operatorDrained.Load())
-	m.mu.Lock()
-	m.znode = r
-	m.mu.Unlock()
+	r := zk.Register(z.node.op.Ensemble, z.node.op.SessionMs, z.node.op.ZNodePath, z.self, auth, z.node.log)
+	r.SetDraining(z.node.operatorDrained.Load())
+	z.mu.Lock()
+	z.znode = r
+	z.mu.Unlock()
 }
 
-func (m *znodeSubsystem) Reload() {}
+func (z *znodeSubsystem) Reload() {}
 
-func (m *znodeSubsystem) SuccessorChanged(on bool) {
-	if r := m.registration(); r != nil {
+func (z *znodeSubsystem) SuccessorChanged(on bool) {
+	if r := z.registration(); r != nil {
 		r.SetYielded(on)
 	}
 }
 
-func (m *znodeSubsystem) BeginShutdown(by float64) {
-	if r := m.registration(); r != nil {
+func (z *znodeSubsystem) BeginShutdown(by float64) {
+	if r := z.registration(); r != nil {
 		r.Remove(by)
 	}
 }
 
-func (m *znodeSubsystem) SetOperatorDrain(on bool) {
-	if r := m.registration(); r != nil {
+func (z *znodeSubsystem) SetOperatorDrain(on bool) {
+	if r := z.registration(); r != nil {
 		r.SetDraining(on)
 	}
 }
 
-func (m *znodeSubsystem) EndShutdown(float64) {}
+func (z *znodeSubsystem) EndShutdown(float64) {}
 
 // adminSubsystem is the admin port.
 type adminSubsystem struct{ *admin.Server }
@@ -176,28 +176,28 @@
 func (adminSubsystem) Reload()                  {}
 func (adminSubsystem) SuccessorChanged(bool)    {}
 func (adminSubsystem) BeginShutdown(float64)    {}
-func (o adminSubsystem) EndShutdown(by float64) { o.Close(by) }
+func (a adminSubsystem) EndShutdown(by float64) { a.Close(by) }
 
 // adminNode is the node as the admin port sees it.
 type adminNode struct{ *Node }
 
 // Ready reports whether the process can serve. If it takes over from a predecessor, the handover must have gone
 // far enough that the predecessor may be told to stop.
-func (o adminNode) Ready() bool {
-	return o.serving.Load() && o.accepting.Load() && (o.upgrade == nil || o.upgrade.TakeoverAcknowledged())
+func (a adminNode) Ready() bool {
+	return a.serving.Load() && a.accepting.Load() && (a.upgrade == nil || a.upgrade.TakeoverAcknowledged())
 }
 
-func (o adminNode) AppendMetrics(b []byte) []byte {
-	return o.counters.AppendText(b, o.PendingRequests())
+func (a adminNode) AppendMetrics(b []byte) []byte {
+	return a.counters.AppendText(b, a.PendingRequests())
 }
 
-func (o adminNode) SetDraining(on bool, by float64) bool {
+func (a adminNode) SetDraining(on bool, by float64) bool {
 	done := make(chan struct{})
 	timeout := time.NewTimer(time.Until(timeOf(by)))
 	defer timeout.Stop()
 	select {
-	case o.inputs <- core.OperatorDrain{On: on, Done: func() { o.setOperatorDrained(on); close(done) }}:
-	case <-o.done:
+	case a.inputs <- core.OperatorDrain{On: on, Done: func() { a.setOperatorDrained(on); close(done) }}:
+	case <-a.done:
 		return false
 	case <-timeout.C:
 		return false
@@ -205,7 +205,7 @@
 	select {
 	case <-done:
 		return true
-	case <-o.done:
+	case <-a.done:
 		return false
 	case <-timeout.C:
 		return false
@@ -216,8 +216,8 @@
 // and does not block.
 func (n *Node) setOperatorDrained(on bool) {
 	n.operatorDrained.Store(on)
-	n.eachSubsystem(func(p Subsystem) {
-		if d, ok := p.(interface{ SetOperatorDrain(on bool) }); ok {
+	n.eachSubsystem(func(s Subsystem) {
+		if d, ok := s.(interface{ SetOperatorDrain(on bool) }); ok {
 			d.SetOperatorDrain(on)
 		}
 	})
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -99,7 +99,7 @@
 func (n *Node) successorChanged(on bool) {
 	n.successorActive.Store(on)
 	n.setSharing(on)
-	n.eachSubsystem(func(p Subsystem) { p.SuccessorChanged(on) })
+	n.eachSubsystem(func(s Subsystem) { s.SuccessorChanged(on) })
 	if !on {
 		n.reporter.sendNow()
 		return
