--- a/cmd/whinrudder-kit/days.go
+++ b/cmd/whinrudder-kit/days.go
@@ -173,7 +173,7 @@
 // dayCommands returns the commands that play simulated days of a fleet.
 func dayCommands(out io.Writer) []*cli.Command {
 	common := []cli.Flag{
-		&cli.IntFlag{Name: "seeds", Usage: "how many days of each kind, instead of the number in the file"},
+		&cli.IntFlag{Name: "seeds", Usage: "how many days of each kind, in place of what the file says"},
 		&cli.Uint64Flag{Name: "first-seed", Usage: "of the days: the seed of the first; the others follow it"},
 		&cli.StringSliceFlag{Name: "policy",
 			Usage: "compare these policies instead of the file's variants, the others with the first"},
@@ -234,7 +234,7 @@
 		}),
 	}, {
 		Name: "sweep", Usage: "play a day with a range of values of one of its parameters", ArgsUsage: "EXPERIMENT...",
-		Flags: flags(&cli.StringFlag{Name: "key", Usage: "path of the parameter in the day", Value: "load"},
+		Flags: flags(&cli.StringFlag{Name: "key", Usage: "path of the figure in the day", Value: "load"},
 			&cli.FloatFlag{Name: "from", Value: 0.3},
 			&cli.FloatFlag{Name: "to", Value: 1.5}, &cli.IntFlag{Name: "steps", Value: 9}),
 		Action: runStudies(func(c *cli.Command, e *experiment.Experiment) error {
@@ -254,7 +254,7 @@
 		Name: "replay", Usage: "play one day of an experiment and print all its results", ArgsUsage: "EXPERIMENT",
 		Flags: flags(&cli.Uint64Flag{Name: "seed", Value: 1}, &cli.FloatFlag{Name: "x", Usage: "value of the sweep"},
 			&cli.StringFlag{Name: "plot", Usage: "file for a plot of the day"},
-			&cli.StringFlag{Name: "day", Usage: "file for the drawn day"}),
+			&cli.StringFlag{Name: "day", Usage: "file for the day as it was drawn"}),
 		Action: func(_ context.Context, c *cli.Command) error {
 			e, err := oneExperiment(c)
 			if err != nil {
--- a/cmd/whinrudder-kit/lab.go
+++ b/cmd/whinrudder-kit/lab.go
@@ -38,11 +38,11 @@
 			Flags: []cli.Flag{
 				&cli.IntFlag{Name: "seeds", Usage: "how many days", Value: 30},
 				&cli.Uint64Flag{Name: "first-seed", Usage: "seed of the first day", Value: 1},
-				&cli.FloatFlag{Name: "load-low", Usage: "least load, as a share of the cores of a warm machine",
+				&cli.FloatFlag{Name: "load-low", Usage: "least share of a warm machine's cores that is asked for",
 					Value: 0.35},
-				&cli.FloatFlag{Name: "load-high", Usage: "and the highest load", Value: 0.65},
+				&cli.FloatFlag{Name: "load-high", Usage: "and the largest", Value: 0.65},
 				&cli.StringFlag{Name: "json",
-					Usage: "file for JSON lines: one for each pair of variant and seed, and a summary"},
+					Usage: "file for one JSON line a pair of variant and seed, and a summary line"},
 			},
 			Action: func(_ context.Context, c *cli.Command) error {
 				load := lab.LoadRange{Low: c.Float("load-low"), High: c.Float("load-high")}
--- a/cmd/whinrudder-kit/proxy.go
+++ b/cmd/whinrudder-kit/proxy.go
@@ -63,10 +63,10 @@
 			&cli.StringFlag{Name: "protocol", Usage: "towards nodes: http, h2c or uwsgi", Value: "http"},
 			&cli.StringSliceFlag{Name: "class",
 				Usage: "a class that is accepted: NAME, or NAME:write if its requests must not run twice"},
-			&cli.IntFlag{Name: "number", Usage: "of this caller; nodes distinguish callers by it"},
-			&cli.IntFlag{Name: "subset", Usage: "how many nodes the proxy uses; 0: all"},
+			&cli.IntFlag{Name: "number", Usage: "of this caller, as nodes tell them apart"},
+			&cli.IntFlag{Name: "subset", Usage: "how many nodes it uses; 0: all"},
 			&cli.BoolFlag{Name: "affinity", Usage: "keep the requests of one subject to one node"},
-			&cli.BoolFlag{Name: "hedge", Usage: "hedge slow reads"},
+			&cli.BoolFlag{Name: "hedge", Usage: "hedge reads that take long"},
 			&cli.StringFlag{Name: "metrics", Usage: "address of /metrics; empty: none"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/cmd/whinrudder-kit/search.go
+++ b/cmd/whinrudder-kit/search.go
@@ -53,7 +53,7 @@
 			&cli.IntFlag{Name: "rounds", Value: 6},
 			&cli.IntFlag{Name: "tries", Value: 8}, &cli.Uint64Flag{Name: "first-seed", Value: 1},
 			&cli.StringSliceFlag{Name: "policy"},
-			&cli.StringFlag{Name: "days", Usage: "folder for the found days"}},
+			&cli.StringFlag{Name: "days", Usage: "folder for the days that are found"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			e, err := oneExperiment(c)
 			if err != nil {
@@ -121,8 +121,9 @@
 	return &cli.Command{
 		Name: "shrink", Usage: "find a day that breaks a rule, and reduce it to a small day that breaks it too",
 		ArgsUsage: "EXPERIMENT",
-		Flags: []cli.Flag{&cli.IntFlag{Name: "seeds", Usage: "days to examine"}, &cli.Uint64Flag{Name: "first-seed"},
-			&cli.IntFlag{Name: "plays", Usage: "at most, to reduce the day", Value: 2000},
+		Flags: []cli.Flag{&cli.IntFlag{Name: "seeds", Usage: "days that are looked at"},
+			&cli.Uint64Flag{Name: "first-seed"},
+			&cli.IntFlag{Name: "plays", Usage: "at most, to cut it down", Value: 2000},
 			&cli.StringFlag{Name: "out", Usage: "file for the small day", Value: "broken.json"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			e, err := oneExperiment(c)
@@ -173,7 +174,7 @@
 		ArgsUsage: "EXPERIMENT",
 		Flags: []cli.Flag{&cli.IntFlag{Name: "seeds"}, &cli.Uint64Flag{Name: "first-seed"},
 			&cli.StringSliceFlag{Name: "policy"},
-			&cli.StringFlag{Name: "plot", Usage: "file for a plot of the first collapse and of a remedy that ends it"}},
+			&cli.StringFlag{Name: "plot", Usage: "file for a plot of the first that is found, with what ends it"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			e, err := oneExperiment(c)
 			if err != nil {
@@ -246,7 +247,7 @@
 		Flags: []cli.Flag{&cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.StringFlag{Name: "program",
 				Usage: "the node's program; by default whinrudder in the folder of this program"},
-			&cli.StringFlag{Name: "plot", Usage: "file for a plot of both plays"}},
+			&cli.StringFlag{Name: "plot", Usage: "file for a plot of both"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			e, d, err := oneDay(c)
 			if err != nil {
@@ -277,7 +278,7 @@
 			&cli.StringFlag{Name: "program",
 				Usage: "the node's program; by default whinrudder in the folder of this program"},
 			&cli.StringFlag{Name: "protocol", Usage: "http, h2c or uwsgi", Value: "http"},
-			&cli.BoolFlag{Name: "proxy", Usage: "the callers are client proxies, each in its own process"}},
+			&cli.BoolFlag{Name: "proxy", Usage: "the callers are client proxies, each a process of its own"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			_, d, err := oneDay(c)
 			if err != nil {
--- a/cmd/whinrudder/kept.go
+++ b/cmd/whinrudder/kept.go
@@ -40,7 +40,7 @@
 		},
 		Commands: []*cli.Command{
 			{Name: "list", Usage: "a line for each operation", Flags: []cli.Flag{dir,
-				&cli.StringFlag{Name: "state", Usage: "only operations in this state: in-doubt, finished or failed"}},
+				&cli.StringFlag{Name: "state", Usage: "only those: in-doubt, finished or failed"}},
 				Action: withContents(func(contents *kept.Contents, c *cli.Command) error {
 					contents.List(out, c.String("state"))
 					return nil
@@ -61,8 +61,8 @@
 			{Name: "resolve", Usage: "tell the outcome of an operation in doubt", ArgsUsage: "KEY",
 				Flags: []cli.Flag{dir,
 					&cli.StringFlag{Name: "how", Usage: "finished, failed or not-run", Required: true},
-					&cli.StringFlag{Name: "result", Usage: "of a finished operation: the result that its callers get"},
-					&cli.StringFlag{Name: "by", Usage: "who reports the outcome", Required: true}},
+					&cli.StringFlag{Name: "result", Usage: "of one that finished: what its callers get"},
+					&cli.StringFlag{Name: "by", Usage: "who says so", Required: true}},
 				Action: withContents(func(contents *kept.Contents, c *cli.Command) error {
 					resolution := kept.Resolution{Key: c.Args().First(), Result: []byte(c.String("result")),
 						By: c.String("by")}
--- a/cmd/whinrudder/main.go
+++ b/cmd/whinrudder/main.go
@@ -37,7 +37,7 @@
 	operator := &cli.StringFlag{Name: "operator",
 		Usage:   "operator's file, JSON or Jsonnet: uwsgi, ZooKeeper, peers; these are off without it",
 		Sources: cli.EnvVars("WHINRUDDER_OPERATOR")}
-	addr := &cli.StringFlag{Name: "addr", Usage: "address of a node's listener", Value: "127.0.0.1:8080"}
+	addr := &cli.StringFlag{Name: "addr", Usage: "address of a front", Value: "127.0.0.1:8080"}
 	protocol := &cli.StringFlag{Name: "protocol", Usage: "http, uwsgi or h2c", Value: "http"}
 	return &cli.Command{
 		Name: "whinrudder", Writer: out, Usage: "payout node with admission control and load shedding",
@@ -76,7 +76,7 @@
 				}},
 			{Name: "health", Usage: "ask a node for its health and print the answer",
 				Flags: []cli.Flag{addr, protocol, &cli.BoolFlag{Name: "real",
-					Usage: "ask whether the node completes work"}},
+					Usage: "ask whether work gets done"}},
 				Action: func(_ context.Context, c *cli.Command) error {
 					return ask(out, c, "check", map[bool]string{true: "real"}[c.Bool("real")])
 				}},
--- a/cmd/whinrudder/peers.go
+++ b/cmd/whinrudder/peers.go
@@ -60,7 +60,7 @@
 		Usage:     "make a test certificate authority and keys for nodes, to try out the peer port",
 		ArgsUsage: "DIR NODE [NODE ...]",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "days", Usage: "how many days the certificates are valid", Value: 30},
+			&cli.IntFlag{Name: "days", Usage: "how long they are good", Value: 30},
 			&cli.StringFlag{Name: "name", Usage: "name in the certificates", Value: peertls.DefaultPeerName},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
