--- a/internal/emu/experiment/days.go
+++ b/internal/emu/experiment/days.go
@@ -5,16 +5,20 @@
 	"strings"
 )
 
+// dayFiles holds the experiment files that are built into the kit.
+//
 //go:embed days/*.jsonnet
-var days embed.FS
+var dayFiles embed.FS
 
-// Families lists the names of the kinds of days that ship with the kit, in order.
+// Families returns the names of the families of days that are built into the kit, in display order.
 func Families() []string {
-	return []string{"calm", "burst", "crash", "crawl", "deploy", "overload", "cold", "storm", "budget", "fastest", "partition", "stall", "eid", "collapse"}
+	return []string{"calm", "burst", "crash", "crawl", "deploy", "overload", "cold", "storm", "budget", "fastest",
+		"partition", "stall", "eid", "collapse"}
 }
 
-// FamilySource returns the file of a family that ships with the kit; ok is false if there is none.
+// FamilySource returns the experiment file of a built-in family. The suffix .jsonnet of the name is optional; ok is false
+// for an unknown family.
 func FamilySource(family string) (text []byte, ok bool) {
-	b, err := days.ReadFile("days/" + strings.TrimSuffix(family, ".jsonnet") + ".jsonnet")
+	b, err := dayFiles.ReadFile("days/" + strings.TrimSuffix(family, ".jsonnet") + ".jsonnet")
 	return b, err == nil
 }
--- a/internal/emu/experiment/experiment.go
+++ b/internal/emu/experiment/experiment.go
@@ -1,6 +1,7 @@
-// Package experiment reads experiments: files in Jsonnet, or plain JSON, that say which day or family of days is played, with
-// which policies, over which sweep and for how many seeds. A figure that a file gives as [low, high] is drawn by the seed. A
-// file is checked whole and every fault named by its path. The package knows no files.
+// Package experiment parses experiment files. A file in Jsonnet or JSON describes a day or a family of days, the policies to
+// compare, an optional sweep of one parameter, and the number of seeds. A number given as [low, high] is drawn by the seed.
+// Parsing checks the whole file and reports each error with the path of its field. The package does no file access itself,
+// apart from the embedded families of days.
 package experiment
 
 import (
@@ -18,19 +19,20 @@
 	"whinrudder/internal/vtime"
 )
 
-// PolicyNames are the names of what may run in the nodes of a day. The module is the node's own.
+// PolicyNames are the names of the admission policies that simulated nodes can run: "module" is the policy of the real node,
+// the others are baselines for comparison.
 var PolicyNames = []string{"module", "none", "fixed", "codel", "aimd", "gradient2", "vegas"}
 
-// Policy is what runs in the nodes of a variant.
+// Policy is the admission policy of the nodes of a variant, with its parameters.
 type Policy struct {
-	Name        string  // of PolicyNames
-	Limit       float64 // of running requests: the fixed one, or the first of one that learns
-	MaxQueued   int     // requests that may wait
-	CoDelFactor float64 // by which CoDel's figures, made for fast services, are multiplied
-	AIMDTimeout float64 // milliseconds after which AIMD takes a run for lost
+	Name        string  // one of PolicyNames
+	Limit       float64 // concurrency limit: the fixed one, or the initial one of a policy that adapts it
+	MaxQueued   int     // maximum length of the queue, in requests
+	CoDelFactor float64 // multiplier of CoDel's times, which are made for fast services
+	AIMDTimeout float64 // milliseconds after which AIMD counts a run as lost
 }
 
-// NewPolicy returns a policy with its usual figures, which were set by hand for six cores.
+// NewPolicy returns a policy with its default parameters, which suit nodes of six cores.
 func NewPolicy(name string) Policy {
 	p := Policy{Name: name, Limit: 6, MaxQueued: 6, CoDelFactor: 10, AIMDTimeout: 1500}
 	switch name {
@@ -44,78 +46,78 @@
 	return p
 }
 
-// NodeFactory returns what makes nodes with the policy.
+// NodeFactory returns a factory of nodes that run the policy.
 func (p Policy) NodeFactory() fleet.NodeFactory {
 	if p.Name == "module" {
 		return fleet.NewModuleNode
 	}
 	return func(s whinrudder.Settings, _ uint64) (baseline.Node, error) {
-		var l baseline.Limiter
-		var how baseline.Discipline = baseline.FIFO{}
+		var limiter baseline.Limiter
+		var discipline baseline.Discipline = baseline.FIFO{}
 		switch p.Name {
 		case "none":
-			l = baseline.Unlimited{}
+			limiter = baseline.Unlimited{}
 		case "fixed":
-			l = baseline.Fixed(p.Limit)
+			limiter = baseline.Fixed(p.Limit)
 		case "codel":
-			l, how = baseline.Fixed(p.Limit), baseline.NewCoDel(p.CoDelFactor)
+			limiter, discipline = baseline.Fixed(p.Limit), baseline.NewCoDel(p.CoDelFactor)
 		case "aimd":
-			l = baseline.NewAIMD(p.Limit, p.AIMDTimeout)
+			limiter = baseline.NewAIMD(p.Limit, p.AIMDTimeout)
 		case "gradient2":
-			l = baseline.NewGradient2(p.Limit)
+			limiter = baseline.NewGradient2(p.Limit)
 		case "vegas":
-			l = baseline.NewVegas(p.Limit)
+			limiter = baseline.NewVegas(p.Limit)
 		default:
-			return nil, fmt.Errorf("no policy %q", p.Name)
+			return nil, fmt.Errorf("unknown policy %q", p.Name)
 		}
-		return baseline.NewServer(l, how, p.MaxQueued, s.Rules.DrainGrace), nil
+		return baseline.NewServer(limiter, discipline, p.MaxQueued, s.Rules.DrainGrace), nil
 	}
 }
 
-// Variant is one way to play the days.
+// Variant is one configuration of an experiment that plays all of its days.
 type Variant struct {
 	Name   string
 	Policy Policy
 
-	patch *fastjson.Value // of the day; nil: none
+	patch *fastjson.Value // keys that replace those of the day; nil if none
 }
 
-// Sweep lets one figure of the day take some values.
+// Sweep plays the days with each of several values of one number of the day.
 type Sweep struct {
-	Key    string // its path in the day
+	Key    string // path of the field in the day, such as troubles.0.share
 	Values []float64
 }
 
-// Experiment is what a file says.
+// Experiment is a parsed experiment file.
 type Experiment struct {
 	Name      string
-	Variants  []Variant // the first is what the others are compared with
-	Sweep     Sweep     // without a key: none
+	Variants  []Variant // the others are compared with the first
+	Sweep     Sweep     // no sweep if its key is empty
 	FirstSeed vtime.Seed
 	Seeds     int
-	MinEffect float64  // the least difference that matters; 0: any
-	StopEarly bool     // to play on only until every difference is clear
-	Measures  []string // the first is what decides
+	MinEffect float64  // the smallest difference that matters; 0 if every difference does
+	StopEarly bool     // stop before all seeds are played once every comparison has a verdict
+	Measures  []string // the verdict rests on the first
 
 	day *fastjson.Value
 }
 
 // Limits of an experiment.
 const (
-	maxVariants = 16
-	maxSweep    = 50
-	maxSeeds    = 10000
+	maxVariants    = 16
+	maxSweepValues = 50
+	maxSeeds       = 10000
 )
 
-// Parse reads a file. One that is no JSON is handed to evaluate, which returns its value as JSON.
+// Parse parses and checks an experiment file. If the text is not JSON, it is passed to evaluate, which returns it as JSON.
 func Parse(text []byte, path string, evaluate func(text []byte, path string) (string, error)) (*Experiment, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		json, fault := evaluate(text, path)
-		if fault != nil {
-			return nil, fmt.Errorf("experiment: %w", fault)
+		evaluated, evalErr := evaluate(text, path)
+		if evalErr != nil {
+			return nil, fmt.Errorf("experiment: %w", evalErr)
 		}
-		if v, err = fastjson.Parse(json); err != nil {
+		if v, err = fastjson.Parse(evaluated); err != nil {
 			return nil, fmt.Errorf("experiment: %w", err)
 		}
 	}
@@ -126,11 +128,11 @@
 		return nil, r.err()
 	}
 	e.Name = r.text(o, "", "name", "experiment")
-	e.Seeds = r.count(o, "", "seeds", 30, 1, maxSeeds)
+	e.Seeds = r.integer(o, "", "seeds", 30, 1, maxSeeds)
 	e.FirstSeed = vtime.Seed(r.seed(o, "", "first_seed", 1))
-	e.MinEffect, e.StopEarly = r.figure(o, "", "effect", 0, 0, 1), r.flag(o, "", "stop", false)
+	e.MinEffect, e.StopEarly = r.float(o, "", "effect", 0, 0, 1), r.boolean(o, "", "stop", false)
 	if e.StopEarly && e.MinEffect == 0 {
-		r.fault("stop", "wants an effect: without one a small difference is played for without end")
+		r.addError("stop", "wants an effect: without one a small difference is played for without end")
 	}
 	e.day = o.Get("day")
 	if e.day == nil {
@@ -144,7 +146,7 @@
 	for i, m := range r.list("measure", o.Get("measure"), len(Measures)) {
 		name := string(m.GetStringBytes())
 		if MeasureByName(name) == nil {
-			r.fault(at("measure", i), "is %q, want one of %s", name, strings.Join(MeasureNames(), ", "))
+			r.addError(at("measure", i), "is %q, want one of %s", name, strings.Join(MeasureNames(), ", "))
 		}
 		e.Measures = append(e.Measures, name)
 	}
@@ -154,6 +156,7 @@
 	return e, r.err()
 }
 
+// variants reads the variants of the file. Without any, the node's own policy is the only variant.
 func (e *Experiment) variants(r *reader, o *fastjson.Value) {
 	for i, v := range r.list("variants", o.Get("variants"), maxVariants) {
 		path := at("variants", i)
@@ -161,47 +164,51 @@
 		if v == nil {
 			continue
 		}
-		p := NewPolicy(PolicyNames[r.named(v, path, "policy", 0, PolicyNames)])
-		p.Limit, p.CoDelFactor = r.figure(v, path, "limit", p.Limit, 1, 1e6), r.figure(v, path, "times", p.CoDelFactor, 0.01, 1e4)
-		p.MaxQueued, p.AIMDTimeout = r.count(v, path, "queue", p.MaxQueued, 0, 1e6), r.figure(v, path, "timeout_ms", p.AIMDTimeout, 1, 3600e3)
-		w := Variant{Name: r.text(v, path, "name", p.Name), Policy: p, patch: v.Get("day")}
-		if w.patch != nil {
-			r.day(e.merged(w.patch), e.FirstSeed)
+		p := NewPolicy(PolicyNames[r.enumIndex(v, path, "policy", 0, PolicyNames)])
+		p.Limit, p.CoDelFactor = r.float(v, path, "limit", p.Limit, 1, 1e6), r.float(v, path, "times", p.CoDelFactor,
+			0.01, 1e4)
+		p.MaxQueued, p.AIMDTimeout = r.integer(v, path, "queue", p.MaxQueued, 0, 1e6), r.float(v, path, "timeout_ms",
+			p.AIMDTimeout, 1, 3600e3)
+		variant := Variant{Name: r.text(v, path, "name", p.Name), Policy: p, patch: v.Get("day")}
+		if variant.patch != nil {
+			r.day(e.merged(variant.patch), e.FirstSeed)
 		}
-		if slices.ContainsFunc(e.Variants, func(x Variant) bool { return x.Name == w.Name }) {
-			r.fault(path+".name", "is %q for the second time", w.Name)
+		if slices.ContainsFunc(e.Variants, func(x Variant) bool { return x.Name == variant.Name }) {
+			r.addError(path+".name", "is %q for the second time", variant.Name)
 		}
-		e.Variants = append(e.Variants, w)
+		e.Variants = append(e.Variants, variant)
 	}
 	if len(e.Variants) == 0 {
 		e.Variants = []Variant{{Name: "module", Policy: NewPolicy("module")}}
 	}
 }
 
+// sweep reads a sweep, given either by its values or by a range and a number of steps.
 func (e *Experiment) sweep(r *reader, s *fastjson.Value) {
 	e.Sweep.Key = r.text(s, "sweep", "key", "")
-	for i, v := range r.list("sweep.values", s.Get("values"), maxSweep) {
+	for i, v := range r.list("sweep.values", s.Get("values"), maxSweepValues) {
 		e.Sweep.Values = append(e.Sweep.Values, r.number(at("sweep.values", i), v, -1e9, 1e9))
 	}
 	if len(e.Sweep.Values) == 0 {
-		e.Sweep.Values = Steps(r.figure(s, "sweep", "from", 0, -1e9, 1e9), r.figure(s, "sweep", "to", 1, -1e9, 1e9), r.count(s, "sweep", "steps", 5, 2, maxSweep))
+		e.Sweep.Values = Steps(r.float(s, "sweep", "from", 0, -1e9, 1e9), r.float(s, "sweep", "to", 1, -1e9, 1e9),
+			r.integer(s, "sweep", "steps", 5, 2, maxSweepValues))
 	}
-	if err := e.check(); err != nil {
-		r.faults = append(r.faults, err)
+	if err := e.checkSweep(); err != nil {
+		r.errs = append(r.errs, err)
 	}
 }
 
-// SetSweep lets a figure of the day take some values, in place of what the file says.
+// SetSweep replaces the sweep of the file.
 func (e *Experiment) SetSweep(s Sweep) error {
-	if len(s.Values) == 0 || len(s.Values) > maxSweep {
-		return fmt.Errorf("experiment: sweep has %d values, want 1 to %d", len(s.Values), maxSweep)
+	if len(s.Values) == 0 || len(s.Values) > maxSweepValues {
+		return fmt.Errorf("experiment: sweep has %d values, want 1 to %d", len(s.Values), maxSweepValues)
 	}
 	e.Sweep = s
-	return e.check()
+	return e.checkSweep()
 }
 
-// check tells whether the sweep can be played.
-func (e *Experiment) check() error {
+// checkSweep returns an error if a variant has no valid day at a value of the sweep.
+func (e *Experiment) checkSweep() error {
 	for _, v := range e.Sweep.Values {
 		for i := range e.Variants {
 			if _, err := e.Day(i, v, e.FirstSeed, nil); err != nil {
@@ -212,7 +219,7 @@
 	return nil
 }
 
-// Steps returns so many values, evenly from one to another.
+// Steps returns n evenly spaced values from one end to the other, rounded to nine decimals.
 func Steps(from, to float64, n int) (out []float64) {
 	for i := range n {
 		out = append(out, math.Round(1e9*vtime.Range{Low: from, High: to}.At(float64(i)/float64(max(1, n-1))))/1e9)
@@ -220,7 +227,7 @@
 	return out
 }
 
-// merged returns the day with the keys of a patch in place of its own.
+// merged returns a copy of the day in which the keys of the patch replace those of the day.
 func (e *Experiment) merged(patch *fastjson.Value) *fastjson.Value {
 	out := fastjson.MustParseBytes(e.day.MarshalTo(nil))
 	if patch != nil {
@@ -229,32 +236,33 @@
 	return out
 }
 
-// Day draws the day of a variant for a seed, at a value of the sweep. Place says where in its range each figure is, 0 to 1;
-// nil draws it by the seed.
-func (e *Experiment) Day(variant int, swept float64, seed vtime.Seed, place func(path string) float64) (fleet.Day, error) {
+// Day draws the day of a variant for a seed, at a value of the sweep. The function position returns where a number lies
+// within its range, 0 to 1; if it is nil, the seed decides.
+func (e *Experiment) Day(variant int, sweepValue float64, seed vtime.Seed,
+	position func(path string) float64) (fleet.Day, error) {
 	v := e.merged(e.Variants[variant].patch)
 	if e.Sweep.Key != "" {
-		if err := set(v, e.Sweep.Key, swept); err != nil {
+		if err := setValue(v, e.Sweep.Key, sweepValue); err != nil {
 			return fleet.Day{}, err
 		}
 	}
-	if place == nil {
-		place = func(path string) float64 { return seed.Split("figure "+path, 0).Uniform() }
+	if position == nil {
+		position = func(path string) float64 { return seed.Split("figure "+path, 0).Uniform() }
 	}
-	r := &reader{draw: place}
+	r := &reader{draw: position}
 	d := r.day(v, seed)
 	return d, r.err()
 }
 
-// Dimensions returns the figures of the day that are drawn.
+// Dimensions returns the numbers of the day that are drawn from a range.
 func (e *Experiment) Dimensions() []Dimension {
 	r := &reader{draw: func(string) float64 { return 0.5 }}
 	r.day(e.day, e.FirstSeed)
-	return r.dims
+	return r.dimensions
 }
 
-// set puts a figure at a path of a day: troubles.0.share.
-func set(v *fastjson.Value, path string, to float64) error {
+// setValue sets the number at a path of a day, such as troubles.0.share.
+func setValue(v *fastjson.Value, path string, to float64) error {
 	keys := strings.Split(path, ".")
 	for i, k := range keys[:len(keys)-1] {
 		next := v.Get(k)
@@ -269,28 +277,30 @@
 	}
 	var a fastjson.Arena
 	if v.Type() == fastjson.TypeArray {
-		return fmt.Errorf("%s is an element and no figure", path)
+		return fmt.Errorf("%s is a list element, not a number", path)
 	}
 	v.Set(keys[len(keys)-1], a.NewNumberFloat64(to))
 	return nil
 }
 
-func uintText(n uint64) string { return strconv.FormatUint(n, 10) }
+// formatUint formats an unsigned number, which JSON floats cannot hold exactly.
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// SetPolicies puts policies with their usual figures in place of the variants.
+// SetPolicies replaces the variants by one for each policy, with default parameters.
 func (e *Experiment) SetPolicies(policies []string) error {
-	var all []Variant
+	var variants []Variant
 	for _, p := range policies {
 		if !slices.Contains(PolicyNames, p) {
 			return fmt.Errorf("experiment: policy %q is none of %s", p, strings.Join(PolicyNames, ", "))
 		}
-		all = append(all, Variant{Name: p, Policy: NewPolicy(p)})
+		variants = append(variants, Variant{Name: p, Policy: NewPolicy(p)})
 	}
-	e.Variants = all
+	e.Variants = variants
 	return nil
 }
 
-// MatchVariants makes the variants those of results, by their names: the file's own, or policies in their place.
+// MatchVariants makes the variants fit the names in stored results: it keeps those of the file if the names are equal, and
+// otherwise takes each name as a policy.
 func (e *Experiment) MatchVariants(names []string) error {
 	if slices.EqualFunc(e.Variants, names, func(v Variant, n string) bool { return v.Name == n }) {
 		return nil
--- a/internal/emu/experiment/measures.go
+++ b/internal/emu/experiment/measures.go
@@ -2,14 +2,14 @@
 
 import "whinrudder/internal/emu/fleet"
 
-// Measure is a figure of a day that was played.
+// Measure is a number taken from the result of a simulated day.
 type Measure struct {
 	Name, Unit    string
-	LowerIsBetter bool // less is better
+	LowerIsBetter bool
 	Value         func(r *fleet.Result) float64
 }
 
-// Measures are what can be measured.
+// Measures are all available measures, in the order in which reports list them.
 var Measures = []Measure{
 	{"goal", "share", false, func(r *fleet.Result) float64 { return r.GoalScore }},
 	{"whole", "share", false, func(r *fleet.Result) float64 { return r.OverallWorthRatio }},
@@ -22,16 +22,25 @@
 	{"p99", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.99) }},
 	{"p999", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.999) }},
 	{"waste", "share", true, func(r *fleet.Result) float64 { return r.WastedWorkRatio }},
-	{"tries", "a request", true, func(r *fleet.Result) float64 { return float64(r.Tries) / float64(max(1, r.Requests)) }},
-	{"repeats", "a request", true, func(r *fleet.Result) float64 { return float64(r.ClientRetries) / float64(max(1, r.Requests)) }},
-	{"refused", "a request", true, func(r *fleet.Result) float64 { return float64(r.Refused) / float64(max(1, r.Requests)) }},
+	{"tries", "a request", true, func(r *fleet.Result) float64 {
+		return float64(r.Tries) / float64(max(1,
+			r.Requests))
+	}},
+	{"repeats", "a request", true, func(r *fleet.Result) float64 {
+		return float64(r.ClientRetries) / float64(max(1,
+			r.Requests))
+	}},
+	{"refused", "a request", true, func(r *fleet.Result) float64 {
+		return float64(r.Refused) / float64(max(1,
+			r.Requests))
+	}},
 	{"again", "writes", true, func(r *fleet.Result) float64 { return float64(r.RepeatedWrites) }},
 	{"peak_runs", "a node", true, func(r *fleet.Result) float64 { return r.PeakRuns() }},
 	{"fell", "nodes", true, func(r *fleet.Result) float64 { return float64(r.OverloadCrashes) }},
 	{"broken", "rules", true, func(r *fleet.Result) float64 { return float64(len(r.Violations)) }},
 }
 
-// MeasureByName returns the measure of a name, or nil.
+// MeasureByName returns the measure with a name, or nil if there is none.
 func MeasureByName(name string) *Measure {
 	for i := range Measures {
 		if Measures[i].Name == name {
@@ -41,7 +50,7 @@
 	return nil
 }
 
-// MeasureNames lists what can be measured.
+// MeasureNames returns the names of all measures.
 func MeasureNames() (out []string) {
 	for _, m := range Measures {
 		out = append(out, m.Name)
