--- a/internal/emu/experiment/day.go
+++ b/internal/emu/experiment/day.go
@@ -29,8 +29,8 @@
 	"subjects", "troubles",
 	"cold_fleet", "only", "slack_ms"}
 
-// day reads a day. Times in a file are in seconds, except those whose key ends in _ms. A key that is absent keeps the value
-// of fleet.DefaultDay.
+// day reads a day. Times in a file are in seconds, except those whose key ends in _ms. A key that is absent keeps the
+// value of fleet.DefaultDay.
 func (r *reader) day(v *fastjson.Value, seed vtime.Seed) fleet.Day {
 	d := fleet.DefaultDay(seed)
 	o := r.object("", v, dayKeys...)
@@ -48,14 +48,14 @@
 		"ramp", d.RampTime, 3600)
 	d.ContentionThreshold, d.ContentionLoss = r.valueRange(o, "", "crowd_at", d.ContentionThreshold, 0.1, 1000),
 		r.valueRange(o, "", "crowd_loss", d.ContentionLoss, 0, 10)
-	d.OverloadThreshold, d.MemoryRunsPerCore = r.float(o, "", "fall_at", d.OverloadThreshold, 1, 1e6), r.float(o, "",
-		"runs", d.MemoryRunsPerCore, 1, 1e6)
+	d.OverloadThreshold, d.MemoryRunsPerCore = r.float(o, "", "fall_at", d.OverloadThreshold, 1, 1e6),
+		r.float(o, "", "runs", d.MemoryRunsPerCore, 1, 1e6)
 	d.ReadWorkRatio, d.WorkCV = r.float(o, "", "reading", d.ReadWorkRatio, 0, 10), r.float(o, "", "spread", d.WorkCV,
 		0, 10)
 	d.NetworkDelay, d.LossRate = r.valueRange(o, "", "delay_ms", d.NetworkDelay, 0, 60e3), r.float(o, "", "loss",
 		d.LossRate, 0, 0.9)
-	d.ListLag, d.SessionTimeout = 1000*r.float(o, "", "list_lag", d.ListLag/1000, 0, 600), 1000*r.float(o, "",
-		"session", d.SessionTimeout/1000, 0, 600)
+	d.ListLag, d.SessionTimeout = 1000*r.float(o, "", "list_lag", d.ListLag/1000, 0, 600),
+		1000*r.float(o, "", "session", d.SessionTimeout/1000, 0, 600)
 	d.DrainGrace, d.StopDelay = 1000*r.float(o, "", "drain", d.DrainGrace/1000, 0, 600), 1000*r.float(o, "", "stop",
 		d.StopDelay/1000, 0.2, 600)
 	d.Subjects = r.integer(o, "", "subjects", d.Subjects, 1, 1e9)
@@ -194,8 +194,8 @@
 	return t
 }
 
-// MarshalDay returns an experiment file that replays the day with a policy. The file has no ranges to draw from: only the
-// seed of the day drives the simulation.
+// MarshalDay returns an experiment file that replays the day with a policy. The file has no ranges to draw from: only
+// the seed of the day drives the simulation.
 func MarshalDay(d fleet.Day, policy string) []byte {
 	var a fastjson.Arena
 	object := func(pairs ...any) *fastjson.Value {
@@ -263,8 +263,7 @@
 				"factor", f.Factor)
 		}))
 	if d.OnlyRequests != nil {
-		day.Set("only", list(len(d.OnlyRequests),
-			func(i int) *fastjson.Value { return a.NewNumberInt(d.OnlyRequests[i]) }))
+		day.Set("only", list(len(d.OnlyRequests), func(i int) *fastjson.Value { return a.NewNumberInt(d.OnlyRequests[i]) }))
 	}
 	return append(object("name", "replay", "day", day, "variants", list(1, func(int) *fastjson.Value {
 		return object("policy", policy)
--- a/internal/emu/experiment/days.go
+++ b/internal/emu/experiment/days.go
@@ -16,8 +16,8 @@
 		"partition", "stall", "eid", "collapse"}
 }
 
-// FamilySource returns the experiment file of a built-in family. The suffix .jsonnet of the name is optional; ok is false
-// for an unknown family.
+// FamilySource returns the experiment file of a built-in family. The suffix .jsonnet of the name is optional; ok is
+// false for an unknown family.
 func FamilySource(family string) (text []byte, ok bool) {
 	b, err := dayFiles.ReadFile("days/" + strings.TrimSuffix(family, ".jsonnet") + ".jsonnet")
 	return b, err == nil
--- a/internal/emu/experiment/experiment.go
+++ b/internal/emu/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment parses experiment files. A file in Jsonnet or JSON describes a day or a family of days, the policies to
-// compare, an optional sweep of one parameter, and the number of seeds. A number given as [low, high] is drawn by the seed.
-// Parsing checks the whole file and reports each error with the path of its field. The package does no file access itself,
-// apart from the embedded families of days.
+// Package experiment parses experiment files. A file in Jsonnet or JSON describes a day or a family of days, the
+// policies to compare, an optional sweep of one parameter, and the number of seeds. A number given as [low, high] is
+// drawn by the seed. Parsing checks the whole file and reports each error with the path of its field. The package
+// does no file access itself, apart from the embedded families of days.
 package experiment
 
 import (
@@ -19,8 +19,8 @@
 	"whinrudder/internal/vtime"
 )
 
-// PolicyNames are the names of the admission policies that simulated nodes can run: "module" is the policy of the real node,
-// the others are baselines for comparison.
+// PolicyNames are the names of the admission policies that simulated nodes can run: "module" is the policy of the
+// real node, the others are baselines for comparison.
 var PolicyNames = []string{"module", "none", "fixed", "codel", "aimd", "gradient2", "vegas"}
 
 // Policy is the admission policy of the nodes of a variant, with its parameters.
@@ -109,7 +109,8 @@
 	maxSeeds       = 10000
 )
 
-// Parse parses and checks an experiment file. If the text is not JSON, it is passed to evaluate, which returns it as JSON.
+// Parse parses and checks an experiment file. If the text is not JSON, it is passed to evaluate, which returns it as
+// JSON.
 func Parse(text []byte, path string, evaluate func(text []byte, path string) (string, error)) (*Experiment, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -299,8 +300,8 @@
 	return nil
 }
 
-// MatchVariants makes the variants fit the names in stored results: it keeps those of the file if the names are equal, and
-// otherwise takes each name as a policy.
+// MatchVariants makes the variants fit the names in stored results: it keeps those of the file if the names are
+// equal, and otherwise takes each name as a policy.
 func (e *Experiment) MatchVariants(names []string) error {
 	if slices.EqualFunc(e.Variants, names, func(v Variant, n string) bool { return v.Name == n }) {
 		return nil
--- a/internal/emu/experiment/experiment_test.go
+++ b/internal/emu/experiment/experiment_test.go
@@ -52,7 +52,8 @@
 	check()
 }
 
-// The built-in families parse, draw the number of nodes within its range, and yield the same day twice for the same seed.
+// The built-in families parse, draw the number of nodes within its range, and yield the same day twice for the same
+// seed.
 func TestFamilies(t *testing.T) {
 	for _, f := range Families() {
 		text, _ := FamilySource(f)
@@ -122,8 +123,8 @@
 			return vtime.Range{Low: float64(low), High: float64(low + n(name, highest))}
 		}
 		d := fleet.DefaultDay(vtime.Seed(rapid.Uint64().Draw(t, "seed")))
-		d.Nodes, d.DurationMs, d.Load, d.Cores = n("nodes", 2000), 1000*float64(n("seconds", 3600)), float64(n("load",
-			200))/64, n("cores", 64)
+		d.Nodes, d.DurationMs, d.Load, d.Cores = n("nodes", 2000), 1000*float64(n("seconds", 3600)),
+			float64(n("load", 200))/64, n("cores", 64)
 		d.RampTime, d.NetworkDelay, d.FastSpeed = vtime.Range{Low: 1000, High: 1000 * float64(n("ramp", 60))},
 			interval("delay", 50), interval("fast", 4)
 		d.ClientRetries = workload.ClientRetries{Share: float64(n("share", 64)) / 64, Delay: vtime.Range{Low: 1000,
--- a/internal/emu/experiment/measures.go
+++ b/internal/emu/experiment/measures.go
@@ -22,18 +22,9 @@
 	{"p99", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.99) }},
 	{"p999", "ms", true, func(r *fleet.Result) float64 { return r.Latency.Quantile(0.999) }},
 	{"waste", "share", true, func(r *fleet.Result) float64 { return r.WastedWorkRatio }},
-	{"tries", "a request", true, func(r *fleet.Result) float64 {
-		return float64(r.Tries) / float64(max(1,
-			r.Requests))
-	}},
-	{"repeats", "a request", true, func(r *fleet.Result) float64 {
-		return float64(r.ClientRetries) / float64(max(1,
-			r.Requests))
-	}},
-	{"refused", "a request", true, func(r *fleet.Result) float64 {
-		return float64(r.Refused) / float64(max(1,
-			r.Requests))
-	}},
+	{"tries", "a request", true, func(r *fleet.Result) float64 { return float64(r.Tries) / float64(max(1, r.Requests)) }},
+	{"repeats", "a request", true, func(r *fleet.Result) float64 { return float64(r.ClientRetries) / float64(max(1, r.Requests)) }},
+	{"refused", "a request", true, func(r *fleet.Result) float64 { return float64(r.Refused) / float64(max(1, r.Requests)) }},
 	{"again", "writes", true, func(r *fleet.Result) float64 { return float64(r.RepeatedWrites) }},
 	{"peak_runs", "a node", true, func(r *fleet.Result) float64 { return r.PeakRuns() }},
 	{"fell", "nodes", true, func(r *fleet.Result) float64 { return float64(r.OverloadCrashes) }},
--- a/internal/emu/experiment/reader.go
+++ b/internal/emu/experiment/reader.go
@@ -19,8 +19,8 @@
 	Low, High float64
 }
 
-// reader reads the fields of an experiment file. It collects errors, each with the path of its field, and the fields that
-// are drawn from a range.
+// reader reads the fields of an experiment file. It collects errors, each with the path of its field, and the fields
+// that are drawn from a range.
 type reader struct {
 	draw       func(path string) float64 // position within the range of a field, 0 to 1
 	dimensions []Dimension
@@ -39,8 +39,8 @@
 
 func (r *reader) err() error { return errors.Join(r.errs...) }
 
-// object returns the object at a path and records an error for each unknown key. It returns nil for an absent value, and nil
-// with an error for a value that is not an object.
+// object returns the object at a path and records an error for each unknown key. It returns nil for an absent value,
+// and nil with an error for a value that is not an object.
 func (r *reader) object(path string, v *fastjson.Value, known ...string) *fastjson.Value {
 	if v == nil {
 		return nil
@@ -107,8 +107,8 @@
 	return p
 }
 
-// float reads a number of an object, and draws it if the file gives a range. An absent key yields the default value, which is
-// in the unit of the file.
+// float reads a number of an object, and draws it if the file gives a range. An absent key yields the default value,
+// which is in the unit of the file.
 func (r *reader) float(o *fastjson.Value, path, key string, defaultValue, low, high float64) float64 {
 	v := o.Get(key)
 	if v == nil {
