--- a/internal/emu/study/cells.go
+++ b/internal/emu/study/cells.go
@@ -10,27 +10,27 @@
 	"whinrudder/internal/vtime"
 )
 
-// Estimate is one figure of a cell, with 95% intervals by bootstrap.
+// Estimate is the mean of a measure over the days of a cell, with bootstrap confidence intervals of 95%.
 type Estimate struct {
 	Name                    string
 	Mean, Low, High         float64
-	Diff, DiffLow, DiffHigh float64 // the mean difference to the first variant in pairs, and its interval
+	Diff, DiffLow, DiffHigh float64 // mean paired difference to the first variant, with its interval
 }
 
-// Cell is what a variant did at a point of a study.
+// Cell sums up the days that a variant played at one value of the sweep.
 type Cell struct {
 	Family, Variant             string
 	SweepValue                  float64
 	Seeds                       int
 	Estimates                   []Estimate
-	Verdict                     Verdict // of the first measure, against the first variant
+	Verdict                     Verdict // difference of the first measure to the first variant
 	OverloadCrashes, Violations int
 	FirstViolation              string
 	WorstSeed                   uint64 // the seed of the worst day by the first measure
 	Latency                     fleet.Latencies
 }
 
-// SweepValues returns the values of the sweep, in order; one if nothing was swept.
+// SweepValues returns the values of the sweep in ascending order. Without a sweep, all days have the value 0.
 func (s *Study) SweepValues() (out []float64) {
 	for _, d := range s.Days {
 		if !slices.Contains(out, d.SweepValue) {
@@ -41,60 +41,61 @@
 	return out
 }
 
-// Cells sums up a study.
+// Cells returns a summary of the study, ordered by the value of the sweep and then by variant.
 func (s *Study) Cells() (out []Cell) {
-	for _, x := range s.SweepValues() {
-		for vi, variant := range s.Variants {
-			c := Cell{Family: s.Name, Variant: variant, SweepValue: x}
-			worst := 0.0
-			less := experiment.MeasureByName(s.Measures[0]).LowerIsBetter
+	for _, sweepValue := range s.SweepValues() {
+		for variantIndex, variant := range s.Variants {
+			cell := Cell{Family: s.Name, Variant: variant, SweepValue: sweepValue}
+			worstValue := 0.0
+			lowerIsBetter := experiment.MeasureByName(s.Measures[0]).LowerIsBetter
 			for _, d := range s.Days {
-				if d.Variant != variant || d.SweepValue != x {
+				if d.Variant != variant || d.SweepValue != sweepValue {
 					continue
 				}
-				if v := d.Values[0]; c.Seeds == 0 || less && v > worst || !less && v < worst {
-					c.WorstSeed, worst = d.Seed, v
+				if value := d.Values[0]; cell.Seeds == 0 || lowerIsBetter && value > worstValue || !lowerIsBetter &&
+					value < worstValue {
+					cell.WorstSeed, worstValue = d.Seed, value
 				}
-				c.Seeds++
-				c.OverloadCrashes += d.OverloadCrashes
-				c.Latency = c.Latency.Merge(d.Latency)
-				if c.Violations += len(d.Violations); c.FirstViolation == "" && len(d.Violations) > 0 {
-					c.FirstViolation = fmt.Sprintf("seed %d: %s", d.Seed, d.Violations[0])
+				cell.Seeds++
+				cell.OverloadCrashes += d.OverloadCrashes
+				cell.Latency = cell.Latency.Merge(d.Latency)
+				if cell.Violations += len(d.Violations); cell.FirstViolation == "" && len(d.Violations) > 0 {
+					cell.FirstViolation = fmt.Sprintf("seed %d: %s", d.Seed, d.Violations[0])
 				}
 			}
-			if c.Seeds == 0 {
+			if cell.Seeds == 0 {
 				continue
 			}
-			for mi, name := range s.Measures {
-				v := s.values(variant, x, mi)
-				diffs := differences(v, s.values(s.Variants[0], x, mi))
-				seed := vtime.Seed(1).Split(s.Name+variant+name, int(1e6*x))
-				m := Estimate{Name: name}
-				m.Mean, m.Low, m.High = Bootstrap(v, seed)
-				m.Diff, m.DiffLow, m.DiffHigh = Bootstrap(diffs, seed)
-				c.Estimates = append(c.Estimates, m)
-				if vi > 0 && mi == 0 {
-					c.Verdict = Decide(diffs, s.MinEffect, 1)
+			for measureIndex, name := range s.Measures {
+				values := s.values(variant, sweepValue, measureIndex)
+				diffs := differences(values, s.values(s.Variants[0], sweepValue, measureIndex))
+				seed := vtime.Seed(1).Split(s.Name+variant+name, int(1e6*sweepValue))
+				estimate := Estimate{Name: name}
+				estimate.Mean, estimate.Low, estimate.High = Bootstrap(values, seed)
+				estimate.Diff, estimate.DiffLow, estimate.DiffHigh = Bootstrap(diffs, seed)
+				cell.Estimates = append(cell.Estimates, estimate)
+				if variantIndex > 0 && measureIndex == 0 {
+					cell.Verdict = Decide(diffs, s.MinEffect, 1)
 				}
 			}
-			out = append(out, c)
+			out = append(out, cell)
 		}
 	}
 	return out
 }
 
-// WriteTable writes the cells of studies as people read them.
+// WriteTable writes the cells of studies as a text table.
 func WriteTable(w io.Writer, all []*Study) {
 	for _, s := range all {
 		cells := s.Cells()
 		if len(cells) == 0 {
 			continue
 		}
-		swept := ""
+		sweepNote := ""
 		if s.Sweep != "" {
-			swept = ", by " + s.Sweep
+			sweepNote = ", by " + s.Sweep
 		}
-		fmt.Fprintf(w, "%s%s, %d days each\n  %-12s", s.Name, swept, slices.MaxFunc(cells, func(a, b Cell) int { return a.Seeds - b.Seeds }).Seeds, "")
+		fmt.Fprintf(w, "%s%s, %d days each\n  %-12s", s.Name, sweepNote, slices.MaxFunc(cells, func(a, b Cell) int { return a.Seeds - b.Seeds }).Seeds, "")
 		if s.Sweep != "" {
 			fmt.Fprintf(w, " %8s", s.Sweep[max(0, len(s.Sweep)-8):])
 		}
@@ -105,24 +106,24 @@
 			}
 		}
 		fmt.Fprintf(w, " %5s %6s\n", "fell", "broken")
-		for _, c := range cells {
-			fmt.Fprintf(w, "  %-12s", c.Variant)
+		for _, cell := range cells {
+			fmt.Fprintf(w, "  %-12s", cell.Variant)
 			if s.Sweep != "" {
-				fmt.Fprintf(w, " %8.4g", c.SweepValue)
+				fmt.Fprintf(w, " %8.4g", cell.SweepValue)
 			}
-			for i, m := range c.Estimates {
+			for i, m := range cell.Estimates {
 				fmt.Fprintf(w, " %12.5g", m.Mean)
 				if i == 0 && len(s.Variants) > 1 {
-					less := ""
-					if c.Variant != s.Variants[0] {
-						less = fmt.Sprintf("%+.3f (%+.3f, %+.3f)", m.Diff, m.DiffLow, m.DiffHigh)
+					difference := ""
+					if cell.Variant != s.Variants[0] {
+						difference = fmt.Sprintf("%+.3f (%+.3f, %+.3f)", m.Diff, m.DiffLow, m.DiffHigh)
 					}
-					fmt.Fprintf(w, " %25s", less)
+					fmt.Fprintf(w, " %25s", difference)
 				}
 			}
-			fmt.Fprintf(w, " %5d %6d\n", c.OverloadCrashes, c.Violations)
-			if c.FirstViolation != "" {
-				fmt.Fprintln(w, "    ", c.FirstViolation)
+			fmt.Fprintf(w, " %5d %6d\n", cell.OverloadCrashes, cell.Violations)
+			if cell.FirstViolation != "" {
+				fmt.Fprintln(w, "    ", cell.FirstViolation)
 			}
 		}
 	}
--- a/internal/emu/study/lines.go
+++ b/internal/emu/study/lines.go
@@ -10,18 +10,19 @@
 	"whinrudder/internal/emu/experiment"
 )
 
-// WriteJSONLines writes studies as JSON lines: for each one line of type "study", and one of type "day" for each day played.
+// WriteJSONLines writes studies as JSON lines: for each study a line of type "study", followed by a line of type
+// "day" for each of its days.
 func WriteJSONLines(w io.Writer, all []*Study) error {
 	b := bufio.NewWriter(w)
 	var a fastjson.Arena
-	texts := func(v []string) *fastjson.Value {
-		l := a.NewArray()
+	stringArray := func(v []string) *fastjson.Value {
+		array := a.NewArray()
 		for i, x := range v {
-			l.SetArrayItem(i, a.NewString(x))
+			array.SetArrayItem(i, a.NewString(x))
 		}
-		return l
+		return array
 	}
-	line := func(o *fastjson.Value) {
+	writeLine := func(o *fastjson.Value) {
 		b.Write(append(o.MarshalTo(nil), '\n'))
 		a.Reset()
 	}
@@ -30,11 +31,11 @@
 		o.Set("type", a.NewString("study"))
 		o.Set("name", a.NewString(s.Name))
 		o.Set("sweep", a.NewString(s.Sweep))
-		o.Set("variants", texts(s.Variants))
-		o.Set("measure", texts(s.Measures))
+		o.Set("variants", stringArray(s.Variants))
+		o.Set("measure", stringArray(s.Measures))
 		o.Set("effect", a.NewNumberFloat64(s.MinEffect))
 		o.Set("seeds", a.NewNumberInt(s.Seeds))
-		line(o)
+		writeLine(o)
 		for _, d := range s.Days {
 			o := a.NewObject()
 			o.Set("type", a.NewString("day"))
@@ -48,64 +49,66 @@
 				o.Set(m, a.NewNumberFloat64(d.Values[i]))
 			}
 			o.Set("nodes_fell", a.NewNumberInt(d.OverloadCrashes))
-			o.Set("rules_broken", texts(d.Violations))
-			line(o)
+			o.Set("rules_broken", stringArray(d.Violations))
+			writeLine(o)
 		}
 	}
 	return b.Flush()
 }
 
-// maxLine bounds a line of a file of results.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a line of a result file.
+const maxLineBytes = 1 << 20
 
-// ReadJSONLines reads what WriteJSONLines wrote. The error names the line.
+// ReadJSONLines reads studies in the format of WriteJSONLines. Its errors contain the number of the line.
 func ReadJSONLines(r io.Reader) (out []*Study, err error) {
-	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
-	by := map[string]*Study{}
-	for n := 1; lines.Scan(); n++ {
-		v, err := fastjson.ParseBytes(lines.Bytes())
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
+	byName := map[string]*Study{}
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
+		v, err := fastjson.ParseBytes(scanner.Bytes())
 		if err != nil {
-			return nil, fmt.Errorf("results: line %d: %w", n, err)
+			return nil, fmt.Errorf("results: line %d: %w", lineNumber, err)
 		}
-		texts := func(key string) (out []string) {
+		stringsAt := func(key string) (out []string) {
 			for _, e := range v.GetArray(key) {
 				out = append(out, string(e.GetStringBytes()))
 			}
 			return out
 		}
-		switch kind := string(v.GetStringBytes("type")); kind {
+		switch lineType := string(v.GetStringBytes("type")); lineType {
 		case "study":
-			s := &Study{Name: string(v.GetStringBytes("name")), Sweep: string(v.GetStringBytes("sweep")), Variants: texts("variants"),
-				Measures: texts("measure"), MinEffect: v.GetFloat64("effect"), Seeds: v.GetInt("seeds")}
-			if len(s.Measures) == 0 || len(s.Variants) == 0 || by[s.Name] != nil {
-				return nil, fmt.Errorf("results: line %d: study %q has no variants or no measures, or is there twice", n, s.Name)
+			s := &Study{Name: string(v.GetStringBytes("name")), Sweep: string(v.GetStringBytes("sweep")),
+				Variants: stringsAt("variants"),
+				Measures: stringsAt("measure"), MinEffect: v.GetFloat64("effect"), Seeds: v.GetInt("seeds")}
+			if len(s.Measures) == 0 || len(s.Variants) == 0 || byName[s.Name] != nil {
+				return nil, fmt.Errorf("results: line %d: study %q has no variants, has no measures or is a duplicate", lineNumber, s.Name)
 			}
 			for _, m := range s.Measures {
 				if experiment.MeasureByName(m) == nil {
-					return nil, fmt.Errorf("results: line %d: measure %q is not known", n, m)
+					return nil, fmt.Errorf("results: line %d: unknown measure %q", lineNumber, m)
 				}
 			}
-			by[s.Name] = s
+			byName[s.Name] = s
 			out = append(out, s)
 		case "day":
-			s := by[string(v.GetStringBytes("study"))]
+			s := byName[string(v.GetStringBytes("study"))]
 			if s == nil {
-				return nil, fmt.Errorf("results: line %d: a day of no study", n)
+				return nil, fmt.Errorf("results: line %d: the day belongs to no study", lineNumber)
 			}
-			d := DayResult{Family: s.Name, Variant: string(v.GetStringBytes("variant")), SweepValue: v.GetFloat64("x"), Seed: v.GetUint64("seed"),
-				OverloadCrashes: v.GetInt("nodes_fell"), Violations: texts("rules_broken")}
+			d := DayResult{Family: s.Name, Variant: string(v.GetStringBytes("variant")),
+				SweepValue: v.GetFloat64("x"), Seed: v.GetUint64("seed"),
+				OverloadCrashes: v.GetInt("nodes_fell"), Violations: stringsAt("rules_broken")}
 			for _, m := range s.Measures {
-				x := v.Get(m)
-				if x == nil || x.Type() != fastjson.TypeNumber {
-					return nil, fmt.Errorf("results: line %d: %s is absent", n, m)
+				number := v.Get(m)
+				if number == nil || number.Type() != fastjson.TypeNumber {
+					return nil, fmt.Errorf("results: line %d: measure %s is absent or not a number", lineNumber, m)
 				}
-				d.Values = append(d.Values, x.GetFloat64())
+				d.Values = append(d.Values, number.GetFloat64())
 			}
 			s.Days = append(s.Days, d)
 		default:
-			return nil, fmt.Errorf("results: line %d: type %q is not known", n, kind)
+			return nil, fmt.Errorf("results: line %d: unknown line type %q", lineNumber, lineType)
 		}
 	}
-	return out, lines.Err()
+	return out, scanner.Err()
 }
--- a/internal/emu/study/study.go
+++ b/internal/emu/study/study.go
@@ -1,5 +1,6 @@
-// Package study compares policies on families of days: all play the same days, and what is told are the differences in
-// pairs, with intervals by bootstrap. It plays until every difference is clear, or all seeds.
+// Package study compares policies on families of days. All variants of an experiment play the same seeds, so that a
+// study can report paired differences with bootstrap intervals. A study ends when all seeds are played or, if the
+// experiment asks for it, as soon as every difference has a verdict.
 package study
 
 import (
@@ -11,59 +12,59 @@
 	"whinrudder/internal/vtime"
 )
 
-// DayResult is one day that was played: where it belongs, and what was measured.
+// DayResult is one simulated day with its measures.
 type DayResult struct {
 	Family, Variant string
-	SweepValue      float64 // value of the sweep
+	SweepValue      float64 // 0 without a sweep
 	Seed            uint64
-	Values          []float64 // by measure
+	Values          []float64 // in the order of the measures of the study
 	OverloadCrashes int
 	Violations      []string
-	Latency         fleet.Latencies // not kept in files
+	Latency         fleet.Latencies // not written to result files
 }
 
-// Study is what was played of one experiment.
+// Study holds the results of one experiment.
 type Study struct {
 	Name      string
-	Sweep     string // the figure that was swept; empty: none
+	Sweep     string // path of the field that was swept; empty if none
 	Variants  []string
 	Measures  []string
 	MinEffect float64
-	Seeds     int // wanted
+	Seeds     int // maximum number of seeds per variant and value of the sweep
 	Days      []DayResult
 }
 
-// batch is how many seeds are played between two looks at what is clear.
-const batch = 10
+// seedsPerLook is the number of seeds that are played between two interim looks at the verdicts.
+const seedsPerLook = 10
 
-// point is one value of the sweep of one experiment, all of whose variants play the same seeds.
+// point is one value of the sweep of one experiment. All variants play the same seeds at a point.
 type point struct {
-	e     *experiment.Experiment
-	to    *Study
-	x     float64
-	seeds int
-	done  bool
+	e          *experiment.Experiment
+	study      *Study
+	sweepValue float64
+	seeds      int  // number of seeds played so far
+	done       bool // no more seeds are to be played
 }
 
-// Run plays experiments. Progress hears how many days were played, and how many there are at most.
-func Run(all []*experiment.Experiment, progress func(done, most int)) ([]*Study, error) {
+// Run plays experiments on all cores. It calls progress with the number of days played so far and their maximum.
+func Run(all []*experiment.Experiment, progress func(done, maxDays int)) ([]*Study, error) {
 	var points []*point
 	var out []*Study
-	most := 0
+	maxDays := 0
 	for _, e := range all {
-		s := &Study{Name: e.Name, Sweep: e.Sweep.Key, Measures: e.Measures, MinEffect: e.MinEffect, Seeds: e.Seeds}
+		study := &Study{Name: e.Name, Sweep: e.Sweep.Key, Measures: e.Measures, MinEffect: e.MinEffect, Seeds: e.Seeds}
 		for _, v := range e.Variants {
-			s.Variants = append(s.Variants, v.Name)
+			study.Variants = append(study.Variants, v.Name)
 		}
-		xs := e.Sweep.Values
+		sweepValues := e.Sweep.Values
 		if e.Sweep.Key == "" {
-			xs = []float64{0}
+			sweepValues = []float64{0}
 		}
-		for _, x := range xs {
-			points = append(points, &point{e: e, to: s, x: x})
-			most += e.Seeds * len(e.Variants)
+		for _, sweepValue := range sweepValues {
+			points = append(points, &point{e: e, study: study, sweepValue: sweepValue})
+			maxDays += e.Seeds * len(e.Variants)
 		}
-		out = append(out, s)
+		out = append(out, study)
 	}
 	done := 0
 	for {
@@ -79,7 +80,7 @@
 			}
 			n := p.e.Seeds - p.seeds
 			if p.e.StopEarly {
-				n = min(n, batch)
+				n = min(n, seedsPerLook)
 			}
 			for i := range n {
 				for v := range p.e.Variants {
@@ -95,79 +96,81 @@
 			day DayResult
 			err error
 		}
-		ticks := make(chan struct{}, len(jobs))
-		told := make(chan struct{})
+		dayDone := make(chan struct{}, len(jobs))
+		progressDone := make(chan struct{})
 		go func() {
-			defer close(told)
+			defer close(progressDone)
 			for i := range len(jobs) {
-				<-ticks
+				<-dayDone
 				if progress != nil && ((i+1)%100 == 0 || i+1 == len(jobs)) {
-					progress(done+i+1, most)
+					progress(done+i+1, maxDays)
 				}
 			}
 		}()
 		results := vtime.ParallelMap(len(jobs), runtime.GOMAXPROCS(0), func(i int) result {
 			j := jobs[i]
-			d, err := play(j.p.e, j.variant, j.p.x, j.seed)
-			ticks <- struct{}{}
+			d, err := playDay(j.p.e, j.variant, j.p.sweepValue, j.seed)
+			dayDone <- struct{}{}
 			return result{d, err}
 		})
-		<-told
+		<-progressDone
 		done += len(jobs)
 		for i, r := range results {
 			if r.err != nil {
 				return nil, fmt.Errorf("%s, seed %d: %w", jobs[i].p.e.Name, uint64(jobs[i].seed), r.err)
 			}
-			jobs[i].p.to.Days = append(jobs[i].p.to.Days, r.day)
+			jobs[i].p.study.Days = append(jobs[i].p.study.Days, r.day)
 		}
 		for _, p := range points {
-			p.done = p.done || p.seeds >= p.e.Seeds || p.e.StopEarly && clear(p)
+			p.done = p.done || p.seeds >= p.e.Seeds || p.e.StopEarly && isDecided(p)
 		}
 	}
 }
 
-// play plays one day and measures.
-func play(e *experiment.Experiment, variant int, x float64, seed vtime.Seed) (DayResult, error) {
-	d, err := e.Day(variant, x, seed, nil)
+// playDay simulates one day and takes its measures.
+func playDay(e *experiment.Experiment, variant int, sweepValue float64, seed vtime.Seed) (DayResult, error) {
+	d, err := e.Day(variant, sweepValue, seed, nil)
 	if err != nil {
 		return DayResult{}, err
 	}
 	v := e.Variants[variant]
 	r := fleet.Simulate(d, v.Policy.NodeFactory())
-	p := DayResult{Family: e.Name, Variant: v.Name, SweepValue: x, Seed: uint64(seed), OverloadCrashes: r.OverloadCrashes, Violations: r.Violations, Latency: r.Latency}
+	p := DayResult{Family: e.Name, Variant: v.Name, SweepValue: sweepValue, Seed: uint64(seed),
+		OverloadCrashes: r.OverloadCrashes, Violations: r.Violations, Latency: r.Latency}
 	for _, m := range e.Measures {
 		p.Values = append(p.Values, experiment.MeasureByName(m).Value(&r))
 	}
 	return p, nil
 }
 
-// clear tells whether all that a point compares is clear after its looks so far. Where nothing is compared, it is once the
+// isDecided reports whether every comparison of a point has a verdict. With a single variant, it reports whether the
 // mean is known to within the effect.
-func clear(p *point) bool {
-	look := (p.seeds + batch - 1) / batch
-	first := p.to.values(p.e.Variants[0].Name, p.x, 0)
+func isDecided(p *point) bool {
+	look := (p.seeds + seedsPerLook - 1) / seedsPerLook
+	first := p.study.values(p.e.Variants[0].Name, p.sweepValue, 0)
 	if len(p.e.Variants) == 1 {
-		low, high := interval(first, spent(look))
+		low, high := confidenceInterval(first, lookErrorProbability(look))
 		return high-low < 2*p.e.MinEffect
 	}
 	for _, v := range p.e.Variants[1:] {
-		if Decide(differences(p.to.values(v.Name, p.x, 0), first), p.e.MinEffect, look) == Unclear {
+		if Decide(differences(p.study.values(v.Name, p.sweepValue, 0), first), p.e.MinEffect, look) == Unclear {
 			return false
 		}
 	}
 	return true
 }
 
-// values returns what was measured on the days of a variant, in the order of the seeds.
-func (s *Study) values(variant string, x float64, measure int) (out []float64) {
+// values returns a measure of the days of a variant at a value of the sweep, in the order of the seeds.
+func (s *Study) values(variant string, sweepValue float64, measure int) (out []float64) {
 	for _, d := range s.Days {
-		if d.Variant == variant && d.SweepValue == x {
+		if d.Variant == variant && d.SweepValue == sweepValue {
 			out = append(out, d.Values[measure])
 		}
 	}
 	return out
 }
 
+// differences returns the paired differences of two lists, as far as both go.
 func differences(a, b []float64) (out []float64) {
 	for i := range min(len(a), len(b)) {
 		out = append(out, a[i]-b[i])
