--- a/internal/emu/collapse/collapse.go
+++ b/internal/emu/collapse/collapse.go
@@ -1,6 +1,7 @@
-// Package collapse finds metastable collapse: an overload that outlasts its trigger, because what it sets off keeps it up
-// (Bronson and others, Metastable Failures in Distributed Systems, 2021). It plays a day with and without its triggers, and
-// where the trouble stays it plays the day with each of some measures of the operators, to name what ends it. It knows no I/O.
+// Package collapse detects metastable collapse: an overload that persists after its trigger has ended, because its
+// own effects, such as retries, sustain it (Bronson and others, Metastable Failures in Distributed Systems, 2021). It
+// plays a day with and without its triggers. If the overload persists, it plays the day with each of several remedies
+// that operators have, to find those that end it. The package does no I/O.
 package collapse
 
 import (
@@ -12,99 +13,108 @@
 	"whinrudder/internal/vtime"
 )
 
-// Figures of a finding: a trigger's wake is given graceFor, the share of worth is looked at over lookFor after that. It is a
-// collapse if the day holds without the trigger and falls under the half of that with it.
+// Criteria of a collapse. After the last trigger the fleet has recoveryGraceMs to recover; then the share of worth is
+// measured over windowMs. It is a collapse if the share without the triggers is at least healthyRatio, and the share
+// with them is below collapseRatio times that.
 const (
-	graceFor = 10e3
-	lookFor  = 20e3
-	holds    = 0.8
-	half     = 0.5
+	recoveryGraceMs = 10e3
+	windowMs        = 20e3
+	healthyRatio    = 0.8
+	collapseRatio   = 0.5
 )
 
-// Finding is what a day showed.
+// Finding is the outcome of a detection.
 type Finding struct {
 	Collapse            bool
-	TriggerEnd          float64 // the last trigger is over
-	WorthWithoutTrigger float64 // share of the worth in time, over the look, without the triggers
-	WorthWithTrigger    float64
-	Remedies            []Remedy // what was tried against it
-	Result              fleet.Result
+	TriggerEnd          float64      // end of the last trigger, in milliseconds of the day
+	WorthWithoutTrigger float64      // share of the worth earned in time over the window, without the triggers
+	WorthWithTrigger    float64      // the same share with the triggers
+	Remedies            []Remedy     // only after a collapse
+	Result              fleet.Result // of the day with its triggers
 }
 
-// Remedy is a measure against a collapse, and the share of the worth over a look after it.
+// Remedy is an action against a collapse, with the share of worth over a window after the action.
 type Remedy struct {
 	Name       string
 	WorthRatio float64
 	Recovers   bool
-	Day        fleet.Day
+	Day        fleet.Day // the day with the action added
 }
 
-// Detect plays a day whose troubles are the triggers. A day that ends too soon after them for a look and measures shows nothing.
+// Detect plays a day whose faults are the triggers, and decides whether it collapses. The day must last for
+// ObservationMs after the last trigger; a day that ends earlier yields no finding.
 func Detect(d fleet.Day, play func(fleet.Day) fleet.Result) Finding {
-	f := Finding{}
+	finding := Finding{}
 	for _, t := range d.Faults {
-		f.TriggerEnd = max(f.TriggerEnd, t.At+t.Duration)
+		finding.TriggerEnd = max(finding.TriggerEnd, t.At+t.Duration)
 	}
-	calm := d
-	calm.Faults = nil
-	days := vtime.ParallelMap(2, runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play([]fleet.Day{d, calm}[i]) })
-	f.Result = days[0]
-	from := f.TriggerEnd + graceFor
-	f.WorthWithTrigger, f.WorthWithoutTrigger = share(&days[0], from), share(&days[1], from)
-	f.Collapse = f.WorthWithoutTrigger >= holds && f.WorthWithTrigger < half*f.WorthWithoutTrigger
-	if !f.Collapse {
-		return f
+	withoutTriggers := d
+	withoutTriggers.Faults = nil
+	days := vtime.ParallelMap(2, runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play([]fleet.Day{d, withoutTriggers}[i]) })
+	finding.Result = days[0]
+	windowStart := finding.TriggerEnd + recoveryGraceMs
+	finding.WorthWithTrigger, finding.WorthWithoutTrigger = worthRatio(&days[0], windowStart),
+		worthRatio(&days[1], windowStart)
+	finding.Collapse = finding.WorthWithoutTrigger >= healthyRatio &&
+		finding.WorthWithTrigger < collapseRatio*finding.WorthWithoutTrigger
+	if !finding.Collapse {
+		return finding
 	}
-	at := from + lookFor
-	for _, m := range measures(d, at) {
-		f.Remedies = append(f.Remedies, Remedy{Name: m.what, Day: m.day})
+	remedyAt := windowStart + windowMs
+	for _, remedy := range remedyDays(d, remedyAt) {
+		finding.Remedies = append(finding.Remedies, Remedy{Name: remedy.name, Day: remedy.day})
 	}
-	results := vtime.ParallelMap(len(f.Remedies), runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play(f.Remedies[i].Day) })
-	for i := range f.Remedies {
-		e := &f.Remedies[i]
-		e.WorthRatio = share(&results[i], at+actsFor+graceFor)
-		e.Recovers = e.WorthRatio >= holds*f.WorthWithoutTrigger
+	results := vtime.ParallelMap(len(finding.Remedies), runtime.GOMAXPROCS(0), func(i int) fleet.Result { return play(finding.Remedies[i].Day) })
+	for i := range finding.Remedies {
+		remedy := &finding.Remedies[i]
+		remedy.WorthRatio = worthRatio(&results[i], remedyAt+remedyMs+recoveryGraceMs)
+		remedy.Recovers = remedy.WorthRatio >= healthyRatio*finding.WorthWithoutTrigger
 	}
-	return f
+	return finding
 }
 
-// ObservationMs returns how long a day must be after its last trigger to be looked at with all measures.
-func ObservationMs() float64 { return 2*graceFor + 2*lookFor + actsFor }
+// ObservationMs returns how long a day must go on after its last trigger so that Detect can try all remedies.
+func ObservationMs() float64 { return 2*recoveryGraceMs + 2*windowMs + remedyMs }
 
-// share returns the share of the worth that was got in time over a look.
-func share(r *fleet.Result, from float64) float64 {
-	a, g := 0.0, 0.0
-	for i := int(from / fleet.BucketMs()); i < int((from+lookFor)/fleet.BucketMs()) && i < len(r.Buckets); i++ {
-		a, g = a+r.Buckets[i].OfferedWorth, g+r.Buckets[i].EarnedWorth
+// worthRatio returns the share of the offered worth that was earned over a window, or NaN if none was offered.
+func worthRatio(r *fleet.Result, from float64) float64 {
+	offered, earned := 0.0, 0.0
+	for i := int(from / fleet.BucketMs()); i < int((from+windowMs)/fleet.BucketMs()) && i < len(r.Buckets); i++ {
+		offered, earned = offered+r.Buckets[i].OfferedWorth, earned+r.Buckets[i].EarnedWorth
 	}
-	if a == 0 {
+	if offered == 0 {
 		return math.NaN()
 	}
-	return g / a
+	return earned / offered
 }
 
-// actsFor is how long a measure lasts that is for a time.
-const actsFor = 30e3
+// remedyMs is the duration of a temporary remedy.
+const remedyMs = 30e3
 
-type measure struct {
-	what string
+// remedyDay is a day with a remedy.
+type remedyDay struct {
+	name string
 	day  fleet.Day
 }
 
-// measures are what operators can do from a time on.
-func measures(d fleet.Day, at float64) (out []measure) {
-	with := func(what string, t ...fleet.Fault) {
+// remedyDays returns the day with each of the remedies that operators can start at a time. The first is no remedy at
+// all, for comparison.
+func remedyDays(d fleet.Day, at float64) (out []remedyDay) {
+	add := func(name string, t ...fleet.Fault) {
 		w := d
 		w.Faults = append(slices.Clone(d.Faults), t...)
-		out = append(out, measure{what, w})
+		out = append(out, remedyDay{name, w})
 	}
 	rest := d.DurationMs - at
-	with("nothing")
-	with("clients held off to a fifth for 30 s", fleet.Fault{Kind: fleet.Burst, At: at, Duration: actsFor, Share: 1, Factor: 0.2})
-	with("the fleet restarted at once, cold", fleet.Fault{Kind: fleet.Crash, At: at, Duration: 1000, Share: 1})
-	with("callers keep to a budget of retries of a tenth", fleet.Fault{Kind: fleet.LimitRetries, At: at, Duration: rest, Share: 1, Factor: 0.1})
-	with("callers heed credit and advice", fleet.Fault{Kind: fleet.HonorCredit, At: at, Duration: rest, Share: 1})
-	with("clients held off, and the budget", fleet.Fault{Kind: fleet.Burst, At: at, Duration: actsFor, Share: 1, Factor: 0.2},
+	add("nothing")
+	add("clients held off to a fifth for 30 s", fleet.Fault{Kind: fleet.Burst, At: at, Duration: remedyMs, Share: 1,
+		Factor: 0.2})
+	add("the fleet restarted at once, cold", fleet.Fault{Kind: fleet.Crash, At: at, Duration: 1000, Share: 1})
+	add("callers keep to a budget of retries of a tenth", fleet.Fault{Kind: fleet.LimitRetries, At: at,
+		Duration: rest, Share: 1, Factor: 0.1})
+	add("callers heed credit and advice", fleet.Fault{Kind: fleet.HonorCredit, At: at, Duration: rest, Share: 1})
+	add("clients held off, and the budget", fleet.Fault{Kind: fleet.Burst, At: at, Duration: remedyMs, Share: 1,
+		Factor: 0.2},
 		fleet.Fault{Kind: fleet.LimitRetries, At: at, Duration: rest, Share: 1, Factor: 0.1})
 	return out
 }
--- a/internal/emu/collapse/collapse_test.go
+++ b/internal/emu/collapse/collapse_test.go
@@ -7,8 +7,9 @@
 	"whinrudder/internal/emu/fleet"
 )
 
-// model is a fleet that serves a share of what is asked; a burst breaks it if it can, and some troubles mend it.
-func model(breaks bool, base float64, mends ...fleet.FaultKind) func(fleet.Day) fleet.Result {
+// fakeFleet returns a simulation of a fleet that earns a constant share of the worth. If breaks is true, a burst lowers
+// the share for good until one of the repairing faults takes place.
+func fakeFleet(breaks bool, base float64, repairs ...fleet.FaultKind) func(fleet.Day) fleet.Result {
 	return func(d fleet.Day) fleet.Result {
 		var r fleet.Result
 		for at := 0.0; at < d.DurationMs; at += fleet.BucketMs() {
@@ -17,7 +18,7 @@
 				switch {
 				case t.Kind == fleet.Burst && t.Factor > 1 && breaks && at >= t.At:
 					share = 0.1
-				case at >= t.At && slices.Contains(mends, t.Kind) && t.Factor <= 1:
+				case at >= t.At && slices.Contains(repairs, t.Kind) && t.Factor <= 1:
 					share = base
 				}
 			}
@@ -27,33 +28,37 @@
 	}
 }
 
-// What outlasts its trigger is a collapse, and what ends it is named; a day that is bad by itself, or comes back, is none.
-func TestLook(t *testing.T) {
+// An overload that persists after its trigger is a collapse, and the remedies that end it are found. A day that
+// recovers, or that is bad without the trigger too, is no collapse.
+func TestDetect(t *testing.T) {
 	d := fleet.DefaultDay(1)
 	d.Faults = []fleet.Fault{{Kind: fleet.Burst, At: 10000, Duration: 5000, Factor: 2}}
 	d.DurationMs = 15000 + ObservationMs()
 	for _, c := range []struct {
-		name     string
-		play     func(fleet.Day) fleet.Result
-		collapse bool
-		ends     []string
+		name       string
+		play       func(fleet.Day) fleet.Result
+		collapse   bool
+		recovering []string
 	}{
-		{"comes back", model(false, 0.95), false, nil},
-		{"bad by itself", model(true, 0.5), false, nil},
-		{"nothing helps", model(true, 0.95), true, nil},
-		{"a restart helps", model(true, 0.95, fleet.Crash), true, []string{"the fleet restarted at once, cold"}},
-		{"heeding helps", model(true, 0.95, fleet.HonorCredit), true, []string{"callers heed credit and advice"}},
-		{"a budget helps", model(true, 0.95, fleet.LimitRetries), true, []string{"callers keep to a budget of retries of a tenth", "clients held off, and the budget"}},
+		{"recovers", fakeFleet(false, 0.95), false, nil},
+		{"bad without the trigger too", fakeFleet(true, 0.5), false, nil},
+		{"no remedy helps", fakeFleet(true, 0.95), true, nil},
+		{"a restart helps", fakeFleet(true, 0.95, fleet.Crash), true, []string{"the fleet restarted at once, cold"}},
+		{"honoring credit helps", fakeFleet(true, 0.95, fleet.HonorCredit), true,
+			[]string{"callers heed credit and advice"}},
+		{"a budget helps", fakeFleet(true, 0.95, fleet.LimitRetries), true,
+			[]string{"callers keep to a budget of retries of a tenth", "clients held off, and the budget"}},
 	} {
 		f := Detect(d, c.play)
-		var ends []string
+		var recovering []string
 		for _, e := range f.Remedies {
 			if e.Recovers {
-				ends = append(ends, e.Name)
+				recovering = append(recovering, e.Name)
 			}
 		}
-		if f.Collapse != c.collapse || !slices.Equal(ends, c.ends) {
-			t.Errorf("%s: %v, %.2f with and %.2f without, ends %q", c.name, f.Collapse, f.WorthWithTrigger, f.WorthWithoutTrigger, ends)
+		if f.Collapse != c.collapse || !slices.Equal(recovering, c.recovering) {
+			t.Errorf("%s: collapse %v, want %v; worth %.2f with and %.2f without the trigger; remedies that recover %q, want %q",
+				c.name, f.Collapse, c.collapse, f.WorthWithTrigger, f.WorthWithoutTrigger, recovering, c.recovering)
 		}
 	}
 }
--- a/internal/emu/hunt/hunt.go
+++ b/internal/emu/hunt/hunt.go
@@ -1,5 +1,6 @@
-// Package hunt searches for bad days: at random over the ranges of an experiment, then by hill-climbing from the worst that
-// were found, and it says what makes each bad by playing it without. It knows no files and no clock.
+// Package hunt searches an experiment for days with low scores: first at random over its ranges, then by hill
+// climbing from the worst days. FindCauses then shows which parts of a day cost most, by playing the day without each
+// of them. The package uses neither files nor the clock.
 package hunt
 
 import (
@@ -13,32 +14,35 @@
 	"whinrudder/internal/vtime"
 )
 
-// Params bound a search.
+// Params are the parameters of a search.
 type Params struct {
-	Random int // days that are drawn
-	Keep   int // of them, the worst, from which it climbs
-	Rounds int // of climbing
-	Tries  int // days that are tried around each in a round
+	Random int // number of days drawn at random
+	Keep   int // number of the worst of these days from which the search climbs
+	Rounds int // maximum number of rounds of hill climbing
+	Tries  int // number of neighbors tried around each kept day per round
 	Seed   vtime.Seed
 }
 
-// Candidate is a bad day.
+// Candidate is a day of the search.
 type Candidate struct {
-	Point        []float64 // of each figure in its range, 0 to 1
+	Point        []float64 // position of each drawn number within its range, 0 to 1
 	Seed         vtime.Seed
-	Score        float64 // what is searched to be small
-	InitialScore float64 // the score that it was climbed from
+	Score        float64 // the search minimizes it
+	InitialScore float64 // score of the random day from which the climb started
 }
 
-// first is how far a climb steps in a range, and least the step at which it has come to rest.
+// Step sizes of a climb, as a share of a range. A round without improvement halves the step; below minStep the climb
+// ends.
 const (
-	first = 0.3
-	least = 0.02
+	initialStep = 0.3
+	minStep     = 0.02
 )
 
-// Search returns the worst days that it finds, the worst first. Score plays the day of a place and a seed; it is called from
-// many goroutines at once and must give the same for the same.
-func Search(dims int, p Params, score func(place []float64, seed vtime.Seed) float64, progress func(done, all int)) []Candidate {
+// Search returns the worst days that it finds, the worst first. The function score plays the day of a point and a
+// seed. It is called from several goroutines concurrently and must be deterministic. If progress is not nil, it is
+// called with the number of days played so far and their maximum.
+func Search(dims int, p Params, score func(point []float64, seed vtime.Seed) float64,
+	progress func(done, all int)) []Candidate {
 	all := make([]Candidate, p.Random)
 	for i := range all {
 		r := p.Seed.Split("place", i).Rand()
@@ -47,44 +51,44 @@
 			all[i].Point = append(all[i].Point, r.Float64())
 		}
 	}
-	done, most := 0, p.Random+p.Rounds*p.Tries*min(p.Keep, p.Random)
-	measure := func(f []Candidate) {
-		scores := vtime.ParallelMap(len(f), runtime.GOMAXPROCS(0), func(i int) float64 { return score(f[i].Point, f[i].Seed) })
-		for i := range f {
-			f[i].Score = scores[i]
+	done, total := 0, p.Random+p.Rounds*p.Tries*min(p.Keep, p.Random)
+	measure := func(candidates []Candidate) {
+		scores := vtime.ParallelMap(len(candidates), runtime.GOMAXPROCS(0), func(i int) float64 { return score(candidates[i].Point, candidates[i].Seed) })
+		for i := range candidates {
+			candidates[i].Score = scores[i]
 		}
-		if done += len(f); progress != nil {
-			progress(done, most)
+		if done += len(candidates); progress != nil {
+			progress(done, total)
 		}
 	}
 	measure(all)
-	worst := func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.Seed, b.Seed)) }
-	slices.SortFunc(all, worst)
+	byScore := func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.Seed, b.Seed)) }
+	slices.SortFunc(all, byScore)
 	kept := all[:min(p.Keep, len(all))]
 	step := make([]float64, len(kept))
 	for i := range kept {
-		kept[i].InitialScore, step[i] = kept[i].Score, first
+		kept[i].InitialScore, step[i] = kept[i].Score, initialStep
 	}
 	for round := range p.Rounds {
-		var near []Candidate
-		var of []int
+		var neighbors []Candidate
+		var origins []int
 		for i, k := range kept {
-			if step[i] < least {
+			if step[i] < minStep {
 				continue
 			}
 			for t := range p.Tries {
-				near = append(near, move(k, step[i], p.Seed.Split("move", round).Split("", i*p.Tries+t)))
-				of = append(of, i)
+				neighbors = append(neighbors, move(k, step[i], p.Seed.Split("move", round).Split("", i*p.Tries+t)))
+				origins = append(origins, i)
 			}
 		}
-		if len(near) == 0 {
+		if len(neighbors) == 0 {
 			break
 		}
-		measure(near)
+		measure(neighbors)
 		for i := range kept {
 			better := false
-			for j, n := range near {
-				if of[j] == i && n.Score < kept[i].Score {
+			for j, n := range neighbors {
+				if origins[j] == i && n.Score < kept[i].Score {
 					kept[i], better = n, true
 				}
 			}
@@ -93,37 +97,38 @@
 			}
 		}
 	}
-	slices.SortFunc(kept, worst)
+	slices.SortFunc(kept, byScore)
 	return kept
 }
 
-// move takes one or two figures of a place some way off.
-func move(f Candidate, step float64, seed vtime.Seed) Candidate {
-	r := seed.Rand()
-	f.Point = slices.Clone(f.Point)
-	if len(f.Point) == 0 {
-		f.Seed = f.Seed.Split("another", int(r.Uint32()))
-		return f
+// move returns a neighbor: one or two coordinates of the point are shifted by up to a step. Without coordinates, it
+// draws another seed.
+func move(candidate Candidate, step float64, seed vtime.Seed) Candidate {
+	random := seed.Rand()
+	candidate.Point = slices.Clone(candidate.Point)
+	if len(candidate.Point) == 0 {
+		candidate.Seed = candidate.Seed.Split("another", int(random.Uint32()))
+		return candidate
 	}
-	for range 1 + r.IntN(2) {
-		i := r.IntN(len(f.Point))
-		f.Point[i] = math.Min(1, math.Max(0, f.Point[i]+step*(2*r.Float64()-1)))
+	for range 1 + random.IntN(2) {
+		i := random.IntN(len(candidate.Point))
+		candidate.Point[i] = math.Min(1, math.Max(0, candidate.Point[i]+step*(2*random.Float64()-1)))
 	}
-	return f
+	return candidate
 }
 
-// Cause is a part of a day, and what would be without it.
+// Cause is a part of a day, with the gains of the same day without that part.
 type Cause struct {
 	Name            string
-	GoalGain        float64 // gained without it
-	WorstWindowGain float64 // share gained in the worst ten seconds
+	GoalGain        float64 // gain of the goal score
+	WorstWindowGain float64 // gain of the share of worth in the worst ten seconds
 }
 
-// FindCauses plays a day without each of its parts and returns them, the part that cost the worst ten seconds most first. Parts
-// that cost nothing are left out.
+// FindCauses plays a day as it is and without each of its parts. It returns the result of the whole day, and the parts
+// ordered by their cost in the worst ten seconds, the most costly first. Parts that cost next to nothing are left out.
 func FindCauses(d fleet.Day, play func(fleet.Day) fleet.Result) (worst fleet.Result, out []Cause) {
 	type part struct {
-		what string
+		name string
 		day  fleet.Day
 	}
 	var parts []part
@@ -132,34 +137,34 @@
 		w.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
 		parts = append(parts, part{fmt.Sprintf("%s at %.0f s", t.Kind, t.At/1000), w})
 	}
-	with := func(what string, is bool, do func(*fleet.Day)) {
-		if is {
+	addPart := func(name string, applies bool, remove func(*fleet.Day)) {
+		if applies {
 			w := d
 			w.Callers = slices.Clone(d.Callers)
-			do(&w)
-			parts = append(parts, part{what, w})
+			remove(&w)
+			parts = append(parts, part{name, w})
 		}
 	}
-	heedless, endless, cold := false, false, d.ColdFleet
+	ignoresCredit, manyTries, coldFleet := false, false, d.ColdFleet
 	for _, c := range d.Callers {
-		heedless, endless = heedless || !c.HonorsCredit, endless || c.MaxTries == 0 || c.MaxTries > 3
+		ignoresCredit, manyTries = ignoresCredit || !c.HonorsCredit, manyTries || c.MaxTries == 0 || c.MaxTries > 3
 	}
-	with("callers that heed nothing", heedless, func(w *fleet.Day) {
+	addPart("callers that heed nothing", ignoresCredit, func(w *fleet.Day) {
 		for i := range w.Callers {
 			w.Callers[i].HonorsCredit = true
 		}
 	})
-	with("more than three tries", endless, func(w *fleet.Day) {
+	addPart("more than three tries", manyTries, func(w *fleet.Day) {
 		for i := range w.Callers {
 			if t := &w.Callers[i].MaxTries; *t == 0 || *t > 3 {
 				*t = 3
 			}
 		}
 	})
-	with("a cold fleet", cold, func(w *fleet.Day) { w.ColdFleet = false })
-	with("clients that ask again", d.ClientRetries.Share > 0, func(w *fleet.Day) { w.ClientRetries.Share = 0 })
-	with("a late list", d.ListLag+d.SessionTimeout > 0, func(w *fleet.Day) { w.ListLag, w.SessionTimeout = 0, 0 })
-	with("a load over 0.7", d.Load > 0.7, func(w *fleet.Day) { w.Load = 0.7 })
+	addPart("a cold fleet", coldFleet, func(w *fleet.Day) { w.ColdFleet = false })
+	addPart("clients that ask again", d.ClientRetries.Share > 0, func(w *fleet.Day) { w.ClientRetries.Share = 0 })
+	addPart("a late list", d.ListLag+d.SessionTimeout > 0, func(w *fleet.Day) { w.ListLag, w.SessionTimeout = 0, 0 })
+	addPart("a load over 0.7", d.Load > 0.7, func(w *fleet.Day) { w.Load = 0.7 })
 	results := vtime.ParallelMap(len(parts)+1, runtime.GOMAXPROCS(0), func(i int) fleet.Result {
 		if i == 0 {
 			return play(d)
@@ -167,14 +172,15 @@
 		return play(parts[i-1].day)
 	})
 	worst = results[0]
-	from := int(worst.WorstWindowStart / fleet.BucketMs())
+	worstBucket := int(worst.WorstWindowStart / fleet.BucketMs())
 	for i, p := range parts {
 		r := results[i+1]
-		share, ok := r.WindowWorthRatio(from)
+		share, ok := r.WindowWorthRatio(worstBucket)
 		if !ok {
 			share = r.WorstWindow
 		}
-		if c := (Cause{p.what, r.GoalScore - worst.GoalScore, share - worst.WorstWindow}); c.WorstWindowGain > 0.005 || c.GoalGain > 0.005 {
+		if c := (Cause{p.name, r.GoalScore - worst.GoalScore,
+			share - worst.WorstWindow}); c.WorstWindowGain > 0.005 || c.GoalGain > 0.005 {
 			out = append(out, c)
 		}
 	}
