--- a/internal/emu/live/link.go
+++ b/internal/emu/live/pool.go
@@ -11,32 +11,33 @@
 	"whinrudder/internal/core"
 )
 
-// serveLink is the worker pool's side of the link: its work is the emulator's model.
-func (n *node) serveLink() {
+// servePool accepts connections of the process to its worker pool and handles their messages. The emulator's model
+// does the work of the pool.
+func (n *node) servePool() {
 	for {
 		c, err := n.pool.Accept()
 		if err != nil {
 			return
 		}
 		n.mu.Lock()
-		n.link = c
+		n.poolConn = c
 		n.mu.Unlock()
 		for r := bufio.NewScanner(c); r.Scan(); {
 			v, err := fastjson.ParseBytes(r.Bytes())
 			if err != nil {
 				break
 			}
-			n.command(c, v)
+			n.handleMessage(c, v)
 		}
 		n.mu.Lock()
-		n.link = nil
+		n.poolConn = nil
 		n.mu.Unlock()
 		c.Close()
 	}
 }
 
-// command takes a line of the process.
-func (n *node) command(c net.Conn, v *fastjson.Value) {
+// handleMessage handles a message of the process to its worker pool.
+func (n *node) handleMessage(c net.Conn, v *fastjson.Value) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	call := string(v.GetStringBytes("call"))
@@ -49,11 +50,11 @@
 		fmt.Fprintf(c, `{"msg":"bound","how":%q,"duration":1}`+"\n", how)
 	case "spawn":
 		body, _ := base64.StdEncoding.DecodeString(string(v.GetStringBytes("blob")))
-		n.out = append(n.out, core.Spawn{ID: call, Body: body})
+		n.outputs = append(n.outputs, core.Spawn{ID: call, Body: body})
 	case "suspend":
-		n.out = append(n.out, core.Suspend{ID: call})
+		n.outputs = append(n.outputs, core.Suspend{ID: call})
 	case "poll":
 		n.cookies = append(n.cookies, string(v.GetStringBytes("cookie")))
-		n.out = append(n.out, core.Poll{})
+		n.outputs = append(n.outputs, core.Poll{})
 	}
 }
--- a/internal/emu/live/proxy.go
+++ b/internal/emu/live/proxy.go
@@ -20,16 +20,16 @@
 	"whinrudder/internal/lab"
 )
 
-// proxied is a process of the client proxy, and a plain client of HTTP that calls it.
-type proxied struct {
+// proxyProcess is a process of the client proxy, with a plain HTTP client that calls it.
+type proxyProcess struct {
 	addr    string
 	process *exec.Cmd
 	client  *http.Client
 	cancel  context.CancelFunc
-	done    chan struct{}
+	done    chan struct{} // closed when the watch of the node list has ended
 }
 
-// proxyError is a proxy's word on a call that brought nothing.
+// proxyError is the failure of a call through a proxy. Its status is 0 if no complete answer was received.
 type proxyError struct {
 	status int
 	reason string
@@ -37,38 +37,42 @@
 
 func (e *proxyError) Error() string { return fmt.Sprint("proxy: ", e.status, " ", e.reason) }
 
-// startProxy starts a proxy that hears of the nodes by a file, as late as the day says.
-func startProxy(ctx context.Context, h *Host, program string, number int, protocol client.Protocol) (*proxied, error) {
+// startProxy starts a proxy and waits until it is healthy. The proxy reads the nodes from a file that is updated with
+// the list lag of the day.
+func startProxy(ctx context.Context, h *Host, program string, number int,
+	protocol client.Protocol) (*proxyProcess, error) {
 	addr, err := lab.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
-	p := &proxied{addr: addr, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}, done: make(chan struct{})}
+	p := &proxyProcess{addr: addr, client: &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 256, DisableCompression: true}}, done: make(chan struct{})}
 	ctx, p.cancel = context.WithCancel(ctx)
 	file := filepath.Join(h.dir, fmt.Sprint("nodes", number))
-	first := make(chan struct{})
+	written := make(chan struct{})
 	go func() {
 		defer close(p.done)
-		last := "none"
+		lastText := "none"
 		h.Watch(ctx, func(_ time.Time, nodes []client.Node) {
 			var text strings.Builder
 			for _, n := range nodes {
 				fmt.Fprintln(&text, n.Name, n.Addr)
 			}
-			if text.String() == last {
+			if text.String() == lastText {
 				return
 			}
-			if renameio.WriteFile(file, []byte(text.String()), 0o600) == nil && last == "none" {
-				close(first)
+			if renameio.WriteFile(file, []byte(text.String()), 0o600) == nil && lastText == "none" {
+				close(written)
 			}
-			last = text.String()
+			lastText = text.String()
 		})
 	}()
-	<-first
-	args := []string{"proxy", "--listen", addr, "--nodes-file", file, "--protocol", string(protocol), "--number", strconv.Itoa(number)}
-	for _, k := range h.day.Classes {
-		name := k.Name
-		if k.Write {
+	<-written
+	args := []string{"proxy", "--listen", addr, "--nodes-file", file, "--protocol", string(protocol), "--number",
+		strconv.Itoa(number)}
+	for _, class := range h.day.Classes {
+		name := class.Name
+		if class.Write {
 			name += ":write"
 		}
 		args = append(args, "--class", name)
@@ -81,13 +85,13 @@
 	}
 	if err := lab.WaitHealthy(ctx, addr); err != nil {
 		p.stop()
-		return nil, fmt.Errorf("live: the proxy at %s does not come up: %w", addr, err)
+		return nil, fmt.Errorf("live: the proxy at %s is not ready: %w", addr, err)
 	}
 	return p, nil
 }
 
-// stop ends the process as an operator would, and waits for its end.
-func (p *proxied) stop() {
+// stop shuts the process down gracefully by SIGTERM and waits until it has exited.
+func (p *proxyProcess) stop() {
 	p.process.Process.Signal(syscall.SIGTERM)
 	p.process.Wait()
 	p.cancel()
@@ -95,15 +99,16 @@
 	p.client.CloseIdleConnections()
 }
 
-// Do calls the proxy until the deadline of the context.
-func (p *proxied) Do(ctx context.Context, r client.Request) (*client.Response, error) {
+// Do makes a call through the proxy, which may take until the deadline of the context. The context must have one.
+func (p *proxyProcess) Do(ctx context.Context, r client.Request) (*client.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+p.addr+"/rpc/"+r.Class, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, err
 	}
-	at, _ := ctx.Deadline()
-	for k, v := range map[string]string{"Req-Wait-Ms": fmt.Sprintf("%.1f", float64(time.Until(at))/float64(time.Millisecond)),
-		"Req-Kb": fmt.Sprintf("%.1f", r.KB), "Req-Rank": fmt.Sprintf("%.4f", r.Rank)} {
+	deadline, _ := ctx.Deadline()
+	for k, v := range map[string]string{
+		"Req-Wait-Ms": fmt.Sprintf("%.1f", float64(time.Until(deadline))/float64(time.Millisecond)),
+		"Req-Kb":      fmt.Sprintf("%.1f", r.KB), "Req-Rank": fmt.Sprintf("%.4f", r.Rank)} {
 		req.Header.Set(k, v)
 	}
 	resp, err := p.client.Do(req)
