--- a/internal/emu/experiment/reader.go
+++ b/internal/emu/experiment/reader.go
@@ -37,6 +37,7 @@
 	}
 }
 
+// err returns all recorded errors, joined, or nil.
 func (r *reader) err() error { return errors.Join(r.errs...) }
 
 // object returns the object at a path and records an error for each unknown key. It returns nil for an absent value,
--- a/internal/emu/live/clients.go
+++ b/internal/emu/live/clients.go
@@ -33,9 +33,9 @@
 
 // workLedger holds the work of each request body and counts the runs of writes.
 type workLedger struct {
-	mu    sync.Mutex
+	mu   sync.Mutex
 	work map[string]workers.Work
-	runs  map[string]int
+	runs map[string]int
 }
 
 // Watch implements client.Source. Nodes appear in the list and disappear from it with the list lag of the day.
--- a/internal/emu/live/live.go
+++ b/internal/emu/live/live.go
@@ -326,7 +326,8 @@
 	n.cancels[r.ID]()
 	delete(n.cancels, r.ID)
 	switch {
-	case n.hasExited || errors.Is(err, context.Canceled): // the simulation knows already that the process exited or the caller gave up
+	case n.hasExited || errors.Is(err, context.Canceled):
+		// The simulation already knows that the process exited or that the caller gave up.
 	case err != nil:
 		n.outputs = append(n.outputs, fleet.ConnectionReset{Reply: core.Reply{To: r.ReplyTo}, Reason: err.Error()})
 	default:
--- a/internal/emu/study/study.go
+++ b/internal/emu/study/study.go
@@ -134,13 +134,13 @@
 		return DayResult{}, err
 	}
 	v := e.Variants[variant]
-	r := fleet.Simulate(d, v.Policy.NodeFactory())
-	p := DayResult{Family: e.Name, Variant: v.Name, SweepValue: sweepValue, Seed: uint64(seed),
-		OverloadCrashes: r.OverloadCrashes, Violations: r.Violations, Latency: r.Latency}
+	result := fleet.Simulate(d, v.Policy.NodeFactory())
+	day := DayResult{Family: e.Name, Variant: v.Name, SweepValue: sweepValue, Seed: uint64(seed),
+		OverloadCrashes: result.OverloadCrashes, Violations: result.Violations, Latency: result.Latency}
 	for _, m := range e.Measures {
-		p.Values = append(p.Values, experiment.MeasureByName(m).Value(&r))
+		day.Values = append(day.Values, experiment.MeasureByName(m).Value(&result))
 	}
-	return p, nil
+	return day, nil
 }
 
 // isDecided reports whether every comparison of a point has a verdict. With a single variant, it reports whether the
