--- a/internal/vtime/vtime.go
+++ b/internal/vtime/vtime.go
@@ -1,5 +1,6 @@
-// Package vtime is a kernel of virtual time: timers that fire in order, random streams that are split by purpose, and days
-// that are played side by side with the same result on any number of processors. Times are milliseconds.
+// Package vtime is a discrete-event simulation kernel: timers that fire in order of virtual time, random streams that are
+// split by purpose, and a parallel map that runs independent simulations with the same results on any number of
+// processors. Times are milliseconds.
 package vtime
 
 import (
@@ -11,25 +12,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Timer fires once at a time; it lies inside of what it wakes and can be set again and again. Do must be set before.
+// Timer calls Do once at the time for which it is set, and can then be set again. It is usually embedded in the object that
+// it wakes. Do must be assigned before the timer is set.
 type Timer struct {
 	Do func(now float64)
 
-	pos int // in the heap, from 1; 0: not set
+	pos int // position in the heap, counted from 1; 0: not set
 }
 
-// IsSet tells whether it is set.
+// IsSet reports whether the timer is set.
 func (t *Timer) IsSet() bool { return t.pos > 0 }
 
-// Kernel holds what is to happen. It is used from one goroutine.
+// Kernel holds the virtual clock and the timers that are set. It must be used from one goroutine only. The zero value is
+// a kernel at time 0 without timers.
 type Kernel struct {
 	now   float64
-	fired uint64
-	seq   uint64
-	all   []entry // a heap of arity 4: half as deep as a binary one, and its children lie side by side
+	fired uint64  // number of timers that have fired
+	seq   uint64  // number of calls of Set
+	heap  []entry // 4-ary: half as deep as a binary heap, with the children of an entry adjacent in memory
 }
 
-// entry is a timer that is set; those of one time go by seq.
+// entry is a timer that is set. Entries with the same time are ordered by seq.
 type entry struct {
 	at  float64
 	seq uint64
@@ -40,99 +43,103 @@
 
 const arity = 4
 
-// Now returns the present time.
+// Now returns the current virtual time.
 func (k *Kernel) Now() float64 { return k.now }
 
 // Fired returns how many timers have fired.
 func (k *Kernel) Fired() uint64 { return k.fired }
 
 // Len returns how many timers are set.
-func (k *Kernel) Len() int { return len(k.all) }
+func (k *Kernel) Len() int { return len(k.heap) }
 
-// Set lets a timer fire at a time, or now if that is over. Timers of one time fire in the order in which they were set.
+// Set sets a timer to fire at a time, or now if that time has passed. A timer that is already set is moved. Timers with the
+// same time fire in the order in which they were set.
 func (k *Kernel) Set(t *Timer, at float64) {
 	k.seq++
 	e := entry{max(at, k.now), k.seq, t}
 	if t.pos == 0 {
-		k.all = append(k.all, e)
-		k.up(len(k.all)-1, e)
+		k.heap = append(k.heap, e)
+		k.up(len(k.heap)-1, e)
 		return
 	}
 	k.fix(t.pos-1, e)
 }
 
-// After makes a timer that fires after so long.
+// After returns a new timer that is set to fire after ms milliseconds.
 func (k *Kernel) After(ms float64, do func(now float64)) *Timer {
 	t := &Timer{Do: do}
 	k.Set(t, k.now+ms)
 	return t
 }
 
-// Cancel takes a timer back, if it is set.
+// Cancel removes a timer if it is set.
 func (k *Kernel) Cancel(t *Timer) {
 	if t.pos == 0 {
 		return
 	}
-	i, last := t.pos-1, len(k.all)-1
+	i, last := t.pos-1, len(k.heap)-1
 	t.pos = 0
-	e := k.all[last]
-	k.all[last] = entry{} // it must not be kept from the collector
-	if k.all = k.all[:last]; i < last {
+	e := k.heap[last]
+	k.heap[last] = entry{} // lets the garbage collector free the timer
+	if k.heap = k.heap[:last]; i < last {
 		k.fix(i, e)
 	}
 }
 
-// fix puts an entry in the place of one that is taken out.
+// fix puts an entry at index i, in place of the one there, and restores the heap order.
 func (k *Kernel) fix(i int, e entry) {
-	if i > 0 && e.before(&k.all[(i-1)/arity]) {
+	if i > 0 && e.before(&k.heap[(i-1)/arity]) {
 		k.up(i, e)
 	} else {
 		k.down(i, e)
 	}
 }
 
+// up moves an entry from index i towards the root to its place.
 func (k *Kernel) up(i int, e entry) {
 	for i > 0 {
 		p := (i - 1) / arity
-		if !e.before(&k.all[p]) {
+		if !e.before(&k.heap[p]) {
 			break
 		}
-		k.put(i, k.all[p])
+		k.put(i, k.heap[p])
 		i = p
 	}
 	k.put(i, e)
 }
 
+// down moves an entry from index i towards the leaves to its place.
 func (k *Kernel) down(i int, e entry) {
 	for {
 		first := i*arity + 1
-		if first >= len(k.all) {
+		if first >= len(k.heap) {
 			break
 		}
-		least := first
-		for c := first + 1; c < min(first+arity, len(k.all)); c++ {
-			if k.all[c].before(&k.all[least]) {
-				least = c
+		smallest := first
+		for c := first + 1; c < min(first+arity, len(k.heap)); c++ {
+			if k.heap[c].before(&k.heap[smallest]) {
+				smallest = c
 			}
 		}
-		if !k.all[least].before(&e) {
+		if !k.heap[smallest].before(&e) {
 			break
 		}
-		k.put(i, k.all[least])
-		i = least
+		k.put(i, k.heap[smallest])
+		i = smallest
 	}
 	k.put(i, e)
 }
 
+// put stores an entry at index i and records the position in its timer.
 func (k *Kernel) put(i int, e entry) {
-	k.all[i] = e
+	k.heap[i] = e
 	e.t.pos = i + 1
 }
 
-// Run fires all that falls due until a time, which is the present one then.
+// Run fires all timers that are due up to and including a time, then sets the clock to that time.
 func (k *Kernel) Run(to float64) {
-	for len(k.all) > 0 && k.all[0].at <= to {
-		e := k.all[0]
+	for len(k.heap) > 0 && k.heap[0].at <= to {
+		e := k.heap[0]
 		k.Cancel(e.t)
 		k.now = e.at
 		k.fired++
@@ -141,49 +148,50 @@
 	k.now = max(k.now, to)
 }
 
-// Next returns when the next timer fires; ok is false if there is none.
+// Next returns the time of the next timer; ok is false if no timer is set.
 func (k *Kernel) Next() (at float64, ok bool) {
-	if len(k.all) == 0 {
+	if len(k.heap) == 0 {
 		return 0, false
 	}
-	return k.all[0].at, true
+	return k.heap[0].at, true
 }
 
-// Seed is where random streams come from.
+// Seed is the seed of a random stream, from which the seeds of further streams are derived.
 type Seed uint64
 
-// Split returns the seed of a purpose, and of a thing by its number within it. What is drawn from one seed shifts nothing
-// that is drawn from another.
+// Split derives the seed of a purpose and of item n within it. Streams of different seeds are independent: draws from one
+// do not shift the draws from another.
 func (s Seed) Split(purpose string, n int) Seed {
 	b := binary.LittleEndian.AppendUint64(make([]byte, 0, 64), uint64(s))
 	b = binary.LittleEndian.AppendUint64(b, uint64(n))
 	return Seed(xxhash.Sum64(append(b, purpose...)))
 }
 
-// Rand returns the random numbers of a seed.
+// Rand returns a new random number generator that starts from the seed.
 func (s Seed) Rand() *rand.Rand { return rand.New(rand.NewPCG(uint64(s), 0x9e3779b97f4a7c15)) }
 
-// Uniform returns the one number from 0 to 1, without 1, that a seed stands for: where one draw is all that is wanted.
+// Uniform maps the seed to one number in [0, 1). It replaces Rand where a single draw is needed.
 func (s Seed) Uniform() float64 { return float64(s>>11) / (1 << 53) }
 
-// Range is where a figure is drawn from, evenly.
+// Range is an interval from which a value is drawn uniformly.
 type Range struct{ Low, High float64 }
 
-// At returns the figure at a part of the range, 0 to 1.
-func (r Range) At(part float64) float64 { return r.Low + (r.High-r.Low)*part }
+// At returns the value at a fraction of the range, from 0 (Low) to 1 (High).
+func (r Range) At(fraction float64) float64 { return r.Low + (r.High-r.Low)*fraction }
 
-// ParallelMap plays n days on so many workers and returns what they give, in order. A day must share nothing with another.
-func ParallelMap[T any](n, workers int, day func(i int) T) []T {
+// ParallelMap calls task for each i from 0 to n-1 on the given number of goroutines and returns the results in order of i.
+// Calls must not share state.
+func ParallelMap[T any](n, workers int, task func(i int) T) []T {
 	out := make([]T, n)
 	var next atomic.Int64
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for range min(n, max(1, workers)) {
-		wait.Go(func() {
+		wg.Go(func() {
 			for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
-				out[i] = day(i)
+				out[i] = task(i)
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	return out
 }
--- a/internal/vtime/vtime_test.go
+++ b/internal/vtime/vtime_test.go
@@ -10,37 +10,38 @@
 	"pgregory.net/rapid"
 )
 
-// Timers fire by time, those of one time in the order of setting, whatever was moved or taken back.
+// Guards against timers that fire in the wrong order or not at all after other timers were moved or cancelled: they must
+// fire by time, and those with the same time in the order in which they were set.
 func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k Kernel
-		type want struct {
+		type setTimer struct {
 			at  float64
 			seq int
 			id  int
 		}
-		set := map[int]want{}
+		set := map[int]setTimer{}
 		var got []int
-		all := make([]Timer, 30)
-		for i := range all {
-			all[i].Do = func(float64) { got = append(got, i) }
+		timers := make([]Timer, 30)
+		for i := range timers {
+			timers[i].Do = func(float64) { got = append(got, i) }
 		}
 		for n := range rapid.IntRange(1, 100).Draw(t, "steps") {
-			i := rapid.IntRange(0, len(all)-1).Draw(t, "which")
+			i := rapid.IntRange(0, len(timers)-1).Draw(t, "which")
 			if rapid.IntRange(0, 3).Draw(t, "cancel") == 0 {
-				k.Cancel(&all[i])
+				k.Cancel(&timers[i])
 				delete(set, i)
 				continue
 			}
 			at := float64(rapid.IntRange(0, 9).Draw(t, "at"))
-			k.Set(&all[i], at)
-			set[i] = want{at, n, i}
+			k.Set(&timers[i], at)
+			set[i] = setTimer{at, n, i}
 		}
-		var order []want
+		var want []setTimer
 		for _, w := range set {
-			order = append(order, w)
+			want = append(want, w)
 		}
-		slices.SortFunc(order, func(a, b want) int {
+		slices.SortFunc(want, func(a, b setTimer) int {
 			if a.at != b.at {
 				return int(a.at - b.at)
 			}
@@ -48,19 +49,20 @@
 		})
 		k.Run(4)
 		k.Run(9)
-		for i, w := range order {
+		for i, w := range want {
 			if i >= len(got) || got[i] != w.id {
-				t.Fatalf("fired %v, want %v", got, order)
+				t.Fatalf("fired timers %v, want %v", got, want)
 			}
 		}
-		if len(got) != len(order) || k.Now() != 9 || k.Fired() != uint64(len(got)) {
-			t.Fatalf("fired %v, want %v", got, order)
+		if len(got) != len(want) || k.Now() != 9 || k.Fired() != uint64(len(got)) {
+			t.Fatalf("fired timers %v (counted %d) until time %v, want %v until time 9", got, k.Fired(), k.Now(), want)
 		}
 	})
 }
 
-// Streams of two purposes are apart, and days come out the same on any number of workers and processors.
-func TestDaysAreTheSameOnAnyNumberOfWorkers(t *testing.T) {
+// Guards against results that depend on parallelism, which happens if simulations share state, and against two purposes or
+// items that get the same seed.
+func TestResultsDoNotDependOnParallelism(t *testing.T) {
 	day := func(i int) string {
 		r := Seed(7).Split("day", i).Rand()
 		var k Kernel
@@ -76,7 +78,7 @@
 		for _, procs := range []int{1, 3} {
 			before := runtime.GOMAXPROCS(procs)
 			if diff := cmp.Diff(want, ParallelMap(20, workers, day)); diff != "" {
-				t.Error(diff)
+				t.Errorf("%d workers on %d processors (-want +got):\n%s", workers, procs, diff)
 			}
 			runtime.GOMAXPROCS(before)
 		}
@@ -88,6 +90,6 @@
 		}
 	}
 	if len(seen) != 400 {
-		t.Errorf("%d seeds, want 400", len(seen))
+		t.Errorf("got %d different seeds, want 400", len(seen))
 	}
 }
