--- a/internal/emu/workers/workers_test.go
+++ b/internal/emu/workers/workers_test.go
@@ -12,23 +12,23 @@
 	"whinrudder/internal/vtime"
 )
 
-// simulateQueue plays a pool to which runs come by chance, and returns the mean number in it, the mean time that one took and the
-// rate of ends, after a time of warming up.
-func simulateQueue(p Params, seed vtime.Seed, rate float64, n int, draw func() float64) (number, took, ends float64) {
+// simulateQueue starts n runs with Poisson arrivals on a pool. It returns the mean number of runs in the pool, their
+// mean latency and the rate at which they end. The first tenth of the runs is not counted.
+func simulateQueue(p Params, seed vtime.Seed, rate float64, n int, drawWork func() float64) (number, latency, endRate float64) {
 	var k vtime.Kernel
 	arrive := distuv.Exponential{Rate: rate, Src: seed.Split("arrivals", 0).Rand()}
-	in, area, last, from := 0, 0.0, 0.0, -1.0
-	sum, count, begun := 0.0, 0, map[int]bool{}
-	count2 := func(by int) {
+	inPool, area, last, from := 0, 0.0, 0.0, -1.0 // area: integral of inPool over time since from
+	sum, count, counted := 0.0, 0, map[int]bool{}
+	changeNumber := func(by int) {
 		if from >= 0 {
-			area += float64(in) * (k.Now() - last)
+			area += float64(inPool) * (k.Now() - last)
 		}
 		last = k.Now()
-		in += by
+		inPool += by
 	}
 	l := New(&k, p, func(e Event) {
-		count2(-1)
-		if begun[e.ID] {
+		changeNumber(-1)
+		if counted[e.ID] {
 			sum += e.Took
 			count++
 		}
@@ -37,12 +37,12 @@
 	id := 0
 	next.Do = func(now float64) {
 		id++
-		if id == n/10 { // from here on it counts
+		if id == n/10 { // the warm-up is over
 			from, last = now, now
 		}
-		count2(1)
-		begun[id] = from >= 0
-		l.Start(id, Work{Run: draw()})
+		changeNumber(1)
+		counted[id] = from >= 0
+		l.Start(id, Work{Run: drawWork()})
 		if id < n {
 			k.Set(&next, now+arrive.Rand())
 		}
@@ -54,14 +54,15 @@
 	return area / (k.Now() - from), sum / float64(count), float64(count) / (k.Now() - from)
 }
 
-func near(t *testing.T, what string, got, want, part float64) {
+// near checks that a value differs from the expected one by at most a relative tolerance.
+func near(t *testing.T, what string, got, want, tolerance float64) {
 	t.Helper()
-	if math.Abs(got-want) > part*want {
-		t.Errorf("%s: %.4f, theory has %.4f (within %.1f%%)", what, got, want, 100*part)
+	if math.Abs(got-want) > tolerance*want {
+		t.Errorf("%s: got %.4f, want %.4f within %.1f%%", what, got, want, 100*tolerance)
 	}
 }
 
-// erlangC is the chance to find all servers busy in M/M/c (Erlang, 1917).
+// erlangC returns the probability that all servers of an M/M/c queue are busy (Erlang, 1917).
 func erlangC(c int, a float64) float64 {
 	sum, term := 0.0, 1.0
 	for k := range c {
@@ -72,8 +73,9 @@
 	return top / (sum + top)
 }
 
-// With exponential work the number in M/M/c is the same whether the cores are shared or queued for: c*rho +
-// C(c,a)*rho/(1-rho). Little's law joins it with the mean time, whatever the work.
+// Compares the pool with queueing theory, against errors in how cores are shared. With exponential work the mean number
+// of requests in M/M/c is c*rho + C(c,a)*rho/(1-rho), both for processor sharing and for a queue. Little's law relates
+// it to the mean latency for any distribution of work.
 func TestMMcAndLittle(t *testing.T) {
 	for _, c := range []struct {
 		cores int
@@ -82,20 +84,20 @@
 		t.Run(fmt.Sprint(c.cores, " cores at ", c.rho), func(t *testing.T) {
 			t.Parallel()
 			seed := vtime.Seed(1)
-			work := distuv.Exponential{Rate: 0.01, Src: seed.Split("work", 0).Rand()} // 100 ms in the mean
+			work := distuv.Exponential{Rate: 0.01, Src: seed.Split("work", 0).Rand()} // mean 100 ms
 			rate := c.rho * float64(c.cores) / 100
-			number, took, ends := simulateQueue(Params{Cores: c.cores, Speed: 1, ColdSpeedRatio: 1}, seed, rate, 400000, work.Rand)
+			number, latency, endRate := simulateQueue(Params{Cores: c.cores, Speed: 1, ColdSpeedRatio: 1}, seed, rate, 400000, work.Rand)
 			a := c.rho * float64(c.cores)
 			want := a + erlangC(c.cores, a)*c.rho/(1-c.rho)
-			near(t, "number", number, want, 0.03)
-			near(t, "time", took, want/rate, 0.03)
-			near(t, "Little's law", number, ends*took, 0.01)
+			near(t, "mean number of runs", number, want, 0.03)
+			near(t, "mean latency", latency, want/rate, 0.03)
+			near(t, "mean number of runs by Little's law", number, endRate*latency, 0.01)
 		})
 	}
 }
 
-// M/G/1 under processor sharing depends on the mean of the work alone (Kleinrock, Queueing Systems 2, 4.4): the mean time
-// is the mean work over 1-rho.
+// Guards against a mean latency that depends on more than the mean of the work. Under processor sharing the mean
+// latency of M/G/1 is the mean work divided by 1-rho, for any distribution (Kleinrock, Queueing Systems 2, 4.4).
 func TestMG1PS(t *testing.T) {
 	logNormal := func(cv float64) func(vtime.Seed) func() float64 {
 		return func(s vtime.Seed) func() float64 {
@@ -103,10 +105,10 @@
 			return distuv.LogNormal{Mu: math.Log(100) - v/2, Sigma: math.Sqrt(v), Src: s.Rand()}.Rand
 		}
 	}
-	for name, of := range map[string]func(vtime.Seed) func() float64{
-		"all alike":     func(vtime.Seed) func() float64 { return func() float64 { return 100 } },
+	for name, newDraw := range map[string]func(vtime.Seed) func() float64{
+		"constant":      func(vtime.Seed) func() float64 { return func() float64 { return 100 } },
 		"log-normal, 2": logNormal(2),
-		"hyper": func(s vtime.Seed) func() float64 {
+		"hyperexponential": func(s vtime.Seed) func() float64 {
 			r := s.Rand()
 			return func() float64 {
 				if r.Float64() < 0.1 {
@@ -119,15 +121,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			seed := vtime.Seed(3)
-			number, took, _ := simulateQueue(Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1}, seed, 0.007, 500000, of(seed.Split("work", 0)))
-			near(t, "time", took, 100/(1-0.7), 0.04)
-			near(t, "number", number, 0.7/(1-0.7), 0.04)
+			number, latency, _ := simulateQueue(Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1}, seed, 0.007, 500000, newDraw(seed.Split("work", 0)))
+			near(t, "mean latency", latency, 100/(1-0.7), 0.04)
+			near(t, "mean number of runs", number, 0.7/(1-0.7), 0.04)
 		})
 	}
 }
 
-// What a pool does with one request, by hand: waits, crawls, pauses, a cold start, a stop and a fall.
-func TestOneByOne(t *testing.T) {
+// Checks single features of the model against times computed by hand: waits, reading, slowdowns, pauses, stops,
+// contention, the crash of overload and both kinds of cold start.
+func TestEventTimes(t *testing.T) {
 	type step struct {
 		at float64
 		do func(l *Pool)
@@ -140,9 +143,9 @@
 	}{
 		{"a run with a wait", Params{Cores: 2, Speed: 2, ColdSpeedRatio: 1},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100, Sleep: 30}) }}}, []string{"80 done 1 took 80"}},
-		{"reading one a core", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
+		{"each core reads one request at a time", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
 			[]step{{0, func(l *Pool) { l.Enqueue(1, Work{Read: 10}); l.Enqueue(2, Work{Read: 10}) }}}, []string{"10 read 1", "20 read 2"}},
-		{"a crawl", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
+		{"a slowdown", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}) }}, {50, func(l *Pool) { l.SetSlowdown(5) }}}, []string{"300 done 1 took 300"}},
 		{"a pause", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}) }}, {50, func(l *Pool) { l.SetPaused(true) }}, {400, func(l *Pool) { l.SetPaused(false) }}},
@@ -150,16 +153,16 @@
 		{"a stop", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}); l.Start(2, Work{Run: 100}) }}, {50, func(l *Pool) { l.Stop(1); l.Stop(1) }}},
 			[]string{"50 stopped 1 took 50", "125 done 2 took 125"}},
-		{"crowding", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, ContentionThreshold: 1, ContentionLoss: 0.5},
+		{"contention", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, ContentionThreshold: 1, ContentionLoss: 0.5},
 			[]step{{0, func(l *Pool) { l.Start(1, Work{Run: 100}); l.Start(2, Work{Run: 100}) }}},
 			[]string{"300 done 1 took 300", "300 done 2 took 300"}},
-		{"a fall: the mean of 4 passes 2 after 1500*ln(4/2)", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, OverloadThreshold: 2, OverloadWindow: 1500},
+		{"a crash: the mean of 4 exceeds 2 after 1500*ln(4/2)", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, OverloadThreshold: 2, OverloadWindow: 1500},
 			[]step{{0, func(l *Pool) {
 				for id := range 4 {
 					l.Start(id, Work{Run: 1e6})
 				}
-			}}, {2000, func(l *Pool) { l.Start(9, Work{Run: 1}) }}}, []string{"1040 fell"}},
-		{"no fall: it ends before", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, OverloadThreshold: 2, OverloadWindow: 1500},
+			}}, {2000, func(l *Pool) { l.Start(9, Work{Run: 1}) }}}, []string{"1040 crashed"}},
+		{"no crash: the runs end before", Params{Cores: 1, Speed: 1, ColdSpeedRatio: 1, OverloadThreshold: 2, OverloadWindow: 1500},
 			[]step{{0, func(l *Pool) {
 				for id := range 4 {
 					l.Start(id, Work{Run: 250})
@@ -169,7 +172,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var k vtime.Kernel
 			var got []string
-			words := map[Kind]string{Read: "read", Done: "done", Stopped: "stopped", Crashed: "fell"}
+			words := map[Kind]string{Read: "read", Done: "done", Stopped: "stopped", Crashed: "crashed"}
 			l := New(&k, c.p, func(e Event) {
 				s := fmt.Sprintf("%.0f %s", k.Now(), words[e.Kind])
 				if e.Kind != Crashed {
@@ -188,28 +191,28 @@
 			slices.Sort(got)
 			slices.Sort(c.want)
 			if diff := cmp.Diff(c.want, got); diff != "" {
-				t.Error(diff)
+				t.Errorf("events (-want +got):\n%s", diff)
 			}
 		})
 	}
 	var k vtime.Kernel
 	l := New(&k, Params{Cores: 1, Speed: 1, ColdSpeedRatio: 0.2, RampTime: 10000}, func(e Event) {
-		near(t, "a cold start", e.Took, 6972, 0.01) // the integral of its speed is the work
+		near(t, "latency in a cold start", e.Took, 6972, 0.01) // the integral of the speed up to then is the work
 	})
 	l.Start(1, Work{Run: 0.2*6972 + 0.8*6972*6972/2/10000})
 	k.Run(20000)
 	if !(l.SpeedRatio() == 1) {
-		t.Error("it is not warm")
+		t.Errorf("speed ratio after the ramp time: got %v, want 1", l.SpeedRatio())
 	}
-	var k2 vtime.Kernel // warm by what it does: the work done grows as exp(0.8 t / 1000)
+	var k2 vtime.Kernel // warmed up by its work: the speed grows as exp(0.8 t / 1000)
 	l = New(&k2, Params{Cores: 1, Speed: 1, ColdSpeedRatio: 0.2, RampTime: 1e9, RampWork: 1000}, func(e Event) {
-		near(t, "a start that warms by work", e.Took, 2000, 0.02)
+		near(t, "latency in a cold start that ends by work", e.Took, 2000, 0.02)
 	})
 	l.Start(1, Work{Run: 250 * math.Expm1(1.6)})
 	k2.Run(20000)
 }
 
-// BenchmarkRun is the life of a run, with so many others on the cores.
+// BenchmarkRun measures a run from start to end while n runs are in the pool.
 func BenchmarkRun(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/vtime/vtime.go
+++ b/internal/vtime/vtime.go
@@ -1,5 +1,5 @@
-// Package vtime is a discrete-event simulation kernel: timers that fire in order of virtual time, random streams that are
-// split by purpose, and a parallel map that runs independent simulations with the same results on any number of
+// Package vtime is a discrete-event simulation kernel: timers that fire in order of virtual time, random streams that
+// are split by purpose, and a parallel map that runs independent simulations with the same results on any number of
 // processors. Times are milliseconds.
 package vtime
 
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Timer calls Do once at the time for which it is set, and can then be set again. It is usually embedded in the object that
-// it wakes. Do must be assigned before the timer is set.
+// Timer calls Do once at the time for which it is set, and can then be set again. It is usually embedded in the object
+// that it wakes. Do must be assigned before the timer is set.
 type Timer struct {
 	Do func(now float64)
 
@@ -23,8 +23,8 @@
 // IsSet reports whether the timer is set.
 func (t *Timer) IsSet() bool { return t.pos > 0 }
 
-// Kernel holds the virtual clock and the timers that are set. It must be used from one goroutine only. The zero value is
-// a kernel at time 0 without timers.
+// Kernel holds the virtual clock and the timers that are set. It must be used from one goroutine only. The zero value
+// is a kernel at time 0 without timers.
 type Kernel struct {
 	now   float64
 	fired uint64  // number of timers that have fired
@@ -52,8 +52,8 @@
 // Len returns how many timers are set.
 func (k *Kernel) Len() int { return len(k.heap) }
 
-// Set sets a timer to fire at a time, or now if that time has passed. A timer that is already set is moved. Timers with the
-// same time fire in the order in which they were set.
+// Set sets a timer to fire at a time, or now if that time has passed. A timer that is already set is moved. Timers with
+// the same time fire in the order in which they were set.
 func (k *Kernel) Set(t *Timer, at float64) {
 	k.seq++
 	e := entry{max(at, k.now), k.seq, t}
@@ -159,8 +159,8 @@
 // Seed is the seed of a random stream, from which the seeds of further streams are derived.
 type Seed uint64
 
-// Split derives the seed of a purpose and of item n within it. Streams of different seeds are independent: draws from one
-// do not shift the draws from another.
+// Split derives the seed of a purpose and of item n within it. Streams of different seeds are independent: draws from
+// one do not shift the draws from another.
 func (s Seed) Split(purpose string, n int) Seed {
 	b := binary.LittleEndian.AppendUint64(make([]byte, 0, 64), uint64(s))
 	b = binary.LittleEndian.AppendUint64(b, uint64(n))
@@ -179,8 +179,8 @@
 // At returns the value at a fraction of the range, from 0 (Low) to 1 (High).
 func (r Range) At(fraction float64) float64 { return r.Low + (r.High-r.Low)*fraction }
 
-// ParallelMap calls task for each i from 0 to n-1 on the given number of goroutines and returns the results in order of i.
-// Calls must not share state.
+// ParallelMap calls task for each i from 0 to n-1 on the given number of goroutines and returns the results in order of
+// i. Calls must not share state.
 func ParallelMap[T any](n, workers int, task func(i int) T) []T {
 	out := make([]T, n)
 	var next atomic.Int64
--- a/internal/vtime/vtime_test.go
+++ b/internal/vtime/vtime_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against timers that fire in the wrong order or not at all after other timers were moved or cancelled: they must
-// fire by time, and those with the same time in the order in which they were set.
+// Guards against timers that fire in the wrong order or not at all after other timers were moved or cancelled: they
+// must fire by time, and those with the same time in the order in which they were set.
 func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k Kernel
@@ -60,8 +60,8 @@
 	})
 }
 
-// Guards against results that depend on parallelism, which happens if simulations share state, and against two purposes or
-// items that get the same seed.
+// Guards against results that depend on parallelism, which happens if simulations share state, and against two purposes
+// or items that get the same seed.
 func TestResultsDoNotDependOnParallelism(t *testing.T) {
 	day := func(i int) string {
 		r := Seed(7).Split("day", i).Rand()
