--- a/internal/emu/callermodel/caller.go
+++ b/internal/emu/callermodel/caller.go
@@ -1,6 +1,6 @@
-// Package callermodel is how callers behave: which node they choose, how often and when they try again, what they make of credit
-// and advice, and what holds their retries back. A Caller is state without I/O and without a clock; what it does is told to
-// it and asked of it. Times are milliseconds.
+// Package callermodel is a model of callers: how they choose a node, when and how often they retry, how they use the
+// credit and the retry-after advice of nodes, and what limits their retries. A Caller is a state machine without I/O
+// and without a clock: its driver asks it for decisions and reports what happened. Times are milliseconds.
 package callermodel
 
 import (
@@ -11,135 +11,135 @@
 	"whinrudder/internal/vtime"
 )
 
-// Strategy is how a caller chooses among nodes.
+// Strategy is the way in which a caller chooses a node.
 type Strategy uint8
 
-// The choices.
+// The strategies.
 const (
-	RoundRobin       Strategy = iota // one after the other
-	LeastOutstanding                 // the fewest of its own requests out
-	LowestLatency                    // the lowest mean latency that it saw
-	HashBySubject                    // by what the request is about
-	WeightedRandom                   // by weights that the operators gave the nodes
-	PowerOfTwo                       // the one with fewer of its requests out, of two drawn ones (Mitzenmacher, 2001)
+	RoundRobin       Strategy = iota // the nodes in turn
+	LeastOutstanding                 // the node with the fewest outstanding requests of this caller
+	LowestLatency                    // the node with the lowest mean latency that this caller has seen
+	HashBySubject                    // a node that depends on the subject of the request
+	WeightedRandom                   // a random node, by weights that the operators set
+	PowerOfTwo                       // of two random nodes the one with fewer outstanding requests (Mitzenmacher, 2001)
 )
 
-// StrategyNames are the names of the choices.
+// StrategyNames holds the names of the strategies, as experiment files use them.
 var StrategyNames = []string{"round", "least", "fastest", "by_key", "weighted", "two"}
 
-func (c Strategy) String() string { return StrategyNames[c] }
+func (s Strategy) String() string { return StrategyNames[s] }
 
-// Behavior is what a caller does.
+// Behavior configures a caller.
 type Behavior struct {
 	Strategy             Strategy
-	MaxTries             int     // of one request, at most; 0: without limit, down the list
-	HonorsCredit         bool    // credit and advice
-	TryTimeoutRatio      float64 // share of the deadline that it waits for a try
-	HedgeDelay           float64 // after so long without an answer it asks one more node, the first try goes on; 0: it does not
-	ParallelTries        int     // tries of a read that it makes at once; 0 and 1: one
-	RetryBudget          float64 // tries after the first, as a share of first tries, that it may make; 0: any
-	Throttle             bool    // adaptive throttling at the client
-	SubsetSize           int     // it knows only so many nodes; 0: all
-	RetriesInDoubtWrites bool    // it repeats writes whose outcome it does not know
-	BackoffBase          float64 // before it tries again, drawn from 0 to so long, doubled with each try; 0: at once
-	UsesLibrary          bool    // it is built on the client library, which decides all of the above but SubsetSize
+	MaxTries             int     // tries of one request at most; 0: without limit
+	HonorsCredit         bool    // it respects credit and retry-after advice
+	TryTimeoutRatio      float64 // time that it waits for the answer to a try, as a share of the deadline
+	HedgeDelay           float64 // time without an answer after which it sends a second try and keeps the first; 0: no hedging
+	ParallelTries        int     // tries of a read that it sends at once; 0 and 1: one
+	RetryBudget          float64 // retries that it may make, as a share of first tries; 0: no limit
+	Throttle             bool    // client-side adaptive throttling
+	SubsetSize           int     // number of nodes that it knows; 0: all
+	RetriesInDoubtWrites bool    // it retries writes of which it is unknown whether they ran
+	BackoffBase          float64 // upper bound of the delay before the first retry, doubled for each further one; 0: no delay
+	UsesLibrary          bool    // it uses the client library, which replaces all of the above except SubsetSize
 }
 
-// Outcome is how a try ended for its caller.
+// Outcome is the end of a try as its caller sees it.
 type Outcome uint8
 
-// The ends.
+// The outcomes.
 const (
 	Served          Outcome = iota
-	Refused                 // turned away: it provably did not run
-	Failed                  // an answer that says nothing about whether it ran
-	TimedOut                // the caller waits no longer
+	Refused                 // the node refused it: it certainly did not run
+	Failed                  // a failure that leaves open whether it ran
+	TimedOut                // the caller stopped waiting
 	ConnectionReset         // the connection broke
-	ConnectFailed           // there was no connection
+	ConnectFailed           // no connection was established: it certainly did not run
 )
 
-// MayRetry tells whether a request may be tried again after an end.
-func (h Behavior) MayRetry(e Outcome, write bool) bool {
-	switch e {
+// MayRetry reports whether a request may be retried after an outcome.
+func (b Behavior) MayRetry(o Outcome, write bool) bool {
+	switch o {
 	case Served:
 		return false
 	case Refused, ConnectFailed:
 		return true
 	}
-	return !write || h.RetriesInDoubtWrites
+	return !write || b.RetriesInDoubtWrites
 }
 
-// PickParams is what a caller looks for a node for.
+// PickParams describes the try for which a node is picked.
 type PickParams struct {
-	Subject int
-	Draw    float64 // drawn evenly from 0 to 1
-	Tried   []int   // nodes, the latest last
+	Subject int     // of the request
+	Draw    float64 // drawn uniformly from 0 to 1 for the request
+	Tried   []int   // nodes that were tried, the latest last
 }
 
-// Figures of callers that the field knows: a budget holds budgetMost tokens at most and has some to begin with; the mean of
-// latencies takes in a tenth of each.
 const (
-	budgetMost  = 100.0
-	budgetFirst = 10.0
-	meanOf      = 10.0
-	pauseMost   = 6     // doublings
-	throttleFor = 120e3 // the book's window of adaptive throttling
+	maxRetryTokens      = 100.0 // bounds a burst of retries
+	initialRetryTokens  = 10.0
+	latencyMeanSamples  = 10.0 // each latency changes the mean by a tenth of its difference
+	maxBackoffDoublings = 6
+	throttleWindowMs    = 120e3 // window of adaptive throttling in the SRE book
 )
 
 // Caller is one client proxy.
 type Caller struct {
 	Behavior
-	turn     int
-	seen     []view
-	known    []bool    // the nodes of its subset; nil: all
-	weights  []float64 // summed up to each node
-	ranking  []int     // nodes by mean latency, if it goes by that
-	place    []int     // of a node in it
-	throttle *attempt.Throttle
-	tokens   float64
-	heardFor float64
+	next              int // node at which RoundRobin and LeastOutstanding start to look
+	nodes             []nodeState
+	subset            []bool    // whether it knows a node; nil: it knows all
+	cumulativeWeights []float64 // sum of the weights up to each node; for WeightedRandom
+	ranking           []int     // nodes by mean latency; for LowestLatency
+	rankOf            []int     // index of each node in ranking
+	throttle          *attempt.Throttle
+	retryTokens       float64
+	creditLifetime    float64 // time for which a credit is respected
 }
 
-// view is what a caller knows of a node.
-type view struct {
+// nodeState is what a caller knows of a node.
+type nodeState struct {
 	Credit
-	away float64 // advice to stay away until
-	mean float64 // of latency; 0: none was seen
+	avoidUntil  float64 // no tries before, by retry-after advice or after a connection failure
+	meanLatency float64 // 0: no answer yet
 }
 
-// New returns a caller among nodes of which the operators gave weights. The seed draws its subset and where it begins.
-func New(h Behavior, weights []float64, heardFor float64, seed vtime.Seed) *Caller {
+// New returns a caller of as many nodes as there are weights. A credit is respected for creditLifetime milliseconds.
+// The seed determines the subset of nodes.
+func New(b Behavior, weights []float64, creditLifetime float64, seed vtime.Seed) *Caller {
 	n := len(weights)
-	c := &Caller{Behavior: h, seen: make([]view, n), tokens: budgetFirst, heardFor: heardFor}
-	for i := range c.seen {
-		c.seen[i].Value = -1
+	c := &Caller{Behavior: b, nodes: make([]nodeState, n), retryTokens: initialRetryTokens, creditLifetime: creditLifetime}
+	for i := range c.nodes {
+		c.nodes[i].Value = -1
 	}
-	if h.SubsetSize > 0 && h.SubsetSize < n {
-		c.known = make([]bool, n)
-		for _, i := range seed.Split("subset", 0).Rand().Perm(n)[:h.SubsetSize] {
-			c.known[i] = true
+	if b.SubsetSize > 0 && b.SubsetSize < n {
+		c.subset = make([]bool, n)
+		for _, i := range seed.Split("subset", 0).Rand().Perm(n)[:b.SubsetSize] {
+			c.subset[i] = true
 		}
 	}
-	switch h.Strategy {
+	switch b.Strategy {
 	case WeightedRandom:
 		sum := 0.0
 		for _, w := range weights {
 			sum += w
-			c.weights = append(c.weights, sum)
+			c.cumulativeWeights = append(c.cumulativeWeights, sum)
 		}
 	case LowestLatency:
-		c.ranking, c.place = make([]int, n), make([]int, n)
+		c.ranking, c.rankOf = make([]int, n), make([]int, n)
 		for i := range n {
-			c.ranking[i], c.place[i] = i, i
+			c.ranking[i], c.rankOf[i] = i, i
 		}
 	}
-	if h.Throttle {
-		c.throttle = &attempt.Throttle{K: 2, Window: throttleFor}
+	if b.Throttle {
+		c.throttle = &attempt.Throttle{K: 2, Window: throttleWindowMs}
 	}
 	return c
 }
 
-// AllowTry tells whether a try may be made, the nth of its request from 0 on. The coin is drawn evenly from 0 to 1.
+// AllowTry reports whether the nth try of a request may be made, counted from 0. The coin is drawn uniformly from 0
+// to 1.
 func (c *Caller) AllowTry(now float64, nth int, coin float64) bool {
 	if c.MaxTries > 0 && nth >= c.MaxTries*max(1, c.ParallelTries) {
 		return false
@@ -151,38 +151,39 @@
 		return true
 	}
 	if nth < max(1, c.ParallelTries) {
-		c.tokens = min(budgetMost, c.tokens+c.RetryBudget/float64(max(1, c.ParallelTries)))
+		c.retryTokens = min(maxRetryTokens, c.retryTokens+c.RetryBudget/float64(max(1, c.ParallelTries)))
 		return true
 	}
-	if c.tokens < 1 {
+	if c.retryTokens < 1 {
 		return false
 	}
-	c.tokens--
+	c.retryTokens--
 	return true
 }
 
-// RetryDelay returns how long the caller holds the nth try back; the coin is drawn evenly from 0 to 1 (full jitter, Brooker, 2015).
+// RetryDelay returns the delay before the nth try, counted from 0: exponential backoff with full jitter (Brooker,
+// 2015). The coin is drawn uniformly from 0 to 1.
 func (c *Caller) RetryDelay(nth int, coin float64) float64 {
 	if nth == 0 || c.BackoffBase == 0 {
 		return 0
 	}
-	return coin * math.Ldexp(c.BackoffBase, min(nth-1, pauseMost))
+	return coin * math.Ldexp(c.BackoffBase, min(nth-1, maxBackoffDoublings))
 }
 
-// Pick returns the node for a try, or -1 if there is none.
-func (c *Caller) Pick(now float64, listed []bool, w PickParams) int {
-	n := len(c.seen)
-	last := w.Tried[len(w.Tried)-len(w.Tried)%n:] // once all were tried the list begins anew
-	may := func(i int) bool {
-		v := &c.seen[i]
-		return listed[i] && (c.known == nil || c.known[i]) && !slices.Contains(last, i) &&
-			(!c.HonorsCredit || v.away <= now && v.Allows(now, c.heardFor, w.Draw))
+// Pick returns the node for a try, or -1 if no node may be used. A node is tried again only after all were tried.
+func (c *Caller) Pick(now float64, listed []bool, p PickParams) int {
+	n := len(c.nodes)
+	exclude := p.Tried[len(p.Tried)-len(p.Tried)%n:] // empty again once all nodes were tried
+	allowed := func(i int) bool {
+		s := &c.nodes[i]
+		return listed[i] && (c.subset == nil || c.subset[i]) && !slices.Contains(exclude, i) &&
+			(!c.HonorsCredit || s.avoidUntil <= now && s.Allows(now, c.creditLifetime, p.Draw))
 	}
-	from := c.turn
+	from := c.next
 	switch c.Strategy {
 	case LowestLatency:
 		for _, i := range c.ranking {
-			if may(i) {
+			if allowed(i) {
 				return i
 			}
 		}
@@ -190,39 +191,39 @@
 	case LeastOutstanding:
 		best := -1
 		for i := range n {
-			if i = (from + i) % n; may(i) && (best < 0 || c.seen[i].Outstanding < c.seen[best].Outstanding) {
-				if best = i; c.seen[i].Outstanding == 0 {
+			if i = (from + i) % n; allowed(i) && (best < 0 || c.nodes[i].Outstanding < c.nodes[best].Outstanding) {
+				if best = i; c.nodes[i].Outstanding == 0 {
 					break
 				}
 			}
 		}
 		if best >= 0 {
-			c.turn = (best + 1) % n
+			c.next = (best + 1) % n
 		}
 		return best
 	case HashBySubject:
-		from = w.Subject * 7919 % n
+		from = p.Subject * 7919 % n
 	case WeightedRandom:
-		x := c.part(w) * c.weights[n-1]
-		from, _ = slices.BinarySearch(c.weights, x)
+		x := c.tryDraw(p) * c.cumulativeWeights[n-1]
+		from, _ = slices.BinarySearch(c.cumulativeWeights, x)
 		from = min(from, n-1)
 	case PowerOfTwo:
-		x := c.part(w) * float64(n)
+		x := c.tryDraw(p) * float64(n)
 		a, b := int(x), int((x-math.Floor(x))*float64(n))
 		switch {
-		case may(a) && may(b) && c.seen[b].Outstanding < c.seen[a].Outstanding:
+		case allowed(a) && allowed(b) && c.nodes[b].Outstanding < c.nodes[a].Outstanding:
 			return b
-		case may(a):
+		case allowed(a):
 			return a
-		case may(b):
+		case allowed(b):
 			return b
 		}
 		from = a
 	}
 	for i := range n {
-		if i = (from + i) % n; may(i) {
+		if i = (from + i) % n; allowed(i) {
 			if c.Strategy == RoundRobin {
-				c.turn = (i + 1) % n
+				c.next = (i + 1) % n
 			}
 			return i
 		}
@@ -230,65 +231,67 @@
 	return -1
 }
 
-// part is another draw for each try of a request.
-func (c *Caller) part(w PickParams) float64 {
-	return vtime.Seed(math.Float64bits(w.Draw)).Split("pick", len(w.Tried)).Uniform()
+// tryDraw returns a number from 0 to 1 for the next try, derived from the draw of the request.
+func (c *Caller) tryDraw(p PickParams) float64 {
+	return vtime.Seed(math.Float64bits(p.Draw)).Split("pick", len(p.Tried)).Uniform()
 }
 
-// RecordSend takes a try that goes out to a node.
+// RecordSend records that a try is sent to a node.
 func (c *Caller) RecordSend(node int) {
-	c.seen[node].Outstanding++
-	if c.ranking != nil && c.seen[node].mean == 0 {
-		c.rank(node) // the next try goes to another of those that nothing is known of
+	c.nodes[node].Outstanding++
+	if c.ranking != nil && c.nodes[node].meanLatency == 0 {
+		c.updateRank(node) // the next try goes to another of the nodes of unknown latency
 	}
 }
 
-// RecordClose takes a try that is over for the caller.
-func (c *Caller) RecordClose(node int) { c.seen[node].Outstanding-- }
+// RecordClose records that the caller has closed a try.
+func (c *Caller) RecordClose(node int) { c.nodes[node].Outstanding-- }
 
-// RecordAnswer takes an answer: how long it took, and the credit and the advice with it; a load below 0 says nothing.
-func (c *Caller) RecordAnswer(now float64, node int, e Outcome, took, load, wait float64) {
-	v := &c.seen[node]
-	if load >= 0 {
-		v.Value, v.UpdatedAt = load, now
+// RecordAnswer records an answer with its latency, its credit and its retry-after advice. A credit below 0 means that
+// the answer told none.
+func (c *Caller) RecordAnswer(now float64, node int, o Outcome, latency, credit, retryAfter float64) {
+	s := &c.nodes[node]
+	if credit >= 0 {
+		s.Value, s.UpdatedAt = credit, now
 	}
-	if v.mean == 0 {
-		v.mean = took
+	if s.meanLatency == 0 {
+		s.meanLatency = latency
 	}
-	v.mean += (took - v.mean) / meanOf
+	s.meanLatency += (latency - s.meanLatency) / latencyMeanSamples
 	if c.ranking != nil {
-		c.rank(node)
+		c.updateRank(node)
 	}
-	how := attempt.Served
-	if e == Refused {
-		v.away, how = max(v.away, now+wait), attempt.Refused
+	result := attempt.Served
+	if o == Refused {
+		s.avoidUntil, result = max(s.avoidUntil, now+retryAfter), attempt.Refused
 	}
 	if c.throttle != nil {
-		c.throttle.RecordTry(now, how)
+		c.throttle.RecordTry(now, result)
 	}
 }
 
-// RecordConnectionFailure takes a connection that broke or was not had: the caller stays away for as long as it heeds a credit.
+// RecordConnectionFailure records a connection that broke or was not established. The caller avoids the node for the
+// lifetime of a credit.
 func (c *Caller) RecordConnectionFailure(now float64, node int) {
-	c.seen[node].away = max(c.seen[node].away, now+c.heardFor)
+	c.nodes[node].avoidUntil = max(c.nodes[node].avoidUntil, now+c.creditLifetime)
 	if c.throttle != nil {
 		c.throttle.RecordTry(now, attempt.Broken)
 	}
 }
 
-// rank moves a node to its place, behind those of the same mean.
-func (c *Caller) rank(node int) {
-	m, i := c.seen[node].mean, c.place[node]
+// updateRank moves a node to its place in the ranking, behind nodes with the same mean latency.
+func (c *Caller) updateRank(node int) {
+	mean, i := c.nodes[node].meanLatency, c.rankOf[node]
 	move := func(to int) {
 		c.ranking[i] = c.ranking[to]
-		c.place[c.ranking[i]] = i
+		c.rankOf[c.ranking[i]] = i
 		i = to
 	}
-	for i > 0 && c.seen[c.ranking[i-1]].mean > m {
+	for i > 0 && c.nodes[c.ranking[i-1]].meanLatency > mean {
 		move(i - 1)
 	}
-	for i < len(c.ranking)-1 && c.seen[c.ranking[i+1]].mean <= m {
+	for i < len(c.ranking)-1 && c.nodes[c.ranking[i+1]].meanLatency <= mean {
 		move(i + 1)
 	}
-	c.ranking[i], c.place[node] = node, i
+	c.ranking[i], c.rankOf[node] = node, i
 }
--- a/internal/emu/callermodel/credit.go
+++ b/internal/emu/callermodel/credit.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// Credit is what a caller was told of a node, and what it has out there.
+// Credit is the credit that a node told a caller, and the number of requests that the caller has outstanding there.
 type Credit struct {
-	Value, UpdatedAt float64 // Value below 0: nothing was told yet
+	Value, UpdatedAt float64 // Value below 0: the node has not told a credit yet
 	Outstanding      int
 }
 
-// Allows tells whether there is room for one more. Of a broken credit the coin, 0 to 1, decides on the last place; one that
-// was heard of longer ago than it is heeded for does not hold.
-func (c *Credit) Allows(now, heardFor, coin float64) bool {
-	if c.Value < 0 || now-c.UpdatedAt >= heardFor {
+// Allows reports whether the credit allows one more request. The fractional part of a credit is the probability of one
+// more request, decided by coin, a number from 0 to 1. A credit does not limit the caller after lifetime milliseconds.
+func (c *Credit) Allows(now, lifetime, coin float64) bool {
+	if c.Value < 0 || now-c.UpdatedAt >= lifetime {
 		return true
 	}
-	whole, part := math.Modf(c.Value)
-	return float64(c.Outstanding) < whole || float64(c.Outstanding) == whole && coin < part
+	whole, fraction := math.Modf(c.Value)
+	return float64(c.Outstanding) < whole || float64(c.Outstanding) == whole && coin < fraction
 }
