--- a/internal/emu/network/network.go
+++ b/internal/emu/network/network.go
@@ -1,6 +1,6 @@
-// Package network is a model of the network between callers and nodes: each message takes a delay, is lost with some
-// chance and sent again by the transport, and crosses no cut. It draws by the message, so that what one message does shifts
-// nothing for another. It knows no sockets and no clock. Times are milliseconds.
+// Package network is a model of the network between callers and nodes: each message is delayed, may be lost and sent
+// again by the transport, and does not cross a partition. Random values depend only on the seed of the message, so that
+// one message does not change the fate of another. The package uses no sockets and no clock. Times are milliseconds.
 package network
 
 import (
@@ -9,76 +9,76 @@
 	"whinrudder/internal/vtime"
 )
 
-// The transport sends a segment again after resendFirst, and after twice as long each time that follows (RFC 6298, section
-// 5.5, with the least time of the usual kernels); after resends the connection is given up.
+// The transport retransmits a segment after the initial timeout, which doubles with each retransmission (RFC 6298,
+// section 5.5; 200 ms is the minimum of common kernels). After the last transmission the connection is given up.
 const (
-	resendFirst = 200.0
-	resends     = 8
+	initialRetransmitMs = 200.0
+	maxTransmissions    = 8
 )
 
-// Partition keeps messages between some callers and some nodes from arriving for a time.
+// Partition blocks the messages between some callers and some nodes for a time.
 type Partition struct {
-	From, To float64
-	Callers  []bool // by number; nil: all
-	Nodes    []bool // by number
+	From, To float64 // To is excluded
+	Callers  []bool  // by number; nil: all
+	Nodes    []bool  // by number
 }
 
-func (c *Partition) holds(at float64, caller, node int) bool {
-	return at >= c.From && at < c.To && c.Nodes[node] && (c.Callers == nil || c.Callers[caller])
+func (p *Partition) blocks(at float64, caller, node int) bool {
+	return at >= p.From && at < p.To && p.Nodes[node] && (p.Callers == nil || p.Callers[caller])
 }
 
-// LossPeriod loses a share of all messages for a time.
+// LossPeriod is a time in which a share Rate of all messages is lost.
 type LossPeriod struct{ From, To, Rate float64 }
 
-// Network is the state of the network. It is only read while a day is played, but for what Add takes.
+// Network is the state of the network. Only AddLoss and AddPartition change it during a simulation.
 type Network struct {
-	Delay    vtime.Range
-	LossRate float64 // of messages that are lost, at all times
-	lossy    []LossPeriod
-	cuts     []Partition
+	Delay       vtime.Range
+	LossRate    float64 // share of messages that are lost at all times, apart from loss periods
+	lossPeriods []LossPeriod
+	partitions  []Partition
 }
 
-// AddLoss adds a time of losses.
-func (n *Network) AddLoss(l LossPeriod) { n.lossy = append(n.lossy, l) }
+// AddLoss adds a period of loss.
+func (n *Network) AddLoss(l LossPeriod) { n.lossPeriods = append(n.lossPeriods, l) }
 
-// AddPartition adds a cut.
-func (n *Network) AddPartition(c Partition) { n.cuts = append(n.cuts, c) }
+// AddPartition adds a partition.
+func (n *Network) AddPartition(p Partition) { n.partitions = append(n.partitions, p) }
 
-// loss returns the share of messages that are lost at a time: losses are independent.
-func (n *Network) loss(at float64) float64 {
-	keeps := 1 - n.LossRate
-	for _, l := range n.lossy {
+// lossRateAt returns the share of messages that are lost at a time. Losses of overlapping periods are independent.
+func (n *Network) lossRateAt(at float64) float64 {
+	delivered := 1 - n.LossRate
+	for _, l := range n.lossPeriods {
 		if at >= l.From && at < l.To {
-			keeps *= 1 - l.Rate
+			delivered *= 1 - l.Rate
 		}
 	}
-	return 1 - keeps
+	return 1 - delivered
 }
 
-// Partitioned tells whether a message that is sent at a time meets a cut.
+// Partitioned reports whether a partition blocks a message that is sent at a time.
 func (n *Network) Partitioned(at float64, caller, node int) bool {
-	for i := range n.cuts {
-		if n.cuts[i].holds(at, caller, node) {
+	for i := range n.partitions {
+		if n.partitions[i].blocks(at, caller, node) {
 			return true
 		}
 	}
 	return false
 }
 
-// ArrivalTime returns when a message that is sent at a time is there; infinity if the connection is given up before. The seed is
-// that of the message.
+// ArrivalTime returns the time at which a message that is sent at a time arrives; infinity if the connection is given
+// up first. The seed belongs to the message.
 func (n *Network) ArrivalTime(at float64, message vtime.Seed, caller, node int) float64 {
 	delay := n.Delay.At(message.Uniform())
-	if n.LossRate == 0 && len(n.lossy) == 0 && len(n.cuts) == 0 {
+	if n.LossRate == 0 && len(n.lossPeriods) == 0 && len(n.partitions) == 0 {
 		return at + delay
 	}
-	again := resendFirst
-	for i := range resends {
-		if !n.Partitioned(at, caller, node) && message.Split("loss", i).Uniform() >= n.loss(at) {
+	timeout := initialRetransmitMs
+	for i := range maxTransmissions {
+		if !n.Partitioned(at, caller, node) && message.Split("loss", i).Uniform() >= n.lossRateAt(at) {
 			return at + delay
 		}
-		at += again
-		again *= 2
+		at += timeout
+		timeout *= 2
 	}
 	return math.Inf(1)
 }
