--- a/internal/emu/ensemble/ensemble.go
+++ b/internal/emu/ensemble/ensemble.go
@@ -1,143 +1,148 @@
-// Package ensemble is a model of the list of nodes as an ensemble keeps it: a session and an ephemeral znode for each node,
-// sessions that expire when nothing is heard of them, watchers that hear late, and outages in which nothing changes and no
-// session expires. It is a state machine without I/O and without a clock of its own. Times are milliseconds.
+// Package ensemble is a model of the list of nodes that a ZooKeeper ensemble keeps: a session and an ephemeral znode
+// for each node, sessions that expire without heartbeats, watchers that are notified after a delay, and outages in
+// which nothing changes and no session expires. It is a state machine without I/O and without a clock. Times are
+// milliseconds.
 package ensemble
 
 import (
 	"math"
 )
 
-// Params describe an ensemble.
+// Params describes an ensemble.
 type Params struct {
-	SessionTimeout float64 // a silent session is kept so long; 0: its end is seen at once
-	WatchDelay     float64 // watchers hear of a change so late
+	SessionTimeout float64 // time without heartbeats after which a session expires; 0: at once
+	WatchDelay     float64 // time from a change to its notification
 }
 
-// Change is what watchers hear: a node has come to the list or has left it.
+// Change is a notification of watchers: a node was added to the list or removed from it.
 type Change struct {
 	Node   int
 	Listed bool
 }
 
-// session is that of one node.
+// session is the state of one node.
 type session struct {
-	there   bool    // its znode exists
-	silent  float64 // nothing was heard of it since; infinity: it is heard
-	alive   bool    // the node wants its znode
-	pending []told  // changes that watchers have not heard of
-	heard   bool    // what they last heard
+	exists      bool           // its znode exists
+	silentSince float64        // start of the time without heartbeats; infinity: heartbeats arrive
+	registered  bool           // the node wants its znode to exist
+	pending     []notification // not yet delivered to watchers, oldest first
+	delivered   bool           // whether watchers were last told that the node is listed
 }
 
-type told struct {
-	at float64
-	on bool
+// notification tells watchers at a time whether a node is listed.
+type notification struct {
+	at     float64
+	listed bool
 }
 
-// Model is an ensemble.
+// Model is the state of an ensemble.
 type Model struct {
-	p    Params
-	down bool
-	up   float64 // since when the ensemble answers: silence counts from then at the earliest
-	all  []session
-	due  float64 // nothing happens before
+	p        Params
+	down     bool      // an outage is under way
+	upSince  float64   // end of the last outage; time without heartbeats counts from then at the earliest
+	sessions []session // by node
+	nextAt   float64   // see Next
 }
 
-// New returns an ensemble that lists all nodes, or none.
+// New returns an ensemble that lists all nodes if listed is true, and no node otherwise.
 func New(p Params, nodes int, listed bool) *Model {
-	m := &Model{p: p, all: make([]session, nodes), due: math.Inf(1)}
-	for i := range m.all {
-		m.all[i] = session{there: listed, alive: listed, silent: math.Inf(1), heard: listed}
+	m := &Model{p: p, sessions: make([]session, nodes), nextAt: math.Inf(1)}
+	for i := range m.sessions {
+		m.sessions[i] = session{exists: listed, registered: listed, silentSince: math.Inf(1), delivered: listed}
 	}
 	return m
 }
 
-// Join takes a node that registers. In an outage that waits for its end.
+// Join registers a node, or records that its heartbeats arrive again. In an outage, this takes effect at its end.
 func (m *Model) Join(now float64, node int) {
-	s := &m.all[node]
-	s.alive, s.silent = true, math.Inf(1)
-	m.settle(now)
+	s := &m.sessions[node]
+	s.registered, s.silentSince = true, math.Inf(1)
+	m.updateZnodes(now)
 }
 
-// Leave takes a node that takes its znode away, as one does that drains.
+// Leave records that a node deletes its znode, as a draining node does.
 func (m *Model) Leave(now float64, node int) {
-	s := &m.all[node]
-	s.alive, s.silent = false, math.Inf(1)
-	m.settle(now)
+	s := &m.sessions[node]
+	s.registered, s.silentSince = false, math.Inf(1)
+	m.updateZnodes(now)
 }
 
-// Disconnect takes a node of which nothing more is heard: it died, stands still, or is cut off.
+// Disconnect records that the heartbeats of a node stop: it died, is stalled, or is partitioned off.
 func (m *Model) Disconnect(now float64, node int) {
-	if s := &m.all[node]; math.IsInf(s.silent, 1) {
-		s.silent = now
+	if s := &m.sessions[node]; math.IsInf(s.silentSince, 1) {
+		s.silentSince = now
 	}
-	m.settle(now)
+	m.updateZnodes(now)
 }
 
 // BeginOutage begins an outage.
 func (m *Model) BeginOutage(now float64) {
-	m.settle(now)
+	m.updateZnodes(now)
 	m.down = true
-	m.due = m.next()
+	m.nextAt = m.nextEvent()
 }
 
-// EndOutage ends an outage. Sessions get their whole time anew, as from a new leader.
+// EndOutage ends an outage. All sessions get their full timeout again, as after the election of a new leader.
 func (m *Model) EndOutage(now float64) {
-	m.down, m.up = false, now
-	m.settle(now)
+	m.down, m.upSince = false, now
+	m.updateZnodes(now)
 }
 
-// settle lets the znodes be what the sessions say.
-func (m *Model) settle(now float64) {
+// updateZnodes creates and deletes znodes according to the sessions. In an outage, nothing changes.
+func (m *Model) updateZnodes(now float64) {
 	if !m.down {
-		for i := range m.all {
-			s := &m.all[i]
-			want := s.alive && now < m.expires(s)
-			if want != s.there {
-				s.there = want
-				s.pending = append(s.pending, told{now + m.p.WatchDelay, want})
+		for i := range m.sessions {
+			s := &m.sessions[i]
+			exists := s.registered && now < m.expiresAt(s)
+			if exists != s.exists {
+				s.exists = exists
+				s.pending = append(s.pending, notification{now + m.p.WatchDelay, exists})
 			}
 		}
 	}
-	m.due = m.next()
+	m.nextAt = m.nextEvent()
 }
 
-// expires returns when a silent session ends.
-func (m *Model) expires(s *session) float64 { return max(s.silent, m.up) + m.p.SessionTimeout }
+// expiresAt returns the time at which a session expires if no heartbeat arrives before.
+func (m *Model) expiresAt(s *session) float64 {
+	return max(s.silentSince, m.upSince) + m.p.SessionTimeout
+}
 
-func (m *Model) next() float64 {
+// nextEvent returns the earliest time of a notification or an expiry.
+func (m *Model) nextEvent() float64 {
 	at := math.Inf(1)
-	for i := range m.all {
-		s := &m.all[i]
+	for i := range m.sessions {
+		s := &m.sessions[i]
 		if len(s.pending) > 0 {
 			at = min(at, s.pending[0].at)
 		}
-		if !m.down && s.there {
-			at = min(at, m.expires(s))
+		if !m.down && s.exists {
+			at = min(at, m.expiresAt(s))
 		}
 	}
 	return at
 }
 
-// Next returns when Step has something to do; infinity: never, as it stands.
-func (m *Model) Next() float64 { return m.due }
+// Next returns the time at which Step has to be called next; infinity if nothing is due.
+func (m *Model) Next() float64 { return m.nextAt }
 
-// Step returns what watchers hear by a time, node by node.
+// Step advances to a time and returns the changes of which watchers are notified by then, in order of nodes.
 func (m *Model) Step(now float64) (out []Change) {
-	if now < m.due {
+	if now < m.nextAt {
 		return nil
 	}
-	m.settle(now)
-	for i := range m.all {
-		s := &m.all[i]
-		on := s.heard
+	m.updateZnodes(now)
+	for i := range m.sessions {
+		s := &m.sessions[i]
+		listed := s.delivered
 		for len(s.pending) > 0 && s.pending[0].at <= now {
-			on, s.pending = s.pending[0].on, s.pending[1:]
+			listed, s.pending = s.pending[0].listed, s.pending[1:]
 		}
-		if on != s.heard {
-			s.heard = on
-			out = append(out, Change{i, on})
+		if listed != s.delivered {
+			s.delivered = listed
+			out = append(out, Change{i, listed})
 		}
 	}
-	m.due = m.next()
+	m.nextAt = m.nextEvent()
 	return out
 }
--- a/internal/emu/ensemble/ensemble_test.go
+++ b/internal/emu/ensemble/ensemble_test.go
@@ -10,7 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each history of testdata/histories.txt gives the changes that stand below it.
+// Replays each history of testdata/histories.txt, which describes its own format, and compares the notifications with
+// those listed there. Guards against znodes that appear or expire at the wrong time.
 func TestHistories(t *testing.T) {
 	f, err := os.Open("testdata/histories.txt")
 	if err != nil {
@@ -21,11 +22,11 @@
 	var m *Model
 	check := func() {
 		if diff := cmp.Diff(want, got); m != nil && diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("%s: notifications (-want +got):\n%s", name, diff)
 		}
 	}
 	now := 0.0
-	run := func(to float64) {
+	advance := func(to float64) {
 		for m.Next() <= to {
 			at := m.Next()
 			for _, c := range m.Step(at) {
@@ -50,12 +51,12 @@
 			want += line[2:] + "\n"
 		default:
 			var at float64
-			var what string
+			var event string
 			var node int
-			fmt.Sscanf(line, "%f %s %d", &at, &what, &node)
-			run(at)
+			fmt.Sscanf(line, "%f %s %d", &at, &event, &node)
+			advance(at)
 			map[string]func(){"join": func() { m.Join(now, node) }, "leave": func() { m.Leave(now, node) }, "silent": func() { m.Disconnect(now, node) },
-				"down": func() { m.BeginOutage(now) }, "up": func() { m.EndOutage(now) }, "end": func() {}}[what]()
+				"down": func() { m.BeginOutage(now) }, "up": func() { m.EndOutage(now) }, "end": func() {}}[event]()
 		}
 	}
 	check()
