--- a/internal/emu/baseline/baseline_test.go
+++ b/internal/emu/baseline/baseline_test.go
@@ -11,13 +11,14 @@
 	"whinrudder/internal/core"
 )
 
-var _ Node = (*core.Core)(nil) // the inherited module goes through the same interface
+var _ Node = (*core.Core)(nil) // the decision module runs through the same interface
 
 type sink struct{}
 
 func (sink) Deliver(core.Answer) {}
 
-func all() map[string]func() *Server {
+// servers returns a constructor for each baseline, by name.
+func servers() map[string]func() *Server {
 	return map[string]func() *Server{
 		"no limit":  func() *Server { return NewServer(Unlimited{}, FIFO{}, 1000, 2000) },
 		"fixed":     func() *Server { return NewServer(Fixed(4), FIFO{}, 8, 2000) },
@@ -28,19 +29,19 @@
 	}
 }
 
-// Every rival keeps the rules on any events: one answer to each request by its due time, no run after an answer or of what
-// came too late in a drain, none beyond the limit, and nothing left behind.
-func TestRulesOfAllBaselines(t *testing.T) {
-	for name, make := range all() {
+// Guards each baseline against broken rules under random events: every request gets one answer by its due time, nothing
+// runs after its answer, beyond the limit or after the grace of a drain, and no state is left at the end.
+func TestBaselinesKeepRules(t *testing.T) {
+	for name, newServer := range servers() {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				s := make()
+				s := newServer()
 				now, n := 1000.0, 0
 				type req struct {
-					came, due float64
-					answers   int
-					gone      bool
-					runs      bool
+					arrived, due float64
+					answers      int
+					gone         bool
+					started      bool
 				}
 				reqs := map[string]*req{}
 				running := []string{}
@@ -51,26 +52,26 @@
 						case core.Reply:
 							r := reqs[o.ID]
 							if r.answers++; r.answers > 1 || r.gone {
-								t.Fatalf("%s has %d answers, gone %v", o.ID, r.answers, r.gone)
+								t.Fatalf("request %s: got %d answers, caller gone %v; want one answer to a present caller", o.ID, r.answers, r.gone)
 							}
-							if o.Outcome == core.Refused && r.runs {
-								t.Fatalf("%s is refused after it ran", o.ID)
+							if o.Outcome == core.Refused && r.started {
+								t.Fatalf("request %s was refused after it was started", o.ID)
 							}
 						case core.Spawn:
 							r := reqs[o.ID]
-							if r.runs || r.answers > 0 || r.gone || r.came > notice+2000 {
-								t.Fatalf("%s is run: %+v", o.ID, r)
+							if r.started || r.answers > 0 || r.gone || r.arrived > notice+2000 {
+								t.Fatalf("request %s must not be started (stop notice at %v): %+v", o.ID, notice, r)
 							}
-							r.runs = true
+							r.started = true
 							running = append(running, o.ID)
 							if float64(len(running)) > max(1, s.limiter.Limit()) {
-								t.Fatalf("%d run, the limit is %v, it counts %d", len(running), s.limiter.Limit(), s.running)
+								t.Fatalf("%d requests run, want at most the limit %v; the server counts %d", len(running), s.limiter.Limit(), s.running)
 							}
 						}
 					}
 					for id, r := range reqs {
 						if r.answers == 0 && !r.gone && now > r.due {
-							t.Fatalf("%s was due at %v, it is %v", id, r.due, now)
+							t.Fatalf("request %s has no answer at %v, want one by %v", id, now, r.due)
 						}
 					}
 				}
@@ -85,7 +86,7 @@
 					case what < 5:
 						n++
 						id := fmt.Sprint("r", n)
-						r := &req{came: now, due: min(now+float64(rapid.IntRange(1, 900).Draw(t, "wait")), stop)}
+						r := &req{arrived: now, due: min(now+float64(rapid.IntRange(1, 900).Draw(t, "wait")), stop)}
 						reqs[id] = r
 						step(core.RequestArrived{Request: &core.Request{ID: id, ArrivedAt: now, Due: r.due, ReplyTo: sink{}}})
 					case what < 8 && len(running) > 0:
@@ -122,22 +123,22 @@
 					step()
 					finish()
 				}
-				if s.Open() != 0 || len(s.reqs) > len(running) {
-					t.Fatalf("%d open, %d kept", s.Open(), len(s.reqs))
+				if s.Open() != 0 || len(s.requests) > len(running) {
+					t.Fatalf("at the end: %d open and %d stored requests, want 0 and at most %d", s.Open(), len(s.requests), len(running))
 				}
 			})
 		})
 	}
 }
 
-// Each rule does what its source says, by hand.
-func TestRulesByHand(t *testing.T) {
+// Checks the rule of each limiter and discipline against values computed by hand from its source.
+func TestLimitersAndCoDel(t *testing.T) {
 	a := NewAIMD(10, 100)
 	a.Sample(0, 50, 5, true)
 	a.Sample(0, 50, 2, true) // the limit is not in use
 	a.Sample(0, 101, 11, true)
 	if a.Limit() != 9 {
-		t.Errorf("AIMD: %v, want 11 down to 9", a.Limit())
+		t.Errorf("AIMD: got %v, want 9 (10, up to 11, down to 9)", a.Limit())
 	}
 	g := NewGradient2(20)
 	for range 200 {
@@ -148,34 +149,34 @@
 		g.Sample(0, 400, int(g.Limit()), true)
 	}
 	if steady < 150 || g.Limit() > steady*0.6 {
-		t.Errorf("gradient2: %v steady, %v at four times the latency", steady, g.Limit())
+		t.Errorf("gradient2: got a steady limit of %v and %v at four times the latency, want at least 150 and at most 60%% of the steady one", steady, g.Limit())
 	}
 	v := NewVegas(20)
 	v.Sample(0, 100, 20, true)
-	v.Sample(0, 100.1, 20, true) // a queue of ceil(20*0.001) = 1 is under log10(20) = 1.3
+	v.Sample(0, 100.1, 20, true) // a queue of ceil(20*0.001) = 1 is below log10(20) = 1.3
 	if want := 20 + 6*math.Log10(20); math.Abs(v.Limit()-want) > 1e-9 {
-		t.Errorf("vegas: %v, want %v", v.Limit(), want)
+		t.Errorf("vegas: got %v, want %v", v.Limit(), want)
 	}
 	before := v.Limit()
-	v.Sample(0, 200, 28, true) // half of the limit waits
+	v.Sample(0, 200, 28, true) // half of the limit is queued
 	if want := before - math.Log10(before); math.Abs(v.Limit()-want) > 1e-9 {
-		t.Errorf("vegas: %v, want %v", v.Limit(), want)
+		t.Errorf("vegas: got %v, want %v", v.Limit(), want)
 	}
 	c := NewCoDel(1)
 	c.RecordEmpty(0)
 	if run, drop := c.Select(50, []QueuedRequest{{ArrivedAt: 10}, {ArrivedAt: 40}}); run != 0 || drop != nil {
-		t.Errorf("codel at ease: %d %v", run, drop)
+		t.Errorf("codel without overload: got run %d, drop %v, want 0 and none", run, drop)
 	}
 	if run, drop := c.Select(150, []QueuedRequest{{ArrivedAt: 100}, {ArrivedAt: 146}, {ArrivedAt: 148}}); run != 2 || len(drop) != 1 {
-		t.Errorf("codel in overload: %d %v, want the newest, and the oldest given up", run, drop)
+		t.Errorf("codel in overload: got run %d, drop %v, want the newest run (2) and only the oldest dropped", run, drop)
 	}
 	if run, drop := c.Select(200, []QueuedRequest{{ArrivedAt: 100}}); run != -1 || len(drop) != 1 {
-		t.Errorf("codel: %d %v", run, drop)
+		t.Errorf("codel with only late requests: got run %d, drop %v, want -1 and one dropped", run, drop)
 	}
 }
 
-// The core serves behind the same interface.
-func TestTheCoreIsANode(t *testing.T) {
+// Checks that the core and a baseline start a request through the same interface.
+func TestCoreIsNode(t *testing.T) {
 	c, err := core.New(whinrudder.Settings{Cores: 1, Memory: 1e6, Tick: 2, Halt: whinrudder.StopAbort, CreditMode: whinrudder.CreditWindow, PassesDeadline: true,
 		Rules:   whinrudder.Rules{FallMultiple: 8},
 		Classes: []whinrudder.Class{{Aim: 1000, Deadline: 2000, Worth: 1, Repeat: whinrudder.Safe}}}, 1)
@@ -191,7 +192,7 @@
 			}
 		}
 		if starts != 1 || n.Open() != 1 {
-			t.Errorf("%T: %d starts, %d open", n, starts, n.Open())
+			t.Errorf("%T: got %d starts and %d open requests, want 1 and 1", n, starts, n.Open())
 		}
 	}
 }
--- a/internal/emu/baseline/server.go
+++ b/internal/emu/baseline/server.go
@@ -8,25 +8,29 @@
 	"whinrudder/internal/queue"
 )
 
-// Node is a node without its wires: the core is one, and so are all rivals.
+// Node is the decision-making part of a node, without I/O. The core and all baselines implement it.
 type Node interface {
+	// Step handles inputs at a time and returns the resulting outputs.
 	Step(now float64, in []core.Input) []core.Output
+	// Next returns the time at which Step has to be called even without inputs; 0: not at all.
 	Next() float64
+	// Open returns the number of requests that are not answered.
 	Open() int
 }
 
-// Discipline says in what order those that wait are run, and which are given up.
+// Discipline determines the order in which queued requests run, and which of them are refused.
 type Discipline interface {
-	// Select tells which of a line to run next, and which before it to refuse: numbers of the line, the oldest first.
-	Select(now float64, line []QueuedRequest) (run int, drop []int)
-	// RecordEmpty tells that nothing waits.
+	// Select returns the index of the request in the queue to run next, or -1, and the indexes of those to refuse. The
+	// queue is ordered by arrival, oldest first.
+	Select(now float64, queued []QueuedRequest) (run int, drop []int)
+	// RecordEmpty records that the queue is empty.
 	RecordEmpty(now float64)
 }
 
-// QueuedRequest is a request that waits.
+// QueuedRequest is a request in the queue.
 type QueuedRequest struct{ ArrivedAt, Due float64 }
 
-// FIFO runs the oldest.
+// FIFO runs the oldest request first and refuses none.
 type FIFO struct{}
 
 // Select implements Discipline.
@@ -35,75 +39,78 @@
 // RecordEmpty implements Discipline.
 func (FIFO) RecordEmpty(float64) {}
 
-// CoDel controls the delay of a line as servers do it (Nichols and Jacobson, 2012; Maurer, Fail at Scale, 2015): if it was
-// not empty for Interval, requests may wait Target only and the newest is run first; else they may wait Interval.
+// CoDel controls the delay of a queue in the variant for servers (Nichols and Jacobson, 2012; Maurer, Fail at Scale,
+// 2015): if the queue has not been empty for Interval, requests may wait for Target only and the newest runs first;
+// otherwise they may wait for Interval and the oldest runs first.
 type CoDel struct {
 	Target, Interval float64
 
-	empty float64 // when nothing waited last
+	emptyAt float64 // last time at which the queue was empty
 }
 
-// NewCoDel returns the rule with the figures of the paper: 5 and 100 ms, times a factor for slower services.
-func NewCoDel(times float64) *CoDel { return &CoDel{Target: 5 * times, Interval: 100 * times} }
+// NewCoDel returns a CoDel with the values of the paper, 5 and 100 ms, times a factor for slower services.
+func NewCoDel(factor float64) *CoDel { return &CoDel{Target: 5 * factor, Interval: 100 * factor} }
 
 // RecordEmpty implements Discipline.
-func (c *CoDel) RecordEmpty(now float64) { c.empty = now }
+func (c *CoDel) RecordEmpty(now float64) { c.emptyAt = now }
 
 // Select implements Discipline.
-func (c *CoDel) Select(now float64, line []QueuedRequest) (run int, drop []int) {
-	most := c.Interval
-	overload := now-c.empty > c.Interval
+func (c *CoDel) Select(now float64, queued []QueuedRequest) (run int, drop []int) {
+	maxWait := c.Interval
+	overload := now-c.emptyAt > c.Interval
 	if overload {
-		most = c.Target
+		maxWait = c.Target
 	}
-	for i, w := range line {
-		if now-w.ArrivedAt > most {
+	for i, r := range queued {
+		if now-r.ArrivedAt > maxWait {
 			drop = append(drop, i)
 		}
 	}
-	if len(drop) == len(line) {
+	if len(drop) == len(queued) {
 		return -1, drop
 	}
 	if overload {
-		return len(line) - 1, drop
+		return len(queued) - 1, drop
 	}
-	return len(drop), drop // the line is in order of coming: those given up are its first
+	return len(drop), drop // the refused requests are the first of the queue
 }
 
-// Server runs requests within a limit and lets a bounded line wait.
+// Server is a Node that runs requests within the limit of a Limiter and holds others in a bounded queue.
 type Server struct {
-	limiter Limiter
-	how     Discipline
-	most    int // that wait
+	limiter    Limiter
+	discipline Discipline
+	maxQueued  int
 
-	now     float64
-	out     []core.Output
-	reqs    map[string]*request
-	line    []*request
-	running int
-	due     queue.Heap[*request]
-	leaving bool
-	stopAt  float64
-	grace   float64
-	notice  float64
+	now        float64
+	outputs    []core.Output
+	requests   map[string]*request // by ID; open or running
+	queued     []*request          // in order of arrival
+	running    int
+	deadlines  queue.Heap[*request] // open requests by due time
+	draining   bool
+	stopAt     float64
+	drainGrace float64
+	noticeAt   float64 // time of the stop notice
 }
 
+// request is a request that is open, running or both.
 type request struct {
 	*core.Request
-	open, runs bool
-	inFlight   int
-	timer      queue.HeapEntry[*request]
+	open     bool // it is not answered and its caller has not gone
+	running  bool
+	inFlight int // running requests at its start, including itself
+	deadline queue.HeapEntry[*request]
 }
 
-// NewServer returns a node with a line of so many at most; grace is for how long after the notice to leave what comes may
-// be run.
-func NewServer(l Limiter, how Discipline, most int, grace float64) *Server {
-	return &Server{limiter: l, how: how, most: most, grace: grace, reqs: map[string]*request{}}
+// NewServer returns a server with at most maxQueued requests in its queue. Requests that arrive more than drainGrace
+// milliseconds after a stop notice are refused.
+func NewServer(l Limiter, d Discipline, maxQueued int, drainGrace float64) *Server {
+	return &Server{limiter: l, discipline: d, maxQueued: maxQueued, drainGrace: drainGrace, requests: map[string]*request{}}
 }
 
 // Open implements Node.
 func (s *Server) Open() (n int) {
-	for _, r := range s.reqs {
+	for _, r := range s.requests {
 		if r.open {
 			n++
 		}
@@ -113,18 +120,18 @@
 
 // Next implements Node.
 func (s *Server) Next() float64 {
-	at, _ := s.due.First()
-	if s.leaving && s.now < s.stopAt-stopMargin {
-		at = min(cmpZero(at), s.stopAt-stopMargin)
+	at, _ := s.deadlines.First()
+	if s.draining && s.now < s.stopAt-stopMarginMs {
+		at = min(zeroAsInf(at), s.stopAt-stopMarginMs)
 	}
 	return at
 }
 
-// stopMargin is how long before the stop all that is open is answered.
-const stopMargin = 100
+// stopMarginMs is the time before the stop at which all open requests are answered.
+const stopMarginMs = 100
 
-// cmpZero takes a time that is absent for one that never comes.
-func cmpZero(at float64) float64 {
+// zeroAsInf maps the time 0, which stands for no time, to infinity.
+func zeroAsInf(at float64) float64 {
 	if at == 0 {
 		return math.Inf(1)
 	}
@@ -133,51 +140,52 @@
 
 // Step implements Node.
 func (s *Server) Step(now float64, in []core.Input) []core.Output {
-	s.now, s.out = max(s.now, now), s.out[:0]
+	s.now, s.outputs = max(s.now, now), s.outputs[:0]
 	for _, i := range in {
-		s.take(i)
+		s.handle(i)
 	}
-	by := s.now
-	if s.leaving && s.now >= s.stopAt-stopMargin {
-		by = math.Inf(1)
+	until := s.now
+	if s.draining && s.now >= s.stopAt-stopMarginMs {
+		until = math.Inf(1)
 	}
-	for r, ok := s.due.Pop(by); ok; r, ok = s.due.Pop(by) {
-		if r.runs {
+	for r, ok := s.deadlines.Pop(until); ok; r, ok = s.deadlines.Pop(until) {
+		if r.running {
 			s.answer(r, core.Answer{Outcome: core.Failed})
 		} else {
 			s.refuse(r)
 		}
 	}
 	s.admit()
-	return s.out
+	return s.outputs
 }
 
-func (s *Server) take(i core.Input) {
+// handle processes one input.
+func (s *Server) handle(i core.Input) {
 	switch i := i.(type) {
 	case core.RequestArrived:
-		if s.reqs[i.ID] != nil {
-			s.out = append(s.out, core.Reply{To: i.ReplyTo, Answer: core.Answer{ID: i.ID, Outcome: core.Duplicate, Credit: -1}})
+		if s.requests[i.ID] != nil {
+			s.outputs = append(s.outputs, core.Reply{To: i.ReplyTo, Answer: core.Answer{ID: i.ID, Outcome: core.Duplicate, Credit: -1}})
 			return
 		}
 		r := &request{Request: i.Request, open: true}
-		r.timer.Value = r
-		s.reqs[r.ID] = r
-		s.due.Set(&r.timer, r.Due)
-		if s.leaving && r.ArrivedAt > s.notice+s.grace || len(s.line) >= s.most && float64(s.running) >= s.limiter.Limit() {
+		r.deadline.Value = r
+		s.requests[r.ID] = r
+		s.deadlines.Set(&r.deadline, r.Due)
+		if s.draining && r.ArrivedAt > s.noticeAt+s.drainGrace || len(s.queued) >= s.maxQueued && float64(s.running) >= s.limiter.Limit() {
 			s.refuse(r)
 			return
 		}
-		s.line = append(s.line, r)
+		s.queued = append(s.queued, r)
 	case core.CallerGone:
-		if r := s.reqs[i.ID]; r != nil && r.open {
-			s.settle(r)
+		if r := s.requests[i.ID]; r != nil && r.open {
+			s.close(r)
 		}
 	case core.RunFinished:
-		r := s.reqs[i.ID]
-		if r == nil || !r.runs {
+		r := s.requests[i.ID]
+		if r == nil || !r.running {
 			return
 		}
-		r.runs = false
+		r.running = false
 		s.running--
 		if i.End != core.RunMoot {
 			s.limiter.Sample(s.now, i.Latency, r.inFlight, i.End == core.RunOK && r.open)
@@ -187,76 +195,78 @@
 		} else {
 			s.answer(r, core.Answer{Outcome: core.Failed})
 		}
-		delete(s.reqs, r.ID)
+		delete(s.requests, r.ID)
 	case core.RunNotStarted:
-		s.take(core.RunFinished{ID: i.ID, End: core.RunMoot})
+		s.handle(core.RunFinished{ID: i.ID, End: core.RunMoot})
 	case core.StopNotice:
-		s.leaving, s.stopAt, s.notice = true, i.StopAt, s.now
-		s.out = append(s.out, core.DrainStarted{}, core.DrainConns{})
+		s.draining, s.stopAt, s.noticeAt = true, i.StopAt, s.now
+		s.outputs = append(s.outputs, core.DrainStarted{}, core.DrainConns{})
 	case core.HealthCheck:
 		a := core.Answer{Credit: -1}
-		if s.leaving {
+		if s.draining {
 			a.Outcome = core.Failed
 		}
-		s.out = append(s.out, core.Reply{To: i.ReplyTo, Answer: a})
+		s.outputs = append(s.outputs, core.Reply{To: i.ReplyTo, Answer: a})
 	case core.PoolReady:
-		s.out = append(s.out, core.Ready{Cold: i.Cold})
+		s.outputs = append(s.outputs, core.Ready{Cold: i.Cold})
 	}
 }
 
-// settle ends what is owed for a request.
-func (s *Server) settle(r *request) {
+// close marks a request as no longer open, and removes it unless it is running.
+func (s *Server) close(r *request) {
 	r.open = false
-	s.due.Remove(&r.timer)
-	if !r.runs {
-		s.line = slices.DeleteFunc(s.line, func(o *request) bool { return o == r })
-		delete(s.reqs, r.ID)
+	s.deadlines.Remove(&r.deadline)
+	if !r.running {
+		s.queued = slices.DeleteFunc(s.queued, func(o *request) bool { return o == r })
+		delete(s.requests, r.ID)
 	}
 }
 
+// answer sends the answer to a request that is open.
 func (s *Server) answer(r *request, a core.Answer) {
 	if !r.open {
 		return
 	}
-	a.ID, a.Credit, a.Close = r.ID, -1, s.leaving
-	s.out = append(s.out, core.Reply{To: r.ReplyTo, Answer: a})
-	s.settle(r)
+	a.ID, a.Credit, a.Close = r.ID, -1, s.draining
+	s.outputs = append(s.outputs, core.Reply{To: r.ReplyTo, Answer: a})
+	s.close(r)
 }
 
 func (s *Server) refuse(r *request) { s.answer(r, core.Answer{Outcome: core.Refused}) }
 
-// admit runs those that wait, as far as the limit goes.
+// admit starts queued requests while the limit allows it.
 func (s *Server) admit() {
-	for len(s.line) > 0 && float64(s.running) < math.Floor(max(1, s.limiter.Limit())) {
-		line := make([]QueuedRequest, len(s.line))
-		for i, r := range s.line {
-			line[i] = QueuedRequest{r.ArrivedAt, r.Due}
+	for len(s.queued) > 0 && float64(s.running) < math.Floor(max(1, s.limiter.Limit())) {
+		view := make([]QueuedRequest, len(s.queued))
+		for i, r := range s.queued {
+			view[i] = QueuedRequest{r.ArrivedAt, r.Due}
 		}
-		run, drop := s.how.Select(s.now, line)
+		run, drop := s.discipline.Select(s.now, view)
 		var r *request
 		if run >= 0 {
-			r = s.line[run]
+			r = s.queued[run]
 		}
-		for _, o := range pick(s.line, drop) {
+		for _, o := range selectIndexes(s.queued, drop) {
 			s.refuse(o)
 		}
 		if r == nil {
 			break
 		}
-		s.line = slices.DeleteFunc(s.line, func(o *request) bool { return o == r })
-		r.runs = true
+		s.queued = slices.DeleteFunc(s.queued, func(o *request) bool { return o == r })
+		r.running = true
 		s.running++
 		r.inFlight = s.running
-		s.out = append(s.out, core.Spawn{ID: r.ID, Class: r.Class, Body: r.Body})
+		s.outputs = append(s.outputs, core.Spawn{ID: r.ID, Class: r.Class, Body: r.Body})
 	}
-	if len(s.line) == 0 {
-		s.how.RecordEmpty(s.now)
+	if len(s.queued) == 0 {
+		s.discipline.RecordEmpty(s.now)
 	}
 }
 
-func pick(line []*request, at []int) (out []*request) {
-	for _, i := range at {
-		out = append(out, line[i])
+// selectIndexes returns the requests at some indexes.
+func selectIndexes(requests []*request, indexes []int) (out []*request) {
+	for _, i := range indexes {
+		out = append(out, requests[i])
 	}
 	return out
 }
