--- a/internal/emu/fleet/big_test.go
+++ b/internal/emu/fleet/big_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// The large case by hand: WHINRUDDER_BIG=600 plays 1,000 nodes of 10 cores and 300 callers for so many seconds, with a crash of
-// a fifth and a deploy, and tells time and memory.
+// Simulates a large fleet, only on request: WHINRUDDER_BIG=600 simulates 600 seconds of 1,000 nodes with 10 cores and
+// 300 callers, with a crash of a fifth of the nodes and a deploy, and logs time and memory.
 func TestBigDay(t *testing.T) {
 	seconds, err := strconv.ParseFloat(os.Getenv("WHINRUDDER_BIG"), 64)
 	if err != nil {
-		t.Skip("it takes long")
+		t.Skip("takes long; set WHINRUDDER_BIG to the number of seconds to simulate")
 	}
 	d := DefaultDay(1)
 	d.Nodes, d.DurationMs, d.Cores, d.Load = 1000, 1000*seconds, 10, 0.64
@@ -33,7 +33,7 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		if strings.HasPrefix(line, "VmHWM") {
-			t.Logf("%d requests, %.0f a second, %d tries, whole %.4f, worst 10 s %.4f, %v, %s, %d timers at most, %d broken", r.Requests,
+			t.Logf("%d requests, %.0f per second, %d tries, whole %.4f, worst 10 s %.4f, took %v, %s, at most %d timers, %d violations", r.Requests,
 				r.OfferedRate, r.Tries, r.OverallWorthRatio, r.WorstWindow, took, strings.TrimSpace(line), r.PeakTimers, len(r.Violations))
 			if len(r.Violations) > 0 {
 				t.Error(r.Violations[0])
--- a/internal/emu/fleet/faults.go
+++ b/internal/emu/fleet/faults.go
@@ -4,52 +4,52 @@
 	"whinrudder/internal/emu/network"
 )
 
-// trouble sets up what goes wrong. Bursts are the clients' own.
-func (p *play) trouble(i int, t Fault) {
-	hit := p.day.some(i, t.Share, p.day.Nodes, "trouble")
-	each := func(at float64, do func(s *server)) {
-		p.k.After(at, func(float64) {
-			for _, n := range hit {
-				do(p.servers[n])
+// scheduleFault sets up a fault. Bursts are part of the workload.
+func (sim *simulation) scheduleFault(i int, t Fault) {
+	targets := sim.day.chooseTargets(i, t.Share, sim.day.Nodes, "trouble")
+	atTargets := func(at float64, do func(s *server)) {
+		sim.kernel.After(at, func(float64) {
+			for _, n := range targets {
+				do(sim.servers[n])
 			}
 		})
 	}
 	switch t.Kind {
 	case Crash:
-		each(t.At, func(s *server) { s.die("crashed") })
-		each(t.At+t.Duration, func(s *server) {
+		atTargets(t.At, func(s *server) { s.kill("crashed") })
+		atTargets(t.At+t.Duration, func(s *server) {
 			if !s.up {
 				s.start(true)
 			}
 		})
 	case Slowdown:
-		slow := func(by float64) func(*server) {
+		setSlowdown := func(by float64) func(*server) {
 			return func(s *server) {
-				if s.crawl = by; s.pool != nil {
+				if s.slowdown = by; s.pool != nil {
 					s.pool.SetSlowdown(by)
 				}
 			}
 		}
-		each(t.At, slow(t.Factor))
-		each(t.At+t.Duration, slow(1))
+		atTargets(t.At, setSlowdown(t.Factor))
+		atTargets(t.At+t.Duration, setSlowdown(1))
 	case PoolPause:
-		hold := func(on bool) func(*server) {
+		setPaused := func(on bool) func(*server) {
 			return func(s *server) {
 				if s.pool != nil {
 					s.pool.SetPaused(on)
 				}
 			}
 		}
-		each(t.At, hold(true))
-		each(t.At+t.Duration, hold(false))
+		atTargets(t.At, setPaused(true))
+		atTargets(t.At+t.Duration, setPaused(false))
 	case Deploy:
-		for j, n := range hit {
-			p.k.After(t.At+t.Duration*float64(j)/float64(len(hit)), func(float64) { p.servers[n].leave() })
+		for j, n := range targets {
+			sim.kernel.After(t.At+t.Duration*float64(j)/float64(len(targets)), func(float64) { sim.servers[n].drain() })
 		}
 	case RetryStorm, LimitRetries, HonorCredit:
-		for _, n := range p.day.some(i, t.Share, len(p.callers), t.Kind.String()) {
-			c := p.callers[n]
-			p.k.After(t.At, func(float64) {
+		for _, n := range sim.day.chooseTargets(i, t.Share, len(sim.callers), t.Kind.String()) {
+			c := sim.callers[n]
+			sim.kernel.After(t.At, func(float64) {
 				switch t.Kind {
 				case RetryStorm:
 					c.MaxTries, c.HonorsCredit, c.RetryBudget, c.BackoffBase = 0, false, 0, 0
@@ -59,106 +59,106 @@
 					c.HonorsCredit = true
 				}
 			})
-			p.k.After(t.At+t.Duration, func(float64) { c.Behavior = p.day.Callers[n] })
+			sim.kernel.After(t.At+t.Duration, func(float64) { c.Behavior = sim.day.Callers[n] })
 		}
 	case Partition:
-		cut := network.Partition{From: t.At, To: t.At + t.Duration, Nodes: make([]bool, p.day.Nodes)}
-		for _, n := range hit {
-			cut.Nodes[n] = true
+		partition := network.Partition{From: t.At, To: t.At + t.Duration, Nodes: make([]bool, sim.day.Nodes)}
+		for _, n := range targets {
+			partition.Nodes[n] = true
 		}
 		if t.Factor < 1 {
-			cut.Callers = make([]bool, len(p.callers))
-			for _, n := range p.day.some(i, t.Factor, len(p.callers), "cut") {
-				cut.Callers[n] = true
+			partition.Callers = make([]bool, len(sim.callers))
+			for _, n := range sim.day.chooseTargets(i, t.Factor, len(sim.callers), "cut") {
+				partition.Callers[n] = true
 			}
-			p.net.AddPartition(cut)
+			sim.net.AddPartition(partition)
 			return
 		}
-		p.net.AddPartition(cut)
-		each(t.At, func(s *server) { p.silent(s, true) })
-		each(t.At+t.Duration, func(s *server) { p.silent(s, false) })
+		sim.net.AddPartition(partition)
+		atTargets(t.At, func(s *server) { sim.setDisconnected(s, true) })
+		atTargets(t.At+t.Duration, func(s *server) { sim.setDisconnected(s, false) })
 	case ProcessStall:
-		each(t.At, func(s *server) { s.stall(t.At + t.Duration) })
+		atTargets(t.At, func(s *server) { s.stall(t.At + t.Duration) })
 	case ClockSkew:
-		each(t.At, func(s *server) { s.clock += t.Factor })
-		each(t.At+t.Duration, func(s *server) { s.clock -= t.Factor })
+		atTargets(t.At, func(s *server) { s.clockSkew += t.Factor })
+		atTargets(t.At+t.Duration, func(s *server) { s.clockSkew -= t.Factor })
 	case BlackHole:
-		each(t.At, func(s *server) { s.hole = true })
-		each(t.At+t.Duration, func(s *server) { s.hole = false })
+		atTargets(t.At, func(s *server) { s.blackHole = true })
+		atTargets(t.At+t.Duration, func(s *server) { s.blackHole = false })
 	case BogusCredit:
-		each(t.At, func(s *server) { s.absurd = t.Factor })
-		each(t.At+t.Duration, func(s *server) { s.absurd = 0 })
+		atTargets(t.At, func(s *server) { s.bogusCredit = t.Factor })
+		atTargets(t.At+t.Duration, func(s *server) { s.bogusCredit = 0 })
 	case Flap:
 		for at, on := t.At, false; at < t.At+t.Duration; at, on = at+1000*t.Factor, !on {
-			each(at, func(s *server) { p.flap(s, on) })
+			atTargets(at, func(s *server) { sim.setListed(s, on) })
 		}
-		each(t.At+t.Duration, func(s *server) { p.flap(s, true) })
+		atTargets(t.At+t.Duration, func(s *server) { sim.setListed(s, true) })
 	case MessageLoss:
-		p.net.AddLoss(network.LossPeriod{From: t.At, To: t.At + t.Duration, Rate: t.Share})
+		sim.net.AddLoss(network.LossPeriod{From: t.At, To: t.At + t.Duration, Rate: t.Share})
 	case EnsembleOutage:
-		p.k.After(t.At, func(now float64) { p.list.BeginOutage(now); p.watch() })
-		p.k.After(t.At+t.Duration, func(now float64) { p.list.EndOutage(now); p.watch() })
+		sim.kernel.After(t.At, func(now float64) { sim.ensemble.BeginOutage(now); sim.notifyCallers() })
+		sim.kernel.After(t.At+t.Duration, func(now float64) { sim.ensemble.EndOutage(now); sim.notifyCallers() })
 	}
 }
 
-// silent keeps the ensemble from hearing of a node, or lets it hear of it again.
-func (p *play) silent(s *server, on bool) {
-	if on {
-		p.list.Disconnect(p.k.Now(), s.no)
+// setDisconnected stops or resumes the heartbeats of a node to the ensemble.
+func (sim *simulation) setDisconnected(s *server, disconnected bool) {
+	if disconnected {
+		sim.ensemble.Disconnect(sim.kernel.Now(), s.index)
 	} else if s.up && !s.draining {
-		p.list.Join(p.k.Now(), s.no)
+		sim.ensemble.Join(sim.kernel.Now(), s.index)
 	}
-	p.watch()
+	sim.notifyCallers()
 }
 
-// flap takes a node off the list, or puts it back. The node knows nothing of it.
-func (p *play) flap(s *server, on bool) {
-	if on && s.up && !s.draining {
-		p.list.Join(p.k.Now(), s.no)
-	} else if !on {
-		p.list.Leave(p.k.Now(), s.no)
+// setListed adds a node to the list or removes it, without the knowledge of the node.
+func (sim *simulation) setListed(s *server, listed bool) {
+	if listed && s.up && !s.draining {
+		sim.ensemble.Join(sim.kernel.Now(), s.index)
+	} else if !listed {
+		sim.ensemble.Leave(sim.kernel.Now(), s.index)
 	}
-	p.watch()
+	sim.notifyCallers()
 }
 
-// watch lets callers hear of what changed on the list.
-func (p *play) watch() {
-	changes := p.list.Step(p.k.Now())
+// notifyCallers applies the changes of the list that are due, and sets the timer for the next ones.
+func (sim *simulation) notifyCallers() {
+	changes := sim.ensemble.Step(sim.kernel.Now())
 	for _, c := range changes {
-		p.listed[c.Node] = c.Listed
+		sim.listed[c.Node] = c.Listed
 	}
-	for _, l := range p.libs {
+	for _, l := range sim.libraries {
 		if l != nil && len(changes) > 0 {
-			l.list()
+			l.updateList()
 		}
 	}
-	if at := p.list.Next(); at < p.until {
-		p.k.Set(&p.lists, at)
+	if at := sim.ensemble.Next(); at < sim.until {
+		sim.kernel.Set(&sim.ensembleTimer, at)
 	} else {
-		p.k.Cancel(&p.lists)
+		sim.kernel.Cancel(&sim.ensembleTimer)
 	}
 }
 
-// stall lets the process of a node stand still until a time. What it is told waits for it.
+// stall stops the process of a node until a time. Its inputs are queued meanwhile.
 func (s *server) stall(until float64) {
 	if !s.up {
 		return
 	}
-	life := s.life
-	s.stalled, s.stallFrom, s.stallTo = true, s.p.k.Now(), until
-	s.p.silent(s, true)
-	s.p.k.After(until-s.p.k.Now(), func(now float64) {
-		if s.life != life || s.stallTo > now {
+	incarnation := s.incarnation
+	s.stalled, s.stallFrom, s.stallTo = true, s.sim.kernel.Now(), until
+	s.sim.setDisconnected(s, true)
+	s.sim.kernel.After(until-s.sim.kernel.Now(), func(now float64) {
+		if s.incarnation != incarnation || s.stallTo > now {
 			return
 		}
 		s.stalled = false
-		s.p.silent(s, false)
+		s.sim.setDisconnected(s, false)
 		s.step()
 	})
 }
 
-// excused tells whether a node can't be blamed that there is no answer by the due time: it read the request after that, its
-// process stood still when it was due, or its clock says that it is not yet due.
-func (s *server) excused(t *try) bool {
-	return t.readAt > t.due || t.due+s.p.day.slack() >= s.stallFrom && t.due <= s.stallTo+s.p.day.slack() || t.clock < 0
+// excusesLate reports whether a late answer to a try breaks no rule: the node read the request after its due time, its
+// process was stalled when it was due, or its clock was behind when it read the request.
+func (s *server) excusesLate(t *try) bool {
+	return t.readAt > t.due || t.due+s.sim.day.answerSlack() >= s.stallFrom && t.due <= s.stallTo+s.sim.day.answerSlack() || t.clockSkew < 0
 }
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -10,139 +10,142 @@
 	"whinrudder/internal/vtime"
 )
 
-// library is a caller that is built on the client library: its decisions run unchanged, this is their driver.
+// library drives the decision code of the client library, unchanged, for one caller.
 type library struct {
-	p       *play
-	seed    vtime.Seed
-	draws   int
-	members *members.Members
-	router  *route.Router
-	shared  *attempt.ClientState
-	classes []attempt.Class
+	sim       *simulation
+	seed      vtime.Seed
+	drawCount int
+	members   *members.Members
+	router    *route.Router
+	shared    *attempt.ClientState
+	classes   []attempt.Class
 }
 
-func newLibrary(p *play, h Behavior, seed vtime.Seed) *library {
-	l := &library{p: p, seed: seed, members: members.New(uint64(seed), h.SubsetSize), router: route.New(),
-		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(p.day.Classes))}}
-	for _, c := range p.day.Classes {
+func newLibrary(sim *simulation, b Behavior, seed vtime.Seed) *library {
+	l := &library{sim: sim, seed: seed, members: members.New(uint64(seed), b.SubsetSize), router: route.New(),
+		shared: &attempt.ClientState{RetryBudget: attempt.NewBudget(), WaitBudget: attempt.NewBudget(), Throttle: attempt.NewThrottle(), Latencies: attempt.NewLatencies(len(sim.day.Classes))}}
+	for _, c := range sim.day.Classes {
 		l.classes = append(l.classes, attempt.Class{Write: c.Write, Hedge: false})
 	}
-	l.list()
+	l.updateList()
 	return l
 }
 
-// list takes what callers know of the list by now.
-func (l *library) list() {
+// updateList passes the current list of nodes to the client library.
+func (l *library) updateList() {
 	var nodes []members.Node
-	for i, on := range l.p.listed {
+	for i, on := range l.sim.listed {
 		if on {
 			nodes = append(nodes, members.Node{Name: strconv.Itoa(i)})
 		}
 	}
-	now := l.p.k.Now()
-	l.members.SetList(now, max(0, now-l.p.day.ListLag), nodes)
+	now := l.sim.kernel.Now()
+	l.members.SetList(now, max(0, now-l.sim.day.ListLag), nodes)
 }
 
-// draw is a number from 0 to 1 for a request. It goes by the request, so that no other is shifted.
-func (l *library) draw(q *ask) float64 {
-	l.draws++
-	return l.seed.Split("draw", q.Number).Split("", l.draws).Uniform()
+// draw returns a number from 0 to 1 for a request. It depends on the number of the request, so that other requests keep
+// their draws.
+func (l *library) draw(req *request) float64 {
+	l.drawCount++
+	return l.seed.Split("draw", req.Number).Split("", l.drawCount).Uniform()
 }
 
-func (l *library) begin(q *ask) {
-	q.call = attempt.New(l.p.k.Now(), q.At+l.p.day.Classes[q.Class].Deadline, l.classes[q.Class], q.Class, l.shared, l.draw(q))
-	q.wake.Do = func(float64) { l.step(q) }
-	l.step(q)
+// begin starts a request.
+func (l *library) begin(req *request) {
+	req.call = attempt.New(l.sim.kernel.Now(), req.At+l.sim.day.Classes[req.Class].Deadline, l.classes[req.Class], req.Class, l.shared, l.draw(req))
+	req.wake.Do = func(float64) { l.step(req) }
+	l.step(req)
 }
 
-// step does what is to be done for a request.
-func (l *library) step(q *ask) {
-	now := l.p.k.Now()
-	for !q.over {
-		do := q.call.Next(now, l.draw(q))
-		switch do.Kind {
+// step carries out the next actions of a request.
+func (l *library) step(req *request) {
+	now := l.sim.kernel.Now()
+	for !req.closed {
+		action := req.call.Next(now, l.draw(req))
+		switch action.Kind {
 		case attempt.Done:
-			if q.tries == 0 {
-				l.p.res.Unsent++
+			if req.tryCount == 0 {
+				l.sim.result.Unsent++
 			}
-			l.p.lose(q)
+			l.sim.fail(req)
 			return
 		case attempt.Sleep:
-			l.p.k.Set(&q.wake, min(do.At, q.call.Due()))
+			l.sim.kernel.Set(&req.wake, min(action.At, req.call.Due()))
 			return
 		}
-		use := l.members.InUse(now)
-		w := route.Query{Draws: [3]float64{l.draw(q), l.draw(q), q.Draw}, AllowExcluded: !do.Hedge}
-		for _, n := range q.tried {
-			w.Exclude = append(w.Exclude, strconv.Itoa(n))
+		inUse := l.members.InUse(now)
+		query := route.Query{Draws: [3]float64{l.draw(req), l.draw(req), req.Draw}, AllowExcluded: !action.Hedge}
+		for _, n := range req.tried {
+			query.Exclude = append(query.Exclude, strconv.Itoa(n))
 		}
-		m, until := l.router.Pick(now, use, w)
+		m, until := l.router.Pick(now, inUse, query)
 		if m == nil {
-			q.call.NoNodeFree(now, until)
+			req.call.NoNodeFree(now, until)
 			continue
 		}
 		n, _ := strconv.Atoi(m.Name)
-		q.call.TrySent(now)
+		req.call.TrySent(now)
 		l.router.TrySent(now, m.ID)
-		l.p.launch(q, n, do.Due)
-		q.open[len(q.open)-1].member = m
+		l.sim.sendTo(req, n, action.Due)
+		req.openTries[len(req.openTries)-1].member = m
 	}
 }
 
-// withdraw takes a try back.
+// withdraw cancels a try.
 func (l *library) withdraw(t *try) {
-	now := l.p.k.Now()
-	l.router.TryEnded(now, t.member.ID, route.Result{Took: now - t.sent, Credit: -1, Cancelled: true}, len(l.members.InUse(now)))
-	t.q.call.TryEnded(now, attempt.Withdrawn, now-t.sent, 0, false)
+	now := l.sim.kernel.Now()
+	l.router.TryEnded(now, t.member.ID, route.Result{Took: now - t.sentAt, Credit: -1, Cancelled: true}, len(l.members.InUse(now)))
+	t.req.call.TryEnded(now, attempt.Withdrawn, now-t.sentAt, 0, false)
 }
 
-// heard takes what came of a try.
-func (l *library) heard(t *try, r reply) {
-	end := attempt.Failed
+// receive handles the answer to a try or the end of its connection.
+func (l *library) receive(t *try, r reply) {
+	outcome := attempt.Failed
 	switch {
-	case r.refused:
-		end = attempt.Unsent
-	case r.lost:
-		end = attempt.Broken
+	case r.connectFailed:
+		outcome = attempt.Unsent
+	case r.connReset:
+		outcome = attempt.Broken
 	case r.outcome == core.Served:
-		end = attempt.Served
+		outcome = attempt.Served
 	case r.outcome == core.Refused:
-		end = attempt.Refused
+		outcome = attempt.Refused
 	}
-	l.ended(t, end, r)
+	l.tryEnded(t, outcome, r)
 }
 
-func (l *library) ended(t *try, end attempt.Outcome, r reply) {
-	now, q := l.p.k.Now(), t.q
-	a := route.Result{Took: now - t.sent, Credit: -1}
-	switch end {
+// tryEnded reports the outcome of a try to the client library.
+func (l *library) tryEnded(t *try, outcome attempt.Outcome, r reply) {
+	now, req := l.sim.kernel.Now(), t.req
+	result := route.Result{Took: now - t.sentAt, Credit: -1}
+	switch outcome {
 	case attempt.Served:
 	case attempt.Refused:
-		a.Refused = true
-		l.p.res.Refused++
-		l.p.score.bin(now).Refused++
+		result.Refused = true
+		l.sim.result.Refused++
+		l.sim.score.bucket(now).Refused++
 	case attempt.Unsent, attempt.Broken:
-		a.Failed, a.NoResponse = true, true
-		l.p.res.Disconnected++
+		result.Failed, result.NoResponse = true, true
+		l.sim.result.Disconnected++
 	default:
-		a.Failed = true
-		l.p.res.Failed++
+		result.Failed = true
+		l.sim.result.Failed++
 	}
-	if !a.NoResponse && end != attempt.Late {
-		a.Credit, a.RetryAfter = r.load, r.wait
-		if r.leaves {
+	if !result.NoResponse && outcome != attempt.Late {
+		result.Credit, result.RetryAfter = r.credit, r.retryAfter
+		if r.draining {
 			l.members.MarkDraining(now, t.member.Name)
 		} else {
 			l.members.MarkServing(now, t.member.Name)
 		}
 	}
-	l.router.TryEnded(now, t.member.ID, a, len(l.members.InUse(now)))
-	q.call.TryEnded(now, end, now-t.sent, r.wait, r.stay)
-	if end == attempt.Served {
-		l.p.serve(q)
+	l.router.TryEnded(now, t.member.ID, result, len(l.members.InUse(now)))
+	req.call.TryEnded(now, outcome, now-t.sentAt, r.retryAfter, r.notElsewhere)
+	if outcome == attempt.Served {
+		l.sim.serve(req)
 		return
 	}
-	if !q.over {
-		l.step(q)
+	if !req.closed {
+		l.step(req)
 	}
 }
--- a/internal/emu/fleet/play.go
+++ b/internal/emu/fleet/play.go
@@ -15,404 +15,411 @@
 	"whinrudder/internal/vtime"
 )
 
-// ask is a request with what became of it.
-type ask struct {
+// request is a request of a client with its state at the caller.
+type request struct {
 	workload.Request
-	write    bool
-	tries    int
-	pending  int // tries that are held back
-	runs     int
-	tried    []int // nodes, the latest last
-	open     []*try
-	call     *attempt.Call // of a caller that is built on the client library
-	wake     vtime.Timer
-	over     bool
-	deadline vtime.Timer
-	hedge    vtime.Timer
+	write     bool
+	tryCount  int
+	delayed   int   // tries that wait for their retry delay
+	runs      int   // of a write, over all tries
+	tried     []int // nodes, the latest last
+	openTries []*try
+	call      *attempt.Call // state of the client library, for callers that use it
+	wake      vtime.Timer
+	closed    bool // it was served or has failed
+	deadline  vtime.Timer
+	hedge     vtime.Timer
 }
 
-// reply is what a caller hears of a try.
+// reply is the result of a try that reaches the caller.
 type reply struct {
-	outcome core.Outcome
-	load    float64
-	wait    float64
-	stay    bool // it asks not to be passed over
-	leaves  bool
-	lost    bool // the connection was reset
-	refused bool // there was no connection
+	outcome       core.Outcome
+	credit        float64
+	retryAfter    float64
+	notElsewhere  bool // the node asks the caller not to try another node
+	draining      bool // the node is draining
+	connReset     bool // the connection was reset
+	connectFailed bool // there was no connection
 }
 
-// play is a day under way.
-type play struct {
-	day      Day
-	make     NodeFactory
-	k        vtime.Kernel
-	until    float64
-	messages vtime.Seed
-	net      network.Network
-	list     *ensemble.Model
-	lists    vtime.Timer
-	listed   []bool // what callers know of the list
-	servers  []*server
-	callers  []*callermodel.Caller
-	libs     []*library // by caller; nil: a plain one
-	crowd    *workload.Generator
-	all      map[int]*try // that are not over for all sides
-	tries    int
-	outside  ExternalWork
-	others   int // runs from outside, so far
+// simulation is the state of a day that is being simulated.
+type simulation struct {
+	day           Day
+	newNode       NodeFactory
+	kernel        vtime.Kernel
+	until         float64 // end of the simulation
+	messageSeed   vtime.Seed
+	net           network.Network
+	ensemble      *ensemble.Model
+	ensembleTimer vtime.Timer
+	listed        []bool // the list as callers know it, by node
+	servers       []*server
+	callers       []*callermodel.Caller
+	libraries     []*library // by caller; nil: the caller does not use the client library
+	generator     *workload.Generator
+	liveTries     map[int]*try // by number, until the caller, the node and the pool are done with them
+	tries         int          // number of tries so far
+	external      ExternalWork
+	lastExternal  int // number of the last external run: they count down from -1
 
-	res     Result
-	score   *score
-	started float64 // work of all runs
-	useful  float64
+	result      Result
+	score       *score
+	startedWork float64 // work of all started runs
+	usefulWork  float64 // work of runs that served a request
 }
 
-// Driver lets a day go on until a time. Poke lets all nodes tell what they have to tell by themselves.
+// Driver advances a simulation to a time. Calling poke steps all nodes, so that outputs are handled that they have
+// produced without an input.
 type Driver func(k *vtime.Kernel, to float64, poke func())
 
-// Simulate plays a day in virtual time.
-func Simulate(d Day, make NodeFactory) Result {
-	return SimulateWith(d, make, func(k *vtime.Kernel, to float64, _ func()) { k.Run(to) }, nil)
+// Simulate simulates a day in virtual time.
+func Simulate(d Day, newNode NodeFactory) Result {
+	return SimulateWith(d, newNode, func(k *vtime.Kernel, to float64, _ func()) { k.Run(to) }, nil)
 }
 
-// ExternalWork tells the work of a run that none of the day's callers asked for; it is called when the run starts. Nodes that are more
-// than their core may have other callers.
+// ExternalWork returns the work of a run that no caller of the day requested. It is called when the run starts. Nodes
+// that consist of more than the core may have other callers.
 type ExternalWork func(run core.Spawn) workers.Work
 
-// SimulateWith plays a day by whatever time Driver goes by.
-func SimulateWith(d Day, make_ NodeFactory, drive Driver, outside ExternalWork) Result {
-	p := &play{day: d, make: make_, outside: outside, all: map[int]*try{}, messages: d.Seed.Split("network", 0),
+// SimulateWith simulates a day whose time is advanced by a Driver. With a nil ExternalWork a run that no caller of the
+// day requested is a violation.
+func SimulateWith(d Day, newNode NodeFactory, drive Driver, external ExternalWork) Result {
+	sim := &simulation{day: d, newNode: newNode, external: external, liveTries: map[int]*try{}, messageSeed: d.Seed.Split("network", 0),
 		net: network.Network{Delay: d.NetworkDelay, LossRate: d.LossRate}, listed: slices.Repeat([]bool{true}, d.Nodes),
-		list: ensemble.New(ensemble.Params{SessionTimeout: d.SessionTimeout, WatchDelay: d.ListLag}, d.Nodes, true)}
+		ensemble: ensemble.New(ensemble.Params{SessionTimeout: d.SessionTimeout, WatchDelay: d.ListLag}, d.Nodes, true)}
 	longest := 0.0
 	for _, c := range d.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	p.until = d.DurationMs + longest + 1000
-	p.lists.Do = func(float64) { p.watch() }
-	p.score = newScore(&p.day, &p.res)
+	sim.until = d.DurationMs + longest + 1000
+	sim.ensembleTimer.Do = func(float64) { sim.notifyCallers() }
+	sim.score = newScore(&sim.day, &sim.result)
 	var weights []float64
 	for i := range d.Nodes {
-		s := &server{p: p, no: i, params: d.machine(i), crawl: 1, stallFrom: math.Inf(1), stallTo: math.Inf(-1)}
-		p.servers = append(p.servers, s)
+		s := &server{sim: sim, index: i, params: d.poolParams(i), slowdown: 1, stallFrom: math.Inf(1), stallTo: math.Inf(-1)}
+		sim.servers = append(sim.servers, s)
 		weights = append(weights, d.weight(i))
 		s.start(d.ColdFleet)
 	}
 	for i, h := range d.Callers {
-		p.callers = append(p.callers, callermodel.New(h, weights, heardFor, d.Seed.Split("caller", i)))
-		p.libs = append(p.libs, nil)
+		sim.callers = append(sim.callers, callermodel.New(h, weights, creditLifetimeMs, d.Seed.Split("caller", i)))
+		sim.libraries = append(sim.libraries, nil)
 		if h.UsesLibrary {
-			p.libs[i] = newLibrary(p, h, d.Seed.Split("library", i))
+			sim.libraries[i] = newLibrary(sim, h, d.Seed.Split("library", i))
 		}
 	}
 	for i, t := range d.Faults {
-		p.trouble(i, t)
+		sim.scheduleFault(i, t)
 	}
-	p.arrivals()
-	p.sample()
-	drive(&p.k, p.until, func() {
-		for _, s := range p.servers {
+	sim.scheduleArrivals()
+	sim.scheduleSamples()
+	drive(&sim.kernel, sim.until, func() {
+		for _, s := range sim.servers {
 			s.step()
 		}
 	})
-	for _, n := range sorted(p.all) {
-		if t := p.all[n]; t.read && !t.answered && !t.gone && t.life == t.s.life && !t.s.excused(t) {
-			p.broke("lost: %s has no answer: %s", t.name(), t.tale())
+	for _, n := range sortedNumbers(sim.liveTries) {
+		if t := sim.liveTries[n]; t.read && !t.answered && !t.callerGone && t.incarnation == t.server.incarnation && !t.server.excusesLate(t) {
+			sim.addViolation("lost: %s has no answer: %s", t.wireID(), t.historyText())
 		}
 	}
-	for _, s := range p.servers {
+	for _, s := range sim.servers {
 		if e, ok := s.node.(Terminator); ok && s.up {
 			e.Terminate(true)
 		}
 	}
-	p.score.end()
-	p.res.TimersFired = p.k.Fired()
-	if p.started > 0 {
-		p.res.WastedWorkRatio = max(0, p.started-p.useful) / p.started
+	sim.score.finish()
+	sim.result.TimersFired = sim.kernel.Fired()
+	if sim.startedWork > 0 {
+		sim.result.WastedWorkRatio = max(0, sim.startedWork-sim.usefulWork) / sim.startedWork
 	}
-	return p.res
+	return sim.result
 }
 
-// arrivals lets the requests of the clients come, one after the other.
-func (p *play) arrivals() {
-	p.crowd = workload.New(p.day.Workload(), p.day.Seed)
+// scheduleArrivals schedules the requests of the clients one after the other.
+func (sim *simulation) scheduleArrivals() {
+	sim.generator = workload.New(sim.day.Workload(), sim.day.Seed)
 	var next vtime.Timer
-	var q workload.Request
+	var req workload.Request
 	draw := func() {
 		for {
 			var ok bool
-			if q, ok = p.crowd.Next(); !ok {
+			if req, ok = sim.generator.Next(); !ok {
 				return
 			}
-			if p.day.OnlyRequests == nil {
+			if sim.day.OnlyRequests == nil {
 				break
 			}
-			if _, is := slices.BinarySearch(p.day.OnlyRequests, q.Number); is {
+			if _, is := slices.BinarySearch(sim.day.OnlyRequests, req.Number); is {
 				break
 			}
 		}
-		p.k.Set(&next, q.At)
+		sim.kernel.Set(&next, req.At)
 	}
 	next.Do = func(float64) {
-		now := q
+		now := req
 		draw()
-		p.begin(now)
+		sim.begin(now)
 	}
 	draw()
 }
 
-// sample notes what goes on at the end of each bin.
-func (p *play) sample() {
+// scheduleSamples records the state of the nodes at the end of each bucket.
+func (sim *simulation) scheduleSamples() {
 	var next vtime.Timer
 	i := 0
 	next.Do = func(now float64) {
-		b := &p.res.Buckets[i]
-		for _, s := range p.servers {
+		b := &sim.result.Buckets[i]
+		for _, s := range sim.servers {
 			if s.up {
 				b.NodesUp, b.Running, b.Unread = b.NodesUp+1, b.Running+s.pool.Running(), b.Unread+s.pool.Unread()
 			}
 		}
-		p.res.PeakTimers = max(p.res.PeakTimers, p.k.Len())
-		if i++; i < len(p.res.Buckets) {
-			p.k.Set(&next, now+binFor)
+		sim.result.PeakTimers = max(sim.result.PeakTimers, sim.kernel.Len())
+		if i++; i < len(sim.result.Buckets) {
+			sim.kernel.Set(&next, now+bucketMs)
 		}
 	}
-	p.k.Set(&next, binFor)
+	sim.kernel.Set(&next, bucketMs)
 }
 
-// message returns the seed of the next message of a try. It goes by the request, the number of the try and that of the
-// message, so that what one policy does shifts nothing for the other requests of a day.
-func (t *try) message() vtime.Seed {
-	t.messages++
-	return t.s.p.messages.Split("", t.q.Number).Split("", t.nth*64+t.messages)
+// nextMessageSeed returns the seed of the next message of a try. It depends only on the numbers of the request, the try
+// and the message, so that the decisions of a policy do not change the draws for other requests.
+func (t *try) nextMessageSeed() vtime.Seed {
+	t.messagesSent++
+	return t.server.sim.messageSeed.Split("", t.req.Number).Split("", t.nth*64+t.messagesSent)
 }
 
-// reach lets a message of a try cross the network; what is done then may never be.
-func (p *play) reach(t *try, do func(now float64)) bool {
-	at := p.net.ArrivalTime(p.k.Now(), t.message(), t.q.Caller, t.s.no)
+// transmit sends a message of a try over the network and calls onArrival when it arrives. It returns false if the
+// message never arrives.
+func (sim *simulation) transmit(t *try, onArrival func(now float64)) bool {
+	at := sim.net.ArrivalTime(sim.kernel.Now(), t.nextMessageSeed(), t.req.Caller, t.server.index)
 	if math.IsInf(at, 1) {
 		return false
 	}
-	p.k.After(at-p.k.Now(), do)
+	sim.kernel.After(at-sim.kernel.Now(), onArrival)
 	return true
 }
 
-func (p *play) broke(format string, args ...any) {
-	if len(p.res.Violations) < 20 {
-		p.res.Violations = append(p.res.Violations, fmt.Sprintf(format, args...))
+// addViolation records a broken rule. Only the first 20 are kept.
+func (sim *simulation) addViolation(format string, args ...any) {
+	if len(sim.result.Violations) < 20 {
+		sim.result.Violations = append(sim.result.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// begin takes a request of a client.
-func (p *play) begin(r workload.Request) {
-	q := &ask{Request: r, write: p.day.Classes[r.Class].Write}
-	p.score.ask(q)
-	q.deadline.Do = func(float64) { p.lose(q) }
-	p.k.Set(&q.deadline, q.At+p.day.Classes[q.Class].Deadline)
-	if l := p.libs[q.Caller]; l != nil {
-		l.begin(q)
+// begin starts a request of a client.
+func (sim *simulation) begin(r workload.Request) {
+	req := &request{Request: r, write: sim.day.Classes[r.Class].Write}
+	sim.score.addRequest(req)
+	req.deadline.Do = func(float64) { sim.fail(req) }
+	sim.kernel.Set(&req.deadline, req.At+sim.day.Classes[req.Class].Deadline)
+	if l := sim.libraries[req.Caller]; l != nil {
+		l.begin(req)
 		return
 	}
-	c := p.callers[q.Caller]
+	c := sim.callers[req.Caller]
 	copies := 1
-	if !q.write {
+	if !req.write {
 		copies = max(1, c.ParallelTries)
 	}
 	for range copies {
-		p.send(q)
+		sim.send(req)
 	}
-	if c.HedgeDelay > 0 && !q.write && !q.over {
-		q.hedge.Do = func(float64) {
-			if len(q.open) == 1 && q.pending == 0 {
-				p.send(q)
+	if c.HedgeDelay > 0 && !req.write && !req.closed {
+		req.hedge.Do = func(float64) {
+			if len(req.openTries) == 1 && req.delayed == 0 {
+				sim.send(req)
 			}
 		}
-		p.k.Set(&q.hedge, q.At+c.HedgeDelay)
+		sim.kernel.Set(&req.hedge, req.At+c.HedgeDelay)
 	}
 }
 
-// finish ends a request: tries that are open are taken back.
-func (p *play) finish(q *ask) {
-	q.over = true
-	p.k.Cancel(&q.wake)
-	p.k.Cancel(&q.deadline)
-	p.k.Cancel(&q.hedge)
-	for _, t := range slices.Clone(q.open) {
-		p.close(t)
-		p.res.Cancelled++
-		if l := p.libs[q.Caller]; l != nil {
+// finish closes a request and cancels its open tries.
+func (sim *simulation) finish(req *request) {
+	req.closed = true
+	sim.kernel.Cancel(&req.wake)
+	sim.kernel.Cancel(&req.deadline)
+	sim.kernel.Cancel(&req.hedge)
+	for _, t := range slices.Clone(req.openTries) {
+		sim.closeTry(t)
+		sim.result.Cancelled++
+		if l := sim.libraries[req.Caller]; l != nil {
 			l.withdraw(t)
 		}
-		if !p.reach(t, func(float64) { t.s.gone(t) }) {
-			p.k.After(max(0, t.due-p.k.Now())+p.day.slack(), func(float64) { t.s.gone(t) })
+		if !sim.transmit(t, func(float64) { t.server.callerGone(t) }) {
+			sim.kernel.After(max(0, t.due-sim.kernel.Now())+sim.day.answerSlack(), func(float64) { t.server.callerGone(t) })
 		}
 	}
 }
 
-// lose ends a request of which nothing came; its client may ask again.
-func (p *play) lose(q *ask) {
-	if q.over {
+// fail closes a request that was not served. Its client may retry it.
+func (sim *simulation) fail(req *request) {
+	if req.closed {
 		return
 	}
-	p.finish(q)
-	if next, ok := p.crowd.Retry(q.Request, p.k.Now()); ok {
-		p.k.After(next.At-p.k.Now(), func(float64) { p.begin(next) })
+	sim.finish(req)
+	if next, ok := sim.generator.Retry(req.Request, sim.kernel.Now()); ok {
+		sim.kernel.After(next.At-sim.kernel.Now(), func(float64) { sim.begin(next) })
 	}
 }
 
-// send makes a try, now or after the pause of its caller; the request is lost if none may be made.
-func (p *play) send(q *ask) {
-	c := p.callers[q.Caller]
-	if q.over {
+// send makes a try now or after the retry delay of the caller. If the caller may not make one, see noTry.
+func (sim *simulation) send(req *request) {
+	c := sim.callers[req.Caller]
+	if req.closed {
 		return
 	}
-	coin := func(what string) float64 { return p.messages.Split(what, q.Number).Split("", q.tries).Uniform() }
-	if !c.AllowTry(p.k.Now(), q.tries, coin("throttle")) {
-		p.none(q)
+	drawCoin := func(what string) float64 {
+		return sim.messageSeed.Split(what, req.Number).Split("", req.tryCount).Uniform()
+	}
+	if !c.AllowTry(sim.kernel.Now(), req.tryCount, drawCoin("throttle")) {
+		sim.noTry(req)
 		return
 	}
-	if wait := c.RetryDelay(q.tries, coin("pause")); wait > 0 {
-		q.pending++
-		p.k.After(wait, func(float64) {
-			if q.pending--; !q.over {
-				p.try(q)
+	if wait := c.RetryDelay(req.tryCount, drawCoin("pause")); wait > 0 {
+		req.delayed++
+		sim.kernel.After(wait, func(float64) {
+			if req.delayed--; !req.closed {
+				sim.sendTry(req)
 			}
 		})
 		return
 	}
-	p.try(q)
+	sim.sendTry(req)
 }
 
-// none takes it that there is no node for a request.
-func (p *play) none(q *ask) {
-	if len(q.open) > 0 || q.pending > 0 {
+// noTry handles that no further try can be made: the request fails once no other try is open or delayed.
+func (sim *simulation) noTry(req *request) {
+	if len(req.openTries) > 0 || req.delayed > 0 {
 		return
 	}
-	if q.tries == 0 {
-		p.res.Unsent++
+	if req.tryCount == 0 {
+		sim.result.Unsent++
 	}
-	p.lose(q)
+	sim.fail(req)
 }
 
-// try sends a request to a node.
-func (p *play) try(q *ask) {
-	c, now := p.callers[q.Caller], p.k.Now()
-	n := c.Pick(now, p.listed, callermodel.PickParams{Subject: q.Subject, Draw: q.Draw, Tried: q.tried})
+// sendTry picks a node and sends it a try.
+func (sim *simulation) sendTry(req *request) {
+	c, now := sim.callers[req.Caller], sim.kernel.Now()
+	n := c.Pick(now, sim.listed, callermodel.PickParams{Subject: req.Subject, Draw: req.Draw, Tried: req.tried})
 	if n < 0 {
-		p.none(q)
+		sim.noTry(req)
 		return
 	}
-	deadline := p.day.Classes[q.Class].Deadline
+	deadline := sim.day.Classes[req.Class].Deadline
 	c.RecordSend(n)
-	p.launch(q, n, min(now+deadline*c.TryTimeoutRatio, q.At+deadline))
+	sim.sendTo(req, n, min(now+deadline*c.TryTimeoutRatio, req.At+deadline))
 }
 
-// launch sends a try to a node; its caller waits until it is due.
-func (p *play) launch(q *ask, n int, due float64) {
-	now, s := p.k.Now(), p.servers[n]
-	q.tries++
-	q.tried = append(q.tried, n)
-	p.res.Tries++
-	p.score.bin(now).Tries++
-	t := &try{n: p.tries, nth: q.tries, atNode: true, q: q, s: s, life: s.life, sent: now, due: due}
-	p.all[t.n] = t
-	p.tries++
-	q.open = append(q.open, t)
-	t.wait.Do = func(float64) { p.giveUp(t) }
-	p.k.Set(&t.wait, t.due)
-	if !p.reach(t, func(float64) { s.arrive(t) }) {
+// sendTo sends a try to a node. Its caller waits for it until due.
+func (sim *simulation) sendTo(req *request, n int, due float64) {
+	now, s := sim.kernel.Now(), sim.servers[n]
+	req.tryCount++
+	req.tried = append(req.tried, n)
+	sim.result.Tries++
+	sim.score.bucket(now).Tries++
+	t := &try{number: sim.tries, nth: req.tryCount, atNode: true, req: req, server: s, incarnation: s.incarnation, sentAt: now, due: due}
+	sim.liveTries[t.number] = t
+	sim.tries++
+	req.openTries = append(req.openTries, t)
+	t.timeout.Do = func(float64) { sim.timeOut(t) }
+	sim.kernel.Set(&t.timeout, t.due)
+	if !sim.transmit(t, func(float64) { s.accept(t) }) {
 		t.atNode = false
 	}
 }
 
-// giveUp ends a try whose caller waits no longer.
-func (p *play) giveUp(t *try) {
+// timeOut closes a try whose due time has passed.
+func (sim *simulation) timeOut(t *try) {
 	if t.closed {
 		return
 	}
-	p.close(t)
-	p.k.After(p.day.slack(), func(float64) { t.s.late(t) }) // the node hears of it once the slack is over
-	if l := p.libs[t.q.Caller]; l != nil {
-		l.ended(t, attempt.Late, reply{load: -1})
+	sim.closeTry(t)
+	sim.kernel.After(sim.day.answerSlack(), func(float64) { t.server.tryTimedOut(t) }) // the node may still answer within the slack
+	if l := sim.libraries[t.req.Caller]; l != nil {
+		l.tryEnded(t, attempt.Late, reply{credit: -1})
 		return
 	}
-	p.after(t, callermodel.TimedOut)
+	sim.afterFailure(t, callermodel.TimedOut)
 }
 
-// after does what a caller does after a try that brought nothing.
-func (p *play) after(t *try, e callermodel.Outcome) {
-	if p.callers[t.q.Caller].MayRetry(e, t.q.write) {
-		p.send(t.q)
+// afterFailure retries a request after a failed try, or handles that it cannot be retried.
+func (sim *simulation) afterFailure(t *try, outcome callermodel.Outcome) {
+	if sim.callers[t.req.Caller].MayRetry(outcome, t.req.write) {
+		sim.send(t.req)
 	} else {
-		p.none(t.q)
+		sim.noTry(t.req)
 	}
 }
 
-func (p *play) close(t *try) {
+// closeTry closes a try at its caller.
+func (sim *simulation) closeTry(t *try) {
 	t.closed = true
-	p.k.Cancel(&t.wait)
-	if p.libs[t.q.Caller] == nil {
-		p.callers[t.q.Caller].RecordClose(t.s.no)
+	sim.kernel.Cancel(&t.timeout)
+	if sim.libraries[t.req.Caller] == nil {
+		sim.callers[t.req.Caller].RecordClose(t.server.index)
 	}
-	t.q.open = slices.DeleteFunc(t.q.open, func(o *try) bool { return o == t })
-	p.settle(t)
+	t.req.openTries = slices.DeleteFunc(t.req.openTries, func(o *try) bool { return o == t })
+	sim.release(t)
 }
 
-// settle lets go of a try once its caller, the node and the worker pool are done with it.
-func (p *play) settle(t *try) {
+// release forgets a try once its caller, the node and the worker pool are done with it.
+func (sim *simulation) release(t *try) {
 	if t.closed && !t.atNode && !t.running {
-		delete(p.all, t.n)
+		delete(sim.liveTries, t.number)
 	}
 }
 
-// serve takes a result that came.
-func (p *play) serve(q *ask) {
-	if !q.over {
-		p.useful += q.Work.Run
-		p.score.serve(q, p.k.Now())
-		p.finish(q)
+// serve closes a request that was served.
+func (sim *simulation) serve(req *request) {
+	if !req.closed {
+		sim.usefulWork += req.Work.Run
+		sim.score.addServed(req, sim.kernel.Now())
+		sim.finish(req)
 	}
 }
 
-// heard takes what a caller hears of a try.
-func (p *play) heard(t *try, r reply) {
+// receive handles the reply to a try at its caller.
+func (sim *simulation) receive(t *try, r reply) {
 	if t.closed {
 		return
 	}
-	p.close(t)
-	if l := p.libs[t.q.Caller]; l != nil {
-		l.heard(t, r)
+	sim.closeTry(t)
+	if l := sim.libraries[t.req.Caller]; l != nil {
+		l.receive(t, r)
 		return
 	}
-	now, c := p.k.Now(), p.callers[t.q.Caller]
-	if r.refused || r.lost {
-		p.res.Disconnected++
-		c.RecordConnectionFailure(now, t.s.no)
-		if r.refused {
-			p.after(t, callermodel.ConnectFailed)
+	now, c := sim.kernel.Now(), sim.callers[t.req.Caller]
+	if r.connectFailed || r.connReset {
+		sim.result.Disconnected++
+		c.RecordConnectionFailure(now, t.server.index)
+		if r.connectFailed {
+			sim.afterFailure(t, callermodel.ConnectFailed)
 		} else {
-			p.after(t, callermodel.ConnectionReset)
+			sim.afterFailure(t, callermodel.ConnectionReset)
 		}
 		return
 	}
-	end := callermodel.Failed
+	outcome := callermodel.Failed
 	switch r.outcome {
 	case core.Served:
-		end = callermodel.Served
+		outcome = callermodel.Served
 	case core.Refused:
-		end = callermodel.Refused
+		outcome = callermodel.Refused
 	}
-	c.RecordAnswer(now, t.s.no, end, now-t.sent, r.load, r.wait)
-	switch end {
+	c.RecordAnswer(now, t.server.index, outcome, now-t.sentAt, r.credit, r.retryAfter)
+	switch outcome {
 	case callermodel.Served:
-		p.serve(t.q)
+		sim.serve(t.req)
 		return
 	case callermodel.Refused:
-		p.res.Refused++
-		p.score.bin(now).Refused++
+		sim.result.Refused++
+		sim.score.bucket(now).Refused++
 	default:
-		p.res.Failed++
+		sim.result.Failed++
 	}
-	p.after(t, end)
+	sim.afterFailure(t, outcome)
 }
--- a/internal/emu/fleet/server.go
+++ b/internal/emu/fleet/server.go
@@ -13,148 +13,149 @@
 	"whinrudder/internal/vtime"
 )
 
-// aDay is absurd advice, in milliseconds.
-const aDay = 24 * 3600e3
+// dayMs is the retry-after of BogusCredit.
+const dayMs = 24 * 3600e3
 
-// fallenFor is how long a node that fell is away, and sockets how many requests a machine has in hand at most.
 const (
-	fallenFor = 5000
-	sockets   = 1024
+	crashDowntimeMs = 5000 // time from a crash by overload to the restart
+	maxSockets      = 1024 // open requests of a node at most
 )
 
-// NodeFactory makes a node of a fleet.
+// NodeFactory returns a new node of a fleet.
 type NodeFactory func(s whinrudder.Settings, seed uint64) (baseline.Node, error)
 
-// NewModuleNode makes nodes with the inherited module.
+// NewModuleNode is the NodeFactory of nodes with the decision module.
 func NewModuleNode(s whinrudder.Settings, seed uint64) (baseline.Node, error) {
 	return core.New(s, seed)
 }
 
-// server is a place in the fleet and the node that has it now.
+// server is one server of the fleet, with the node that currently runs on it.
 type server struct {
-	p      *play
-	no     int
+	sim    *simulation
+	index  int // in the fleet
 	params workers.Params
 
-	up       bool // it takes connections
-	draining bool
-	notice   float64
-	crawl    float64
-	clock    float64 // its clock is so far ahead
-	hole     bool    // it fails whatever reaches it
-	absurd   float64 // the credit that it tells; 0: its own
-	life     int
-	memory   float64 // kilobytes of what it has in hand and of what runs
-	most     float64 // that it may have
+	up            bool // it accepts connections
+	draining      bool
+	noticeAt      float64 // time of the stop notice; infinity: none
+	slowdown      float64 // of the pool; 1: none
+	clockSkew     float64 // milliseconds by which its clock is ahead
+	blackHole     bool    // it fails every request
+	bogusCredit   float64 // credit that it reports; 0: the credit of its node
+	incarnation   int     // changes at each start and end of a node
+	memoryKB      float64 // memory of held and running requests
+	memoryLimitKB float64
 
 	stalled            bool
 	stallFrom, stallTo float64
 
-	node     baseline.Node
-	pool     *workers.Pool
-	in       []core.Input
-	stepping bool
-	tick     vtime.Timer
-	tries    map[int]*try   // in hand, by number
-	runs     map[int]*try   // whose runs are not over
-	others   map[int]string // runs from outside, by the numbers that they have in the pool
+	node         baseline.Node
+	pool         *workers.Pool
+	inputs       []core.Input
+	stepping     bool
+	tick         vtime.Timer
+	tries        map[int]*try   // at the node and not answered, by number
+	runs         map[int]*try   // whose runs have not ended, by number
+	externalRuns map[int]string // request IDs of external runs, by their number in the pool
 }
 
 // try is one request of a caller to a node.
 type try struct {
-	n        int
-	id       string
-	q        *ask
-	s        *server
-	life     int
-	clock    float64 // of the node, when it was read
-	sent     float64
-	due      float64 // its caller waits until then
-	came     float64 // it reached the machine; 0: not yet
-	read     bool
-	readAt   float64
-	answered bool // by the node
-	gone     bool // its caller gave up
-	ran      bool
-	closed   bool // for the caller
-	atNode   bool // on its way there, or in hand
-	running  bool
-	nth      int // try of its request
-	messages int // so far
-	wait     vtime.Timer
-	member   *members.Member // of the client library that sent it
-	history  []mark
+	number       int
+	id           string
+	req          *request
+	server       *server
+	incarnation  int
+	clockSkew    float64 // clockSkew of the server when the request was read
+	sentAt       float64
+	due          float64 // time until which its caller waits
+	arrivedAt    float64 // time at which it reached the server; 0: not yet
+	read         bool
+	readAt       float64
+	answered     bool // by the node
+	callerGone   bool // its caller has closed it
+	started      bool // its run was started
+	closed       bool // at the caller
+	atNode       bool // on its way to the node, or not answered by it
+	running      bool // its run has not ended
+	nth          int  // number within its request, from 1
+	messagesSent int  // so far
+	timeout      vtime.Timer
+	member       *members.Member // for callers that use the client library
+	history      []event
 }
 
-// mark is a step in the life of a try.
-type mark struct {
+// event is an entry in the history of a try.
+type event struct {
 	at   float64
 	what string
 }
 
-func (t *try) mark(what string) { t.history = append(t.history, mark{t.s.p.k.Now(), what}) }
+func (t *try) record(what string) {
+	t.history = append(t.history, event{t.server.sim.kernel.Now(), what})
+}
 
-// Terminator is a node that has to be told of its end: it was killed, or it has left by itself.
+// Terminator is a node that must be told when it ends: killed, or after a drain.
 type Terminator interface{ Terminate(killed bool) }
 
-// ConnectionReset is what a node that is more than its core tells of a try whose connection broke, and why.
+// ConnectionReset is an output of nodes that consist of more than the core: the connection of a try was reset.
 type ConnectionReset struct {
-	core.Reply // its sink alone counts
+	core.Reply // only its To is used
 	Reason     string
 }
 
-// start brings a node up in its place.
+// start starts a node on the server, unless one is up.
 func (s *server) start(cold bool) {
 	if s.up {
 		return
 	}
-	s.life++
-	life := s.life
-	set := s.p.day.Settings(cold)
-	node, err := s.p.make(set, uint64(s.p.day.Seed.Split("node", s.no).Split("life", life)))
+	s.incarnation++
+	incarnation := s.incarnation
+	settings := s.sim.day.Settings(cold)
+	node, err := s.sim.newNode(settings, uint64(s.sim.day.Seed.Split("node", s.index).Split("life", incarnation)))
 	if err != nil {
-		s.p.broke("node %d: %v", s.no, err)
+		s.sim.addViolation("node %d: %v", s.index, err)
 		return
 	}
 	params := s.params
 	if !cold {
 		params.ColdSpeedRatio = 1
 	}
-	s.node, s.in, s.tries, s.runs, s.memory, s.most = node, nil, map[int]*try{}, map[int]*try{}, 0, set.Memory
-	s.others = map[int]string{}
-	s.up, s.draining, s.stalled, s.notice = true, false, false, math.Inf(1)
-	s.pool = workers.New(&s.p.k, params, func(e workers.Event) {
-		if s.life == life {
-			s.happened(e)
+	s.node, s.inputs, s.tries, s.runs, s.memoryKB, s.memoryLimitKB = node, nil, map[int]*try{}, map[int]*try{}, 0, settings.Memory
+	s.externalRuns = map[int]string{}
+	s.up, s.draining, s.stalled, s.noticeAt = true, false, false, math.Inf(1)
+	s.pool = workers.New(&s.sim.kernel, params, func(e workers.Event) {
+		if s.incarnation == incarnation {
+			s.onPoolEvent(e)
 		}
 	})
-	s.pool.SetSlowdown(s.crawl)
+	s.pool.SetSlowdown(s.slowdown)
 	s.tick.Do = func(float64) { s.step() }
-	s.tell(core.PoolReady{Cold: cold}, core.LinkSynced{})
-	s.p.list.Join(s.p.k.Now(), s.no)
-	s.p.watch()
+	s.input(core.PoolReady{Cold: cold}, core.LinkSynced{})
+	s.sim.ensemble.Join(s.sim.kernel.Now(), s.index)
+	s.sim.notifyCallers()
 }
 
-// die ends a node at once. Its callers see their connections reset.
-func (s *server) die(why string) {
+// kill ends the node at once. Its callers see their connections reset.
+func (s *server) kill(reason string) {
 	if !s.up {
 		return
 	}
 	s.up = false
-	s.life++
-	s.p.k.Cancel(&s.tick)
-	s.p.silent(s, true)
+	s.incarnation++
+	s.sim.kernel.Cancel(&s.tick)
+	s.sim.setDisconnected(s, true)
 	if e, ok := s.node.(Terminator); ok {
-		e.Terminate(why != "stopped")
+		e.Terminate(reason != "stopped")
 	}
-	for _, n := range sorted(s.tries) {
+	for _, n := range sortedNumbers(s.tries) {
 		t := s.tries[n]
-		t.mark(why)
-		s.p.reach(t, func(float64) { s.p.heard(t, reply{lost: true}) })
+		t.record(reason)
+		s.sim.transmit(t, func(float64) { s.sim.receive(t, reply{connReset: true}) })
 	}
 	for _, t := range s.runs {
 		t.running = false
-		s.p.settle(t)
+		s.sim.release(t)
 	}
 	for _, t := range s.tries {
 		s.forget(t)
@@ -162,230 +163,231 @@
 	s.node, s.pool = nil, nil
 }
 
-// forget ends what a node has in hand of a try.
+// forget removes a try from the node.
 func (s *server) forget(t *try) {
-	if s.tries[t.n] != nil {
-		delete(s.tries, t.n)
+	if s.tries[t.number] != nil {
+		delete(s.tries, t.number)
 		if t.read {
-			s.memory -= t.q.KB
+			s.memoryKB -= t.req.KB
 		}
 	}
 	t.atNode = false
-	s.p.settle(t)
+	s.sim.release(t)
 }
 
-// leave tells a node to drain; it is replaced at once, by a node that starts cold in the same place once it is over.
-func (s *server) leave() {
+// drain sends the node a stop notice. A cold node replaces it as soon as it has ended.
+func (s *server) drain() {
 	if !s.up || s.draining {
 		return
 	}
-	s.draining, s.notice = true, s.p.k.Now()
-	life := s.life
-	s.tell(core.StopNotice{StopAt: s.notice + s.p.day.StopDelay})
-	s.p.list.Leave(s.notice, s.no)
-	s.p.watch()
-	s.p.k.After(s.p.day.StopDelay, func(float64) { s.over(life) })
+	s.draining, s.noticeAt = true, s.sim.kernel.Now()
+	incarnation := s.incarnation
+	s.input(core.StopNotice{StopAt: s.noticeAt + s.sim.day.StopDelay})
+	s.sim.ensemble.Leave(s.noticeAt, s.index)
+	s.sim.notifyCallers()
+	s.sim.kernel.After(s.sim.day.StopDelay, func(float64) { s.finishDrain(incarnation) })
 }
 
-// over ends a node that has drained, and starts its successor.
-func (s *server) over(life int) {
-	if s.life != life {
+// finishDrain ends a drained node and starts its successor.
+func (s *server) finishDrain(incarnation int) {
+	if s.incarnation != incarnation {
 		return
 	}
-	for _, n := range sorted(s.tries) {
-		if t := s.tries[n]; t.read && !t.answered && !t.gone && !s.stalled {
-			s.p.broke("drain: %s was read and is not answered at the stop: %s", t.name(), t.tale())
+	for _, n := range sortedNumbers(s.tries) {
+		if t := s.tries[n]; t.read && !t.answered && !t.callerGone && !s.stalled {
+			s.sim.addViolation("drain: %s was read and is not answered at the stop: %s", t.wireID(), t.historyText())
 		}
 	}
-	s.die("stopped")
+	s.kill("stopped")
 	s.start(true)
 }
 
-// tell hands something to the node.
-func (s *server) tell(in ...core.Input) {
-	s.in = append(s.in, in...)
+// input passes inputs to the node.
+func (s *server) input(in ...core.Input) {
+	s.inputs = append(s.inputs, in...)
 	s.step()
 }
 
-// step lets the node take what there is.
+// step runs the node until it has no more inputs and no more due timers, and sets its next timer.
 func (s *server) step() {
 	if s.stepping || s.stalled || s.node == nil {
 		return
 	}
 	s.stepping = true
-	life, now := s.life, s.p.k.Now()
-	for s.life == life {
-		in := s.in
-		s.in = nil
+	incarnation, now := s.incarnation, s.sim.kernel.Now()
+	for s.incarnation == incarnation {
+		in := s.inputs
+		s.inputs = nil
 		next := s.node.Next()
 		if len(in) == 0 && (next == 0 || next > now) {
 			break
 		}
-		over := false
+		drained := false
 		for _, o := range s.node.Step(now, in) {
-			if s.life != life {
+			if s.incarnation != incarnation {
 				break
 			}
 			if _, is := o.(core.DrainFinished); is {
-				over = true
+				drained = true
 				break
 			}
-			s.carry(o)
+			s.handleOutput(o)
 		}
-		if over {
+		if drained {
 			s.stepping = false
-			s.over(life)
+			s.finishDrain(incarnation)
 			return
 		}
 	}
 	s.stepping = false
-	if s.life == life && s.node != nil {
+	if s.incarnation == incarnation && s.node != nil {
 		if next := s.node.Next(); next > 0 {
-			s.p.k.Set(&s.tick, next)
+			s.sim.kernel.Set(&s.tick, next)
 		}
 	}
 }
 
-// name is the identity of a try on the wire: 16 hexadecimal digits.
-func (t *try) name() string {
+// wireID returns the request ID of a try: 16 hexadecimal digits.
+func (t *try) wireID() string {
 	if t.id == "" {
-		hex := strconv.FormatUint(uint64(t.n), 16)
+		hex := strconv.FormatUint(uint64(t.number), 16)
 		t.id = "0000000000000000"[len(hex):] + hex
 	}
 	return t.id
 }
 
-// Deliver is the sink of answers; they are carried where the outputs are.
+// Deliver implements the sink of answers. It does nothing: handleOutput delivers the answers.
 func (t *try) Deliver(core.Answer) {}
 
-// happened takes what the worker pool tells.
-func (s *server) happened(e workers.Event) {
+// onPoolEvent handles an event of the worker pool.
+func (s *server) onPoolEvent(e workers.Event) {
 	switch e.Kind {
 	case workers.Read:
 		t := s.tries[e.ID]
 		if t == nil {
 			return
 		}
-		t.read, t.readAt = true, s.p.k.Now()
-		t.mark("read")
-		if t.gone {
+		t.read, t.readAt = true, s.sim.kernel.Now()
+		t.record("read")
+		if t.callerGone {
 			s.forget(t)
 			return
 		}
-		if !s.take(t.q.KB) {
+		if !s.allocate(t.req.KB) {
 			return
 		}
-		t.clock = s.clock
-		s.tell(core.RequestArrived{Request: &core.Request{ID: t.name(), Class: t.q.Class, Caller: t.q.Caller, ArrivedAt: t.came - t.clock, Due: t.due - t.clock,
-			KB: t.q.KB, Rank: t.q.Rank, ReplyTo: t}})
+		t.clockSkew = s.clockSkew
+		s.input(core.RequestArrived{Request: &core.Request{ID: t.wireID(), Class: t.req.Class, Caller: t.req.Caller, ArrivedAt: t.arrivedAt - t.clockSkew, Due: t.due - t.clockSkew,
+			KB: t.req.KB, Rank: t.req.Rank, ReplyTo: t}})
 	case workers.Done:
-		s.ended(e, core.RunOK)
+		s.runEnded(e, core.RunOK)
 	case workers.Stopped:
-		s.ended(e, core.RunStopped)
+		s.runEnded(e, core.RunStopped)
 	case workers.Crashed:
-		s.fall("fell")
+		s.crash("fell")
 	}
 }
 
-// fall ends a node that took on too much; it comes back cold.
-func (s *server) fall(why string) {
-	s.p.res.OverloadCrashes++
-	s.die(why)
-	s.p.k.After(fallenFor, func(float64) { s.start(true) })
+// crash ends an overloaded node and restarts it cold after a time.
+func (s *server) crash(reason string) {
+	s.sim.result.OverloadCrashes++
+	s.kill(reason)
+	s.sim.kernel.After(crashDowntimeMs, func(float64) { s.start(true) })
 }
 
-// take adds to the memory that is used, and tells whether there was enough.
-func (s *server) take(kb float64) bool {
-	if s.memory += kb; s.memory <= s.most {
+// allocate adds to the used memory. It crashes the node and returns false if there is not enough.
+func (s *server) allocate(kb float64) bool {
+	if s.memoryKB += kb; s.memoryKB <= s.memoryLimitKB {
 		return true
 	}
-	s.fall("out of memory")
+	s.crash("out of memory")
 	return false
 }
 
-func (s *server) ended(e workers.Event, end core.RunEnd) {
-	if id, ok := s.others[e.ID]; ok {
-		delete(s.others, e.ID)
-		s.tell(core.RunFinished{ID: id, End: end, Latency: e.Took})
+// runEnded passes the end of a run to the node.
+func (s *server) runEnded(e workers.Event, end core.RunEnd) {
+	if id, ok := s.externalRuns[e.ID]; ok {
+		delete(s.externalRuns, e.ID)
+		s.input(core.RunFinished{ID: id, End: end, Latency: e.Took})
 		return
 	}
 	t := s.runs[e.ID]
 	delete(s.runs, e.ID)
-	s.memory -= t.q.KB * (runFactor - 1)
+	s.memoryKB -= t.req.KB * (runMemoryFactor - 1)
 	t.running = false
-	s.p.settle(t)
-	s.tell(core.RunFinished{ID: t.name(), End: end, Latency: e.Took})
+	s.sim.release(t)
+	s.input(core.RunFinished{ID: t.wireID(), End: end, Latency: e.Took})
 }
 
-// carry does what the node wants.
-func (s *server) carry(o core.Output) {
+// handleOutput carries out an output of the node.
+func (s *server) handleOutput(o core.Output) {
 	switch o := o.(type) {
 	case core.Reply:
 		t, ok := o.To.(*try)
 		if !ok {
 			return
 		}
-		now := s.p.k.Now()
+		now := s.sim.kernel.Now()
 		if t.answered {
-			s.p.broke("twice: %s has two answers: %s", t.name(), t.tale())
+			s.sim.addViolation("twice: %s has two answers: %s", t.wireID(), t.historyText())
 			return
 		}
 		t.answered = true
-		t.mark([...]string{"served", "refused", "failed", "doubled", "unlike"}[o.Outcome])
-		if late := now - max(t.due, t.readAt) - s.p.day.slack(); late > 0 && (t.readAt > t.due || !s.excused(t)) {
-			s.p.broke("lost: %s was due at %.0f and is answered at %.0f: %s", t.name(), t.due, now, t.tale())
+		t.record([...]string{"served", "refused", "failed", "doubled", "unlike"}[o.Outcome])
+		if late := now - max(t.due, t.readAt) - s.sim.day.answerSlack(); late > 0 && (t.readAt > t.due || !s.excusesLate(t)) {
+			s.sim.addViolation("lost: %s was due at %.0f and is answered at %.0f: %s", t.wireID(), t.due, now, t.historyText())
 		}
-		if o.Outcome == core.Refused && t.ran {
-			s.p.broke("lost: %s is refused though it ran: %s", t.name(), t.tale())
+		if o.Outcome == core.Refused && t.started {
+			s.sim.addViolation("lost: %s is refused though it ran: %s", t.wireID(), t.historyText())
 		}
 		s.forget(t)
-		r := reply{outcome: o.Outcome, load: o.Credit, wait: o.RetryAfter, stay: o.NotElsewhere, leaves: o.Close && s.draining}
-		if s.absurd > 0 {
-			if r.load = s.absurd; o.Outcome == core.Refused {
-				r.wait = aDay
+		r := reply{outcome: o.Outcome, credit: o.Credit, retryAfter: o.RetryAfter, notElsewhere: o.NotElsewhere, draining: o.Close && s.draining}
+		if s.bogusCredit > 0 {
+			if r.credit = s.bogusCredit; o.Outcome == core.Refused {
+				r.retryAfter = dayMs
 			}
 		}
-		s.p.reach(t, func(float64) { s.p.heard(t, r) })
+		s.sim.transmit(t, func(float64) { s.sim.receive(t, r) })
 	case ConnectionReset:
 		t := o.To.(*try)
-		t.mark("reset: " + o.Reason)
-		t.gone = true // nobody is left who could be answered
-		if s.p.res.Resets++; len(s.p.res.ResetReasons) < 10 {
-			s.p.res.ResetReasons = append(s.p.res.ResetReasons, fmt.Sprintf("%s (draining %v): %s", t.name(), s.draining, t.tale()))
+		t.record("reset: " + o.Reason)
+		t.callerGone = true // there is no connection on which to answer
+		if s.sim.result.Resets++; len(s.sim.result.ResetReasons) < 10 {
+			s.sim.result.ResetReasons = append(s.sim.result.ResetReasons, fmt.Sprintf("%s (draining %v): %s", t.wireID(), s.draining, t.historyText()))
 		}
 		s.forget(t)
-		s.p.reach(t, func(float64) { s.p.heard(t, reply{lost: true}) })
+		s.sim.transmit(t, func(float64) { s.sim.receive(t, reply{connReset: true}) })
 	case core.Spawn:
 		n, _ := strconv.ParseInt(o.ID, 16, 64)
-		t := s.p.all[int(n)]
+		t := s.sim.liveTries[int(n)]
 		switch {
-		case t == nil && s.p.outside != nil:
-			s.p.others--
-			s.others[s.p.others] = o.ID
-			s.pool.Start(s.p.others, s.p.outside(o))
+		case t == nil && s.sim.external != nil:
+			s.sim.lastExternal--
+			s.externalRuns[s.sim.lastExternal] = o.ID
+			s.pool.Start(s.sim.lastExternal, s.sim.external(o))
 			return
 		case t == nil:
-			s.p.broke("duplicate: %s is run, and it was over", o.ID)
+			s.sim.addViolation("duplicate: %s is run, and it was over", o.ID)
 			return
-		case t.ran:
-			s.p.broke("duplicate: %s runs twice: %s", t.name(), t.tale())
+		case t.started:
+			s.sim.addViolation("duplicate: %s runs twice: %s", t.wireID(), t.historyText())
 			return
-		case t.came > s.notice+s.p.day.DrainGrace+50 && s.stallTo < s.notice:
-			s.p.broke("drain: %s came too late to be run: %s", t.name(), t.tale())
+		case t.arrivedAt > s.noticeAt+s.sim.day.DrainGrace+50 && s.stallTo < s.noticeAt:
+			s.sim.addViolation("drain: %s came too late to be run: %s", t.wireID(), t.historyText())
 		}
-		t.ran, t.running = true, true
-		s.runs[t.n] = t
-		t.mark("run")
-		if t.q.write {
-			if t.q.runs++; t.q.runs > 1 {
-				s.p.res.RepeatedWrites++ // by two tries: what callers do, not a broken rule
+		t.started, t.running = true, true
+		s.runs[t.number] = t
+		t.record("run")
+		if t.req.write {
+			if t.req.runs++; t.req.runs > 1 {
+				s.sim.result.RepeatedWrites++ // two tries of the caller: not a violation
 			}
 		}
-		s.p.started += t.q.Work.Run
-		s.pool.Start(t.n, t.q.Work)
-		s.take(t.q.KB * (runFactor - 1))
+		s.sim.startedWork += t.req.Work.Run
+		s.pool.Start(t.number, t.req.Work)
+		s.allocate(t.req.KB * (runMemoryFactor - 1))
 	case core.Suspend:
-		for n, id := range s.others {
+		for n, id := range s.externalRuns {
 			if id == o.ID {
 				s.pool.Stop(n)
 				return
@@ -394,65 +396,65 @@
 		n, _ := strconv.ParseInt(o.ID, 16, 64)
 		s.pool.Stop(int(n))
 	case core.Poll:
-		life := s.life
-		s.p.k.After(gaugeAfter, func(float64) {
-			if s.life == life {
-				s.tell(core.GaugesRead{Gauges: whinrudder.Gauges{CPU: s.pool.Utilization(), Runnable: float64(s.pool.Runnable()), Memory: s.memory / s.most,
-					Conns: float64(len(s.p.callers))}})
+		incarnation := s.incarnation
+		s.sim.kernel.After(pollLatencyMs, func(float64) {
+			if s.incarnation == incarnation {
+				s.input(core.GaugesRead{Gauges: whinrudder.Gauges{CPU: s.pool.Utilization(), Runnable: float64(s.pool.Runnable()), Memory: s.memoryKB / s.memoryLimitKB,
+					Conns: float64(len(s.sim.callers))}})
 			}
 		})
 	}
 }
 
-// arrive brings a try to the machine.
-func (s *server) arrive(t *try) {
-	if !s.up || len(s.tries) >= sockets {
+// accept handles the arrival of a try at the server.
+func (s *server) accept(t *try) {
+	if !s.up || len(s.tries) >= maxSockets {
 		t.atNode = false
-		s.p.reach(t, func(float64) { s.p.heard(t, reply{refused: true}) })
+		s.sim.transmit(t, func(float64) { s.sim.receive(t, reply{connectFailed: true}) })
 		return
 	}
-	t.life = s.life // a successor may have taken the place meanwhile
-	if t.gone {     // its caller went while it was on its way
+	t.incarnation = s.incarnation // a successor may have started since the try was sent
+	if t.callerGone {             // its caller closed it on the way
 		t.atNode = false
-		s.p.settle(t)
+		s.sim.release(t)
 		return
 	}
-	t.came = s.p.k.Now()
-	t.mark("came")
-	if s.hole { // it never gets to a node that would count it
+	t.arrivedAt = s.sim.kernel.Now()
+	t.record("came")
+	if s.blackHole { // the node does not see the request
 		t.answered, t.atNode = true, false
-		s.p.reach(t, func(float64) { s.p.heard(t, reply{outcome: core.Failed, load: -1}) })
+		s.sim.transmit(t, func(float64) { s.sim.receive(t, reply{outcome: core.Failed, credit: -1}) })
 		return
 	}
-	s.tries[t.n] = t
-	s.pool.Enqueue(t.n, t.q.Work)
+	s.tries[t.number] = t
+	s.pool.Enqueue(t.number, t.req.Work)
 }
 
-// late tells the node that a caller gave up, after the time that the rules leave for an answer.
-func (s *server) late(t *try) {
-	if t.read && !t.answered && s.life == t.life && !s.excused(t) {
-		s.p.broke("lost: %s has no answer by its due time: %s", t.name(), t.tale())
+// tryTimedOut handles, once the slack for an answer is over, that the caller has timed out.
+func (s *server) tryTimedOut(t *try) {
+	if t.read && !t.answered && s.incarnation == t.incarnation && !s.excusesLate(t) {
+		s.sim.addViolation("lost: %s has no answer by its due time: %s", t.wireID(), t.historyText())
 	}
-	s.gone(t)
+	s.callerGone(t)
 }
 
-// gone tells the node that a caller has closed.
-func (s *server) gone(t *try) {
-	t.gone = true
-	t.mark("gone")
-	if s.life != t.life || s.tries[t.n] == nil {
+// callerGone tells the node that the caller has closed a try.
+func (s *server) callerGone(t *try) {
+	t.callerGone = true
+	t.record("gone")
+	if s.incarnation != t.incarnation || s.tries[t.number] == nil {
 		return
 	}
 	if t.read {
 		s.forget(t)
-		s.tell(core.CallerGone{ID: t.name()})
+		s.input(core.CallerGone{ID: t.wireID()})
 	}
 }
 
-// tale is the whole history of a try.
-func (t *try) tale() (text string) {
+// historyText returns the history of a try for messages.
+func (t *try) historyText() (text string) {
 	for _, m := range t.history {
 		text += fmt.Sprintf("%.1f %s; ", m.at, m.what)
 	}
-	return fmt.Sprintf("node %d life %d, %ssent %.1f, due %.1f", t.s.no, t.life, text, t.sent, t.due)
+	return fmt.Sprintf("node %d life %d, %ssent %.1f, due %.1f", t.server.index, t.incarnation, text, t.sentAt, t.due)
 }
