--- a/internal/emu/callermodel/caller.go
+++ b/internal/emu/callermodel/caller.go
@@ -248,7 +248,7 @@
 func (c *Caller) RecordClose(node int) { c.nodes[node].Outstanding-- }
 
 // RecordAnswer records an answer with its latency, its credit and its retry-after advice. A credit below 0 means that
-// the answer told none.
+// the answer reports none.
 func (c *Caller) RecordAnswer(now float64, node int, o Outcome, latency, credit, retryAfter float64) {
 	s := &c.nodes[node]
 	if credit >= 0 {
--- a/internal/emu/callermodel/credit.go
+++ b/internal/emu/callermodel/credit.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Credit is the credit that a node told a caller, and the number of requests that the caller has outstanding there.
+// Credit is the credit that a node reported to a caller, and the number of requests that the caller has outstanding there.
 type Credit struct {
-	Value, UpdatedAt float64 // Value below 0: the node has not told a credit yet
+	Value, UpdatedAt float64 // Value below 0: the node has not reported a credit yet
 	Outstanding      int
 }
 
--- a/internal/emu/ensemble/ensemble.go
+++ b/internal/emu/ensemble/ensemble.go
@@ -26,10 +26,10 @@
 	silentSince float64        // start of the time without heartbeats; infinity: heartbeats arrive
 	registered  bool           // the node wants its znode to exist
 	pending     []notification // not yet delivered to watchers, oldest first
-	delivered   bool           // whether watchers were last told that the node is listed
+	delivered   bool           // whether the last notification said that the node is listed
 }
 
-// notification tells watchers at a time whether a node is listed.
+// notification informs watchers at a time whether a node is listed.
 type notification struct {
 	at     float64
 	listed bool
--- a/internal/emu/fleet/day.go
+++ b/internal/emu/fleet/day.go
@@ -44,9 +44,9 @@
 	Deploy                          // a Share of the nodes is drained and replaced, spread evenly over Duration
 	PoolPause                       // the worker pools of a Share of the nodes stop working
 	RetryStorm                      // a Share of the callers retries without limit and ignores credit and advice
-	Partition                       // a Share of the nodes cannot reach a share Factor of the callers, nor, if Factor is 1, the ensemble
+	Partition                       // a Share of the nodes is cut off from a share Factor of the callers; if 1, from the ensemble too
 	ProcessStall                    // the processes of a Share of the nodes stop
-	ClockSkew                       // the clocks of a Share of the nodes are ahead by Factor milliseconds, or behind if it is negative
+	ClockSkew                       // the clocks of a Share of the nodes are ahead by Factor milliseconds; negative: behind
 	MessageLoss                     // a Share of all messages is lost
 	EnsembleOutage                  // the ensemble does not answer: the list does not change
 	LimitRetries                    // a Share of the callers has a retry budget of Factor and makes at most three tries
--- a/internal/emu/fleet/library.go
+++ b/internal/emu/fleet/library.go
@@ -43,8 +43,7 @@
 	l.members.SetList(now, max(0, now-l.sim.day.ListLag), nodes)
 }
 
-// draw returns a number from 0 to 1 for a request. It depends on the number of the request, so that other requests keep
-// their draws.
+// draw returns a number from 0 to 1 for a request, derived from the number of the request and that of the draw.
 func (l *library) draw(req *request) float64 {
 	l.drawCount++
 	return l.seed.Split("draw", req.Number).Split("", l.drawCount).Uniform()
