--- a/internal/rehearse/caller.go
+++ b/internal/rehearse/caller.go
@@ -16,47 +16,49 @@
 	"time"
 )
 
-// caller is one connection of a toy client.
+// caller is one connection of a simple client.
 type caller struct {
-	c        net.Conn
-	r        *bufio.Reader
+	conn     net.Conn
+	reader   *bufio.Reader
 	protocol string
-	sent     time.Time // Req-Time of its last request
-	heard    chan heard
-	over     bool // was told that the connection ends
+	sentAt   time.Time   // when the last request was sent, its default Req-Time
+	pending  chan answer // the answer that is being read, or nil
+	closing  bool        // the last answer said that the connection ends
 	h2       *h2Caller
 }
 
-// heard is an answer as an exchange tells it. Last says that the connection ends after it.
-type heard struct {
-	text string
-	last bool
+// answer is an answer in the notation of exchanges. The field closing reports that the connection ends after it.
+type answer struct {
+	text    string
+	closing bool
 }
 
-// ask starts to read an answer, unless that is under way.
-func (c *caller) ask(word, want string) chan heard {
-	if c.heard == nil {
-		ch := make(chan heard, 1)
-		c.heard = ch
-		go func() { ch <- c.hear(word, want) }()
+// startReading starts to read an answer, unless a read is already in progress, and returns the channel of the answer.
+func (c *caller) startReading(word, want string) chan answer {
+	if c.pending == nil {
+		ch := make(chan answer, 1)
+		c.pending = ch
+		go func() { ch <- c.readAnswer(word, want) }()
 	}
-	return c.heard
+	return c.pending
 }
 
-// first waits for the first answer that one of some callers reads.
-func first(callers []*caller, word, want string) string {
+// firstAnswer waits for the first answer that any of the callers reads and returns its text.
+func firstAnswer(callers []*caller, word, want string) string {
 	var cases []reflect.SelectCase
 	if len(callers) > 1 {
-		callers = slices.DeleteFunc(callers, func(c *caller) bool { return c.over })
+		callers = slices.DeleteFunc(callers, func(c *caller) bool { return c.closing })
 	}
 	for _, c := range callers {
-		cases = append(cases, reflect.SelectCase{Dir: reflect.SelectRecv, Chan: reflect.ValueOf(c.ask(word, want))})
+		cases = append(cases, reflect.SelectCase{Dir: reflect.SelectRecv,
+			Chan: reflect.ValueOf(c.startReading(word, want))})
 	}
 	i, v, _ := reflect.Select(cases)
-	h := v.Interface().(heard)
-	// Only the answer that is taken counts: another one that came meanwhile is still to be told.
-	callers[i].heard, callers[i].over = nil, h.last
-	return h.text
+	received := v.Interface().(answer)
+	// Only the selected answer is consumed: an answer that another caller has read meanwhile stays pending for a later
+	// step.
+	callers[i].pending, callers[i].closing = nil, received.closing
+	return received.text
 }
 
 func dial(addr, protocol string) (*caller, error) {
@@ -64,20 +66,20 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &caller{c: c, r: bufio.NewReader(c), protocol: protocol}
+	k := &caller{conn: c, reader: bufio.NewReader(c), protocol: protocol}
 	if protocol == "h2c" {
 		k.h2 = newH2Caller(c)
 	}
 	return k, nil
 }
 
-// CallStep is the text of a call step: a request of a class with a fresh id.
+// CallStep returns the arguments of a call step after the caller's name: a request of a class with a random id.
 func CallStep(class, body, wait string) string {
 	return fmt.Sprintf("%s %016x wait=%s body=%q", class, rand.Uint64(), wait, body)
 }
 
-// Send sends one call or check to a node and returns the answer as an exchange tells it: the status, what rides on
-// it and the body.
+// Send sends one request to a node and returns the answer in the notation of exchanges: the status, the advice and the
+// body. The word is that of the step, call or check, and text its arguments after the caller's name.
 func Send(addr, protocol, word, text string) (string, error) {
 	if protocol != "http" && protocol != "uwsgi" && protocol != "h2c" {
 		return "", fmt.Errorf("unknown protocol %q", protocol)
@@ -86,25 +88,25 @@
 	if err != nil {
 		return "", err
 	}
-	defer c.c.Close()
-	if err := c.say(word, text); err != nil {
+	defer c.conn.Close()
+	if err := c.send(word, text); err != nil {
 		return "", err
 	}
-	return c.hear("answer", "").text, nil
+	return c.readAnswer("answer", "").text, nil
 }
 
-// say sends a request, a check or raw bytes.
-func (c *caller) say(word, text string) error {
-	c.sent = time.Now()
+// send carries out the sending step word: call, check, door or send.
+func (c *caller) send(word, text string) error {
+	c.sentAt = time.Now()
 	var b []byte
 	switch word {
 	case "send":
 		s, err := strconv.Unquote(text)
 		if err != nil {
-			return fmt.Errorf("the bytes must be quoted as in Go: %w", err)
+			return fmt.Errorf("the bytes are not quoted as in Go: %w", err)
 		}
-		// %TIME% stands for the present instant, so that recorded requests stay alive.
-		b = []byte(strings.ReplaceAll(s, "%TIME%", fmt.Sprint(c.sent.UnixMilli())))
+		// %TIME% stands for the current time, so that recorded requests have not expired.
+		b = []byte(strings.ReplaceAll(s, "%TIME%", fmt.Sprint(c.sentAt.UnixMilli())))
 	case "door":
 		b = fmt.Appendf(nil, "%s HTTP/1.1\r\nHost: admin\r\n\r\n", text)
 	case "check":
@@ -117,9 +119,10 @@
 	case "call":
 		class, rest, _ := strings.Cut(text, " ")
 		id, rest, _ := strings.Cut(rest, " ")
-		f := pairs(rest)
-		fields := [][2]string{{"Req-Id", id}, {"Req-Time", or(f["time"], fmt.Sprint(c.sent.UnixMilli()))}, {"Req-From", or(f["from"], "1")},
-			{"Req-Wait-Ms", or(f["wait"], "9000")}, {"Req-Kb", or(f["kb"], "20")}, {"Req-Rank", or(f["rank"], "0.5")}}
+		f := parsePairs(rest)
+		fields := [][2]string{{"Req-Id", id}, {"Req-Time", valueOr(f["time"], fmt.Sprint(c.sentAt.UnixMilli()))},
+			{"Req-From", valueOr(f["from"], "1")},
+			{"Req-Wait-Ms", valueOr(f["wait"], "9000")}, {"Req-Kb", valueOr(f["kb"], "20")}, {"Req-Rank", valueOr(f["rank"], "0.5")}}
 		if f["key"] != "" {
 			fields = append(fields, [2]string{"Req-Key", f["key"]})
 		}
@@ -132,18 +135,19 @@
 		}
 		b = c.encode("POST", "/rpc/"+class, "", fields, f["body"])
 	}
-	c.c.SetWriteDeadline(time.Now().Add(patience))
-	_, err := c.c.Write(b)
+	c.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
+	_, err := c.conn.Write(b)
 	return err
 }
 
-func or(s, other string) string {
+func valueOr(s, fallback string) string {
 	if s == "" {
-		return other
+		return fallback
 	}
 	return s
 }
 
+// encode returns a request in the caller's protocol, HTTP/1.1 or uwsgi.
 func (c *caller) encode(method, path, query string, fields [][2]string, body string) []byte {
 	if c.protocol == "uwsgi" {
 		vars := [][2]string{{"REQUEST_METHOD", method}, {"PATH_INFO", path}, {"QUERY_STRING", query},
@@ -151,7 +155,7 @@
 		for _, f := range fields {
 			vars = append(vars, [2]string{"HTTP_" + strings.ToUpper(strings.ReplaceAll(f[0], "-", "_")), f[1]})
 		}
-		return append(packet(vars), body...)
+		return append(uwsgiPacket(vars), body...)
 	}
 	if query != "" {
 		path += "?" + query
@@ -163,8 +167,8 @@
 	return fmt.Appendf(b, "Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// packet is a uwsgi packet of variables.
-func packet(vars [][2]string) []byte {
+// uwsgiPacket returns a uwsgi packet with the variables.
+func uwsgiPacket(vars [][2]string) []byte {
 	var b []byte
 	for _, v := range vars {
 		for _, s := range v {
@@ -175,29 +179,31 @@
 	return append(binary.LittleEndian.AppendUint16([]byte{0}, uint16(len(b))), append([]byte{0}, b...)...)
 }
 
-var load = regexp.MustCompile(`Srv-Load: [0-9.]+`)
+var loadPattern = regexp.MustCompile(`Srv-Load: [0-9.]+`)
 
-// hear reads one answer. As raw bytes it is told whole; else by its status, its advice and its body. A want of
-// after=MS holds if the answer came no sooner after Req-Time, wait>=MS if its advice is no shorter.
-func (c *caller) hear(word, want string) (h heard) {
+// readAnswer reads one answer. The step recv gets it as raw bytes; other steps get its status, advice and body. The
+// expectation after=MS in want holds if the answer came at least MS after the request was sent, and wait>=MS if the
+// advised wait is at least MS.
+func (c *caller) readAnswer(word, want string) (received answer) {
 	if c.protocol == "peer" {
-		return c.hearPeer()
+		return c.readPeerFrames()
 	}
 	if c.h2 != nil {
-		a := c.h2.hear()
-		if a.end != "" {
-			return heard{text: "ended: " + a.end}
+		a := c.h2.nextAnswer()
+		if a.closeReason != "" {
+			return answer{text: "ended: " + a.closeReason}
 		}
-		return c.tell(a.fields[":status"], a.fields["srv-load"], a.fields["srv-wait-ms"], a.fields["srv-last"], a.fields["srv-kept"], a.body, want)
+		return c.describe(a.fields[":status"], a.fields["srv-load"], a.fields["srv-wait-ms"], a.fields["srv-last"],
+			a.fields["srv-kept"], a.body, want)
 	}
-	c.c.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	raw, length, status := "", 0, ""
-	f := map[string]string{}
+	fields := map[string]string{}
 	for {
-		line, err := c.r.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		raw += line
 		if err != nil {
-			return heard{text: fmt.Sprintf("%q ended: %v", raw, plain(err))}
+			return answer{text: fmt.Sprintf("%q ended: %v", raw, describeReadError(err))}
 		}
 		line = strings.TrimRight(line, "\r\n")
 		if status == "" {
@@ -207,31 +213,33 @@
 			break
 		}
 		k, v, _ := strings.Cut(line, ": ")
-		f[k] = v
+		fields[k] = v
 	}
-	length, _ = strconv.Atoi(f["Content-Length"])
+	length, _ = strconv.Atoi(fields["Content-Length"])
 	body := make([]byte, length)
-	if _, err := io.ReadFull(c.r, body); err != nil {
-		return heard{text: fmt.Sprintf("%q ended within the body", raw)}
+	if _, err := io.ReadFull(c.reader, body); err != nil {
+		return answer{text: fmt.Sprintf("%q ended within the body", raw)}
 	}
-	if f["Connection"] == "close" {
-		h.last = true
-		defer c.c.Close() // as callers do once all is answered
+	if fields["Connection"] == "close" {
+		received.closing = true
+		defer c.conn.Close() // as callers do once all requests are answered
 	}
 	if word == "recv" {
-		h.text = strconv.Quote(load.ReplaceAllString(raw, "Srv-Load: N") + string(body))
-		return h
+		received.text = strconv.Quote(loadPattern.ReplaceAllString(raw, "Srv-Load: N") + string(body))
+		return received
 	}
-	h.text = c.tell(status, f["Srv-Load"], f["Srv-Wait-Ms"], f["Srv-Last"], f["Srv-Kept"], body, want).text
-	return h
+	received.text = c.describe(status, fields["Srv-Load"], fields["Srv-Wait-Ms"], fields["Srv-Last"],
+		fields["Srv-Kept"], body, want).text
+	return received
 }
 
-// advice is the word of a wait: as it is, or as the bound that is wanted if it holds.
-func advice(wait, want string) string {
+// describeWait returns an advised wait as a word of an answer: the bound wait>=MS of want if it holds, else the exact
+// wait.
+func describeWait(wait, want string) string {
 	for _, w := range strings.Fields(want) {
 		if text, ok := strings.CutPrefix(w, "wait>="); ok {
-			least, bad := strconv.Atoi(text)
-			if n, err := strconv.Atoi(wait); errors.Join(bad, err) == nil && n >= least {
+			minimum, parseErr := strconv.Atoi(text)
+			if n, err := strconv.Atoi(wait); errors.Join(parseErr, err) == nil && n >= minimum {
 				return w
 			}
 		}
@@ -239,36 +247,37 @@
 	return "wait=" + wait
 }
 
-// tell is an answer as an exchange tells it.
-func (c *caller) tell(out, load, wait, last, kept string, body []byte, want string) heard {
+// describe returns an answer in the notation of exchanges.
+func (c *caller) describe(status, load, wait, last, kept string, body []byte, want string) answer {
 	if load != "" {
-		out += " load"
+		status += " load"
 	}
 	if wait != "" {
-		out += " " + advice(wait, want)
+		status += " " + describeWait(wait, want)
 	}
 	if last != "" {
-		out += " last=" + last
+		status += " last=" + last
 	}
 	if kept != "" {
-		out += " kept=" + kept
+		status += " kept=" + kept
 	}
 	for _, w := range strings.Fields(want) {
 		if ms, ok := strings.CutPrefix(w, "after="); ok {
-			took := time.Since(c.sent).Milliseconds()
+			took := time.Since(c.sentAt).Milliseconds()
 			if n, _ := strconv.ParseInt(ms, 10, 64); took >= n {
 				took = n
 			}
-			out += fmt.Sprint(" after=", took)
+			status += fmt.Sprint(" after=", took)
 		}
 	}
 	if len(body) > 0 {
-		out += " " + strconv.Quote(string(body))
+		status += " " + strconv.Quote(string(body))
 	}
-	return heard{text: out}
+	return answer{text: status}
 }
 
-func plain(err error) string {
+// describeReadError returns the word of exchanges for the end of a connection or of a wait.
+func describeReadError(err error) string {
 	if err == io.EOF {
 		return "eof"
 	}
--- a/internal/rehearse/command.go
+++ b/internal/rehearse/command.go
@@ -12,28 +12,29 @@
 )
 
 //go:embed exchanges
-var shipped embed.FS
+var shippedFiles embed.FS
 
-// An Exchange is a file to be played over a protocol.
+// An Exchange is the text of an exchange file and the protocol over which it is to be played.
 type Exchange struct{ Name, Protocol, Text string }
 
-// Shipped returns the exchanges that come with the daemon: those in all over each protocol.
+// Shipped returns the exchanges that are built into the program. Those of the folder all are returned once for each
+// protocol.
 func Shipped() (out []Exchange) {
 	for _, d := range []struct{ dir, protocol string }{
 		{"all", "http"}, {"all", "uwsgi"}, {"all", "h2c"}, {"h2c", "h2c"}, {"http", "http"}, {"uwsgi", "uwsgi"}, {"peer", "http"},
 		{"kept", "http"}, {"kept", "uwsgi"}, {"kept", "h2c"}, {"door", "http"}, {"upgrade", "http"}, {"moved", "http"},
 	} {
-		files, _ := fs.Glob(shipped, "exchanges/"+d.dir+"/*.txt")
+		files, _ := fs.Glob(shippedFiles, "exchanges/"+d.dir+"/*.txt")
 		for _, f := range files {
-			text, _ := shipped.ReadFile(f)
+			text, _ := shippedFiles.ReadFile(f)
 			out = append(out, Exchange{path.Base(f), d.protocol, string(text)})
 		}
 	}
 	return out
 }
 
-// Run plays files over http, uwsgi or both, or the shipped exchanges if none is named. It writes one line for
-// each play and what differed, and returns an error if anything did.
+// Run plays files over http, uwsgi, h2c or all of them, or the shipped exchanges if files is empty. It writes one line
+// for each play, followed by the lines that differ, and returns an error if any play differs or fails.
 func Run(w io.Writer, protocol string, files []string) error {
 	protocols := map[string][]string{"http": {"http"}, "uwsgi": {"uwsgi"}, "h2c": {"h2c"}, "all": {"http", "uwsgi", "h2c"}}[protocol]
 	if protocols == nil {
@@ -53,14 +54,14 @@
 		}
 	}
 	failed := 0
-	for x, r := range playAll(plays) {
-		diff, err := differences(r.want, r.got), r.err
+	for play, result := range playAll(plays) {
+		diff, err := differences(result.want, result.got), result.err
 		word := "ok"
 		if err != nil || len(diff) > 0 {
 			word = "DIFFERS"
 			failed++
 		}
-		fmt.Fprintf(w, "%-8s %-6s %s\n", word, x.Protocol, x.Name)
+		fmt.Fprintf(w, "%-8s %-6s %s\n", word, play.Protocol, play.Name)
 		if err != nil {
 			fmt.Fprintf(w, "    %v\n", err)
 		}
@@ -75,32 +76,33 @@
 	return nil
 }
 
-// sideBySide is how many exchanges are played at a time: they mostly wait.
-const sideBySide = 24
+// maxParallelPlays is the number of exchanges that are played at the same time. They spend most of their time waiting.
+const maxParallelPlays = 24
 
-type played struct {
+// playResult is what Play returned for an exchange.
+type playResult struct {
 	want, got []string
 	err       error
 }
 
-// playAll plays exchanges side by side and returns them in their order with what came of them.
-func playAll(plays []Exchange) iter.Seq2[Exchange, played] {
-	results := make([]chan played, len(plays))
+// playAll plays exchanges in parallel and yields them in their order, each with its result.
+func playAll(plays []Exchange) iter.Seq2[Exchange, playResult] {
+	results := make([]chan playResult, len(plays))
 	for i := range results {
-		results[i] = make(chan played, 1)
+		results[i] = make(chan playResult, 1)
 	}
 	go func() {
-		room := make(chan bool, sideBySide)
+		slots := make(chan bool, maxParallelPlays)
 		for i, x := range plays {
-			room <- true
+			slots <- true
 			go func() {
 				want, got, err := Play(x.Text, x.Protocol)
-				results[i] <- played{want, got, err}
-				<-room
+				results[i] <- playResult{want, got, err}
+				<-slots
 			}()
 		}
 	}()
-	return func(yield func(Exchange, played) bool) {
+	return func(yield func(Exchange, playResult) bool) {
 		for i, x := range plays {
 			if !yield(x, <-results[i]) {
 				return
@@ -109,18 +111,19 @@
 	}
 }
 
-// differences lists the lines that went otherwise: a file and its transcript go line by line.
+// differences compares a file with its transcript line by line and returns the lines that differ, as pairs of "- "
+// and "+ ".
 func differences(want, got []string) (out []string) {
 	for i := range max(len(want), len(got)) {
-		w, g := "(nothing)", "(not reached)"
+		wantLine, gotLine := "(nothing)", "(not reached)"
 		if i < len(want) {
-			w = want[i]
+			wantLine = want[i]
 		}
 		if i < len(got) {
-			g = got[i]
+			gotLine = got[i]
 		}
-		if w != g {
-			out = append(out, "- "+w, "+ "+g)
+		if wantLine != gotLine {
+			out = append(out, "- "+wantLine, "+ "+gotLine)
 		}
 	}
 	return out
--- a/internal/rehearse/ensemble.go
+++ b/internal/rehearse/ensemble.go
@@ -17,78 +17,81 @@
 	"time"
 )
 
-// ensemble is a toy ZooKeeper server: one tree of znodes and the few requests that a registration needs, in the
-// published format. Sessions end only when a step says so.
+// fakeEnsemble is a fake of a ZooKeeper server: one tree of znodes and the few requests that a registration needs, in
+// the published wire format. Sessions end only by a step or when the client closes them.
 //
-//	zk has PATH       waits until the znode is there, owned by the node's present session; tells its data
-//	zk drains PATH    waits until the znode is there and says that its node drains; zk serves PATH, that it does not
-//	zk gone PATH      waits until it is not
-//	zk take PATH DATA a session of an earlier life owns the znode
-//	zk add PATH DATA  another node owns the znode
-//	zk newest PATH    waits until the znode is the session's that began last
-//	zk unbroken PATH  the znode is there, and was without a gap since it first was
-//	zk remove PATH    somebody removes the znode
+//	zk has PATH       waits until the znode exists and is owned by a live session; records its data
+//	zk drains PATH    waits until the znode exists and its data says that its node is draining
+//	zk serves PATH    waits until the znode exists and its data does not say that its node is draining
+//	zk gone PATH      waits until the znode does not exist
+//	zk take PATH DATA creates the znode, owned by a session of an earlier process of the node
+//	zk add PATH DATA  creates the znode, owned by another node, and notifies those that watch its parent
+//	zk newest PATH    waits until the znode is owned by the session that began last
+//	zk unbroken PATH  the znode exists, and has existed without interruption since it was first created
+//	zk remove PATH    removes the znode
 //	zk expire         all sessions expire
-//	zk mute           connections break, and those taken hear nothing until it is up again
-//	zk asked PATH     waits until the content of the znode was read
-//	zk holds PATH     tells the data of the znode, whoever owns it
-//	zk guard PATH AUTH    a znode on which only USER:PASSWORD has rights
-//	zk rights PATH    waits until the znode is there; tells who has which rights on it
-//	zk down, zk up    connections break, and none is taken until it is up again
-type ensemble struct {
-	l       net.Listener
-	mu      sync.Mutex
-	changed chan struct{} // closed and made anew at each change
-	seen    map[string]bool
-	gaps    map[string]int // how often a znode that was there was not any more
-	nodes   map[string]znode
-	live    map[int64]bool // sessions
-	conns   map[net.Conn]*zkConn
-	last    int64
-	down    bool
-	mute    bool
-	asked   map[string]int // how often the content of a znode was read
-	tries   []time.Time    // when connections came; the last maxTries
+//	zk mute           closes all connections; new ones are accepted but get no answer until zk up
+//	zk asked PATH     waits until the data of the znode has been read
+//	zk holds PATH     records the data of the znode, whoever owns it
+//	zk guard PATH AUTH    creates a znode on which only AUTH, given as USER:PASSWORD, has rights
+//	zk rights PATH    waits until the znode exists; records its access control list
+//	zk down, zk up    closes all connections; after zk down, new ones are closed at once until zk up
+type fakeEnsemble struct {
+	listener     net.Listener
+	mu           sync.Mutex
+	changed      chan struct{}   // closed and replaced at each change; this field and those below are guarded by mu
+	seen         map[string]bool // by path: whether the znode existed after the last change
+	gaps         map[string]int  // by path: how often an existing znode disappeared
+	znodes       map[string]znode
+	sessions     map[int64]bool // ids of the live sessions
+	conns        map[net.Conn]*zkConn
+	lastSession  int64
+	down         bool
+	mute         bool
+	reads        map[string]int // by path: how often the data of a znode was read
+	connectTimes []time.Time    // when connections were accepted; the last maxConnectTimes
 }
 
-const maxTries = 1 << 16
+// maxConnectTimes bounds the memory for connectTimes.
+const maxConnectTimes = 1 << 16
 
+// znode is one znode of the tree. Its owner is the session of an ephemeral znode, or 0.
 type znode struct {
 	owner   int64
 	data    string
 	version int32
-	rights  []right // nil: anybody may do anything
+	acl     []aclEntry // nil grants everybody all rights
 }
 
-// right is an entry of a znode's ACL.
-type right struct {
+// aclEntry is an entry of a znode's access control list.
+type aclEntry struct {
 	perms      uint32
 	scheme, id string
 }
 
-// What the bits of perms allow. To make and to remove what is under a znode is a right on that znode.
+// The bits of perms. The rights to create and delete children are checked on the parent.
 const (
-	mayWrite  = 2
-	mayMake   = 4
-	mayRemove = 8
-	mayAll    = 31
+	permWrite  = 2
+	permCreate = 4
+	permDelete = 8
+	permAll    = 31
 )
 
-// may tells whether a connection has a right on a znode.
-func (k *zkConn) may(n znode, perm uint32) bool {
-	return n.rights == nil || slices.ContainsFunc(n.rights, func(r right) bool {
-		return r.perms&perm != 0 && (r.scheme == "world" || r.scheme == "digest" && slices.Contains(k.users, r.id))
+// allowed reports whether a connection has the right perm on a znode.
+func (k *zkConn) allowed(n znode, perm uint32) bool {
+	return n.acl == nil || slices.ContainsFunc(n.acl, func(r aclEntry) bool {
+		return r.perms&perm != 0 && (r.scheme == "world" || r.scheme == "digest" && slices.Contains(k.digests, r.id))
 	})
 }
 
-// digest is the id of USER:PASSWORD in the published digest scheme.
+// digest returns the id of auth, given as USER:PASSWORD, in ZooKeeper's digest scheme.
 func digest(auth string) string {
 	user, _, _ := strings.Cut(auth, ":")
 	sum := sha1.Sum([]byte(auth))
 	return user + ":" + base64.StdEncoding.EncodeToString(sum[:])
 }
 
-// stat is what is told of a znode beside its data.
+// stat encodes the ZooKeeper Stat record of a znode, with only the version and the owner set.
 func (n znode) stat() []byte {
 	b := make([]byte, 68)
 	binary.BigEndian.PutUint32(b[32:], uint32(n.version))
@@ -96,22 +99,24 @@
 	return b
 }
 
-// starts are the names of starts in the data of znodes, which differ from play to play.
-var starts = regexp.MustCompile(`"start":"[0-9a-f]+"`)
+// startPattern matches the names of starts in the data of znodes, which differ from play to play.
+var startPattern = regexp.MustCompile(`"start":"[0-9a-f]+"`)
 
+// zkConn is the state of one client connection.
 type zkConn struct {
 	session int64
-	users   []string // digests that were told
+	digests []string // ids of the credentials that the client sent
 	watches map[string]bool
 }
 
-func newEnsemble() (*ensemble, error) {
+func newFakeEnsemble() (*fakeEnsemble, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &ensemble{l: l, changed: make(chan struct{}), nodes: map[string]znode{"/": {}}, live: map[int64]bool{},
-		conns: map[net.Conn]*zkConn{}, seen: map[string]bool{}, gaps: map[string]int{}, asked: map[string]int{}, last: 100}
+	e := &fakeEnsemble{listener: l, changed: make(chan struct{}), znodes: map[string]znode{"/": {}},
+		sessions: map[int64]bool{},
+		conns:    map[net.Conn]*zkConn{}, seen: map[string]bool{}, gaps: map[string]int{}, reads: map[string]int{}, lastSession: 100}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -119,7 +124,7 @@
 				return
 			}
 			e.mu.Lock()
-			e.tries = append(e.tries[max(0, len(e.tries)+1-maxTries):], time.Now())
+			e.connectTimes = append(e.connectTimes[max(0, len(e.connectTimes)+1-maxConnectTimes):], time.Now())
 			e.mu.Unlock()
 			go e.serve(c)
 		}
@@ -127,12 +132,13 @@
 	return e, nil
 }
 
-func (e *ensemble) change() {
-	for p := range e.nodes {
+// recordChange updates seen and gaps after a change of the tree and wakes waitUntil. The caller holds e.mu.
+func (e *fakeEnsemble) recordChange() {
+	for p := range e.znodes {
 		e.seen[p] = true
 	}
 	for p := range e.seen {
-		if _, ok := e.nodes[p]; !ok {
+		if _, ok := e.znodes[p]; !ok {
 			delete(e.seen, p)
 			e.gaps[p]++
 		}
@@ -141,114 +147,116 @@
 	e.changed = make(chan struct{})
 }
 
-// until waits until something is so, or not for ever.
-func (e *ensemble) until(so func() bool) bool {
-	late := time.After(patience)
+// waitUntil waits until condition, called with e.mu held, returns true. It returns false after stepTimeout.
+func (e *fakeEnsemble) waitUntil(condition func() bool) bool {
+	timeout := time.After(stepTimeout)
 	for {
 		e.mu.Lock()
-		ok, ch := so(), e.changed
+		ok, ch := condition(), e.changed
 		e.mu.Unlock()
 		if ok {
 			return true
 		}
 		select {
 		case <-ch:
-		case <-late:
+		case <-timeout:
 			return false
 		}
 	}
 }
 
-func (e *ensemble) step(line, word, at string) (string, error) {
+// step carries out a zk step and returns its line for the transcript. args is the line after the word.
+func (e *fakeEnsemble) step(line, word, args string) (string, error) {
 	switch word {
 	case "has":
-		at, _, _ = cut(at)
+		args, _, _ = cutAtSpace(args)
 		data := ""
-		e.until(func() bool { n, ok := e.nodes[at]; data = n.data; return ok && e.live[n.owner] })
-		return fmt.Sprintf("zk has %s %s", at, starts.ReplaceAllString(data, `"start":"S"`)), nil
+		e.waitUntil(func() bool { n, ok := e.znodes[args]; data = n.data; return ok && e.sessions[n.owner] })
+		return fmt.Sprintf("zk has %s %s", args, startPattern.ReplaceAllString(data, `"start":"S"`)), nil
 	case "newest":
-		if !e.until(func() bool { n, ok := e.nodes[at]; return ok && n.owner == e.last }) {
-			return "zk has " + at, nil
+		if !e.waitUntil(func() bool { n, ok := e.znodes[args]; return ok && n.owner == e.lastSession }) {
+			return "zk has " + args, nil
 		}
 		return line, nil
 	case "asked":
-		e.until(func() bool { return e.asked[at] > 0 })
+		e.waitUntil(func() bool { return e.reads[args] > 0 })
 		return line, nil
 	case "holds":
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		at, _, _ = cut(at)
-		return fmt.Sprintf("zk holds %s %s", at, e.nodes[at].data), nil
+		args, _, _ = cutAtSpace(args)
+		return fmt.Sprintf("zk holds %s %s", args, e.znodes[args].data), nil
 	case "unbroken":
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if n := e.gaps[at]; n > 0 || !e.seen[at] {
-			return fmt.Sprintf("zk broken %s %d", at, n), nil
+		if n := e.gaps[args]; n > 0 || !e.seen[args] {
+			return fmt.Sprintf("zk broken %s %d", args, n), nil
 		}
 		return line, nil
 	case "rights":
-		at, _, _ = cut(at)
-		line = "zk rights " + at
-		e.until(func() bool { _, ok := e.nodes[at]; return ok })
+		args, _, _ = cutAtSpace(args)
+		line = "zk rights " + args
+		e.waitUntil(func() bool { _, ok := e.znodes[args]; return ok })
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		for _, r := range e.nodes[at].rights {
+		for _, r := range e.znodes[args].acl {
 			line += fmt.Sprintf(" %s:%s=%d", r.scheme, r.id, r.perms)
 		}
 		return line, nil
 	case "drains", "serves":
-		if !e.until(func() bool {
-			n, ok := e.nodes[at]
+		if !e.waitUntil(func() bool {
+			n, ok := e.znodes[args]
 			return ok && strings.Contains(n.data, `"draining":true`) == (word == "drains")
 		}) {
-			return "zk has " + at, nil
+			return "zk has " + args, nil
 		}
 		return line, nil
 	case "gone":
-		if !e.until(func() bool { _, ok := e.nodes[at]; return !ok }) {
-			return "zk has " + at, nil
+		if !e.waitUntil(func() bool { _, ok := e.znodes[args]; return !ok }) {
+			return "zk has " + args, nil
 		}
 		return line, nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer e.change()
+	defer e.recordChange()
 	switch word {
 	case "add":
-		at, data, _ := cut(at)
-		e.nodes[path.Dir(at)], e.nodes[at] = znode{}, znode{owner: 7, data: data}
-		e.tell(path.Dir(at)+children, childrenChanged)
+		znodePath, data, _ := cutAtSpace(args)
+		e.znodes[path.Dir(znodePath)], e.znodes[znodePath] = znode{}, znode{owner: 7, data: data}
+		e.notifyWatchers(path.Dir(znodePath)+childrenSuffix, childrenChanged)
 	case "guard":
-		at, auth, _ := cut(at)
-		e.nodes[at] = znode{rights: []right{{mayAll, "digest", digest(auth)}}}
+		znodePath, auth, _ := cutAtSpace(args)
+		e.znodes[znodePath] = znode{acl: []aclEntry{{permAll, "digest", digest(auth)}}}
 	case "take":
-		at, data, _ := cut(at)
-		e.nodes[path.Dir(at)], e.nodes[at] = znode{}, znode{owner: 7, data: data}
+		znodePath, data, _ := cutAtSpace(args)
+		e.znodes[path.Dir(znodePath)], e.znodes[znodePath] = znode{}, znode{owner: 7, data: data}
 	case "remove":
-		delete(e.nodes, at)
-		e.tell(at, nodeDeleted)
-		e.tell(path.Dir(at)+children, childrenChanged)
+		delete(e.znodes, args)
+		e.notifyWatchers(args, nodeDeleted)
+		e.notifyWatchers(path.Dir(args)+childrenSuffix, childrenChanged)
 	case "expire":
-		clear(e.live)
-		for p, n := range e.nodes {
+		clear(e.sessions)
+		for p, n := range e.znodes {
 			if n.owner != 0 {
-				delete(e.nodes, p)
+				delete(e.znodes, p)
 			}
 		}
-		e.breakAll()
+		e.closeConns()
 	case "down", "up":
 		e.down, e.mute = word == "down", false
-		e.breakAll()
+		e.closeConns()
 	case "mute":
 		e.mute = true
-		e.breakAll()
+		e.closeConns()
 	default:
-		return "", errors.New("unknown step of the ensemble")
+		return "", errors.New("unknown zk step")
 	}
 	return line, nil
 }
 
-func cut(s string) (string, string, bool) {
+// cutAtSpace cuts s around its first space.
+func cutAtSpace(s string) (string, string, bool) {
 	for i := range s {
 		if s[i] == ' ' {
 			return s[:i], s[i+1:], true
@@ -257,34 +265,38 @@
 	return s, "", false
 }
 
-func (e *ensemble) breakAll() {
+// closeConns closes all connections. The caller holds e.mu.
+func (e *fakeEnsemble) closeConns() {
 	for c := range e.conns {
 		c.Close()
 	}
 }
 
-// Events of watches, and the mark of a watch of what is under a znode.
+// The numbers of watch events in the protocol, and the suffix that marks a watch on the children of a znode in
+// zkConn.watches.
 const (
 	nodeDeleted     = 2
 	nodeChanged     = 3
 	childrenChanged = 4
-	children        = "/*"
+	childrenSuffix  = "/*"
 )
 
-// tell sends an event to those that watch a znode, or what is under it.
-func (e *ensemble) tell(at string, what uint32) {
+// notifyWatchers sends an event to the connections that watch a znode or, with childrenSuffix, its children. It removes
+// the watches. The caller holds e.mu.
+func (e *fakeEnsemble) notifyWatchers(znodePath string, event uint32) {
 	for c, k := range e.conns {
-		if k.watches[at] {
-			delete(k.watches, at)
-			b := header(-1, 0)
-			b = binary.BigEndian.AppendUint32(b, what)
-			b = binary.BigEndian.AppendUint32(b, 3) // connected
-			send(c, str(b, strings.TrimSuffix(at, children)))
+		if k.watches[znodePath] {
+			delete(k.watches, znodePath)
+			b := replyHeader(-1, 0)
+			b = binary.BigEndian.AppendUint32(b, event)
+			b = binary.BigEndian.AppendUint32(b, 3) // the state SyncConnected
+			writeFrame(c, appendString(b, strings.TrimSuffix(znodePath, childrenSuffix)))
 		}
 	}
 }
 
-func (e *ensemble) serve(c net.Conn) {
+// serve serves one connection: the connect request, then requests until the connection or the session ends.
+func (e *fakeEnsemble) serve(c net.Conn) {
 	defer c.Close()
 	k := &zkConn{watches: map[string]bool{}}
 	e.mu.Lock()
@@ -298,176 +310,177 @@
 		delete(e.conns, c)
 		e.mu.Unlock()
 	}()
-	b, err := frame(c)
+	b, err := readFrame(c)
 	if mute {
-		io.Copy(io.Discard, c) // until the other side has enough, or the connection is broken
+		io.Copy(io.Discard, c) // until either side closes the connection
 	}
 	if down || mute || err != nil || len(b) < 28 {
 		return
 	}
 	e.mu.Lock()
-	session, term := int64(binary.BigEndian.Uint64(b[16:])), binary.BigEndian.Uint32(b[12:])
+	session, timeoutMs := int64(binary.BigEndian.Uint64(b[16:])), binary.BigEndian.Uint32(b[12:])
 	switch {
 	case session == 0:
-		e.last++
-		session = e.last
-		e.live[session] = true
-	case !e.live[session]:
-		session, term = 0, 0 // expired
+		e.lastSession++
+		session = e.lastSession
+		e.sessions[session] = true
+	case !e.sessions[session]:
+		session, timeoutMs = 0, 0 // expired
 	}
 	k.session = session
 	e.mu.Unlock()
-	out := binary.BigEndian.AppendUint32(make([]byte, 4), term)
+	out := binary.BigEndian.AppendUint32(make([]byte, 4), timeoutMs)
 	out = binary.BigEndian.AppendUint64(out, uint64(session))
-	send(c, str(out, "0123456789abcdef"))
+	writeFrame(c, appendString(out, "0123456789abcdef"))
 	for session != 0 {
-		b, err := frame(c)
+		b, err := readFrame(c)
 		if err != nil || len(b) < 8 {
 			return
 		}
 		xid, op := int32(binary.BigEndian.Uint32(b)), int32(binary.BigEndian.Uint32(b[4:]))
 		e.mu.Lock()
-		out := e.request(k, xid, op, b[8:])
-		e.change()
+		out := e.handleRequest(k, xid, op, b[8:])
+		e.recordChange()
 		e.mu.Unlock()
-		send(c, out)
+		writeFrame(c, out)
 		if op == -11 {
 			return
 		}
 	}
 }
 
-// request carries out one request and returns its answer.
-func (e *ensemble) request(k *zkConn, xid, op int32, b []byte) []byte {
+// handleRequest carries out one request and returns its reply. The caller holds e.mu.
+func (e *fakeEnsemble) handleRequest(k *zkConn, xid, op int32, b []byte) []byte {
 	const noAuth, noNode, badVersion, nodeExists, unknown = -102, -101, -103, -110, -6
-	at, rest := text(b)
-	n, there := e.nodes[at]
+	znodePath, rest := readString(b)
+	n, exists := e.znodes[znodePath]
 	switch op {
 	case 1: // create
-		data, rest := text(rest)
+		data, rest := readString(rest)
 		flags := rest[len(rest)-4:]
-		switch up, ok := e.nodes[path.Dir(at)]; {
+		switch parent, ok := e.znodes[path.Dir(znodePath)]; {
 		case !ok:
-			return header(xid, noNode)
-		case !there && !k.may(up, mayMake):
-			return header(xid, noAuth)
+			return replyHeader(xid, noNode)
+		case !exists && !k.allowed(parent, permCreate):
+			return replyHeader(xid, noAuth)
 		}
-		n.rights = rights(rest)
-		if there {
-			return header(xid, nodeExists)
+		n.acl = readACL(rest)
+		if exists {
+			return replyHeader(xid, nodeExists)
 		}
 		if binary.BigEndian.Uint32(flags) == 1 {
 			n.owner = k.session
 		}
 		n.data = data
-		e.nodes[at] = n
-		e.tell(path.Dir(at)+children, childrenChanged)
-		return str(header(xid, 0), at)
+		e.znodes[znodePath] = n
+		e.notifyWatchers(path.Dir(znodePath)+childrenSuffix, childrenChanged)
+		return appendString(replyHeader(xid, 0), znodePath)
 	case 2: // delete
-		if !there {
-			return header(xid, noNode)
+		if !exists {
+			return replyHeader(xid, noNode)
 		}
-		if !k.may(e.nodes[path.Dir(at)], mayRemove) {
-			return header(xid, noAuth)
+		if !k.allowed(e.znodes[path.Dir(znodePath)], permDelete) {
+			return replyHeader(xid, noAuth)
 		}
-		delete(e.nodes, at)
-		e.tell(at, nodeDeleted)
-		e.tell(path.Dir(at)+children, childrenChanged)
-		return header(xid, 0)
-	case 3: // exists, with a watch or without
+		delete(e.znodes, znodePath)
+		e.notifyWatchers(znodePath, nodeDeleted)
+		e.notifyWatchers(path.Dir(znodePath)+childrenSuffix, childrenChanged)
+		return replyHeader(xid, 0)
+	case 3: // exists, with or without a watch
 		if len(rest) > 0 && rest[0] == 1 {
-			k.watches[at] = true
+			k.watches[znodePath] = true
 		}
-		if !there {
-			return header(xid, noNode)
+		if !exists {
+			return replyHeader(xid, noNode)
 		}
-		return append(header(xid, 0), n.stat()...)
+		return append(replyHeader(xid, 0), n.stat()...)
 	case 5: // set data
-		data, rest := text(rest)
+		data, rest := readString(rest)
 		switch {
-		case !there:
-			return header(xid, noNode)
+		case !exists:
+			return replyHeader(xid, noNode)
 		case len(rest) < 4 || int32(binary.BigEndian.Uint32(rest)) != n.version:
-			return header(xid, badVersion)
-		case !k.may(n, mayWrite):
-			return header(xid, noAuth)
+			return replyHeader(xid, badVersion)
+		case !k.allowed(n, permWrite):
+			return replyHeader(xid, noAuth)
 		}
 		n.data, n.version = data, n.version+1
-		e.nodes[at] = n
-		e.tell(at, nodeChanged)
-		return append(header(xid, 0), n.stat()...)
-	case 4, 12: // data, children
-		if !there {
-			return header(xid, noNode)
+		e.znodes[znodePath] = n
+		e.notifyWatchers(znodePath, nodeChanged)
+		return append(replyHeader(xid, 0), n.stat()...)
+	case 4, 12: // get data, get children
+		if !exists {
+			return replyHeader(xid, noNode)
 		}
 		if len(rest) > 0 && rest[0] == 1 {
-			k.watches[at+map[int32]string{4: "", 12: children}[op]] = true
+			k.watches[znodePath+map[int32]string{4: "", 12: childrenSuffix}[op]] = true
 		}
-		out := header(xid, 0)
+		out := replyHeader(xid, 0)
 		if op == 4 {
-			e.asked[at]++
-			out = str(out, n.data)
+			e.reads[znodePath]++
+			out = appendString(out, n.data)
 		} else {
-			names := e.children(at)
+			names := e.childNames(znodePath)
 			out = binary.BigEndian.AppendUint32(out, uint32(len(names)))
 			for _, name := range names {
-				out = str(out, name)
+				out = appendString(out, name)
 			}
 		}
 		return append(out, n.stat()...)
-	case 14: // several at once, or none of them
-		before := maps.Clone(e.nodes)
-		out, ends := header(xid, 0), []byte{0xff, 0xff, 0xff, 0xff, 1, 0xff, 0xff, 0xff, 0xff}
+	case 14: // multi: carries out all operations or none
+		previous := maps.Clone(e.znodes)
+		out, end := replyHeader(xid, 0), []byte{0xff, 0xff, 0xff, 0xff, 1, 0xff, 0xff, 0xff, 0xff}
 		for len(b) >= 9 && b[4] == 0 {
 			kind, body := int32(binary.BigEndian.Uint32(b)), b[9:]
-			n := sizeOf(kind, body)
+			n := operationSize(kind, body)
 			if n < 0 {
-				return header(xid, unknown)
+				return replyHeader(xid, unknown)
 			}
-			answer := e.request(k, xid, kind, body[:n])
-			if why := answer[12:16]; binary.BigEndian.Uint32(why) != 0 {
-				e.nodes = before
-				failed := append(append([]byte{0xff, 0xff, 0xff, 0xff, 0}, why...), why...)
-				return append(append(header(xid, 0), failed...), ends...)
+			answer := e.handleRequest(k, xid, kind, body[:n])
+			if code := answer[12:16]; binary.BigEndian.Uint32(code) != 0 {
+				e.znodes = previous
+				failed := append(append([]byte{0xff, 0xff, 0xff, 0xff, 0}, code...), code...)
+				return append(append(replyHeader(xid, 0), failed...), end...)
 			}
 			out = binary.BigEndian.AppendUint32(out, uint32(kind))
 			out = append(append(out, 0, 0, 0, 0, 0), answer[16:]...)
 			b = body[n:]
 		}
-		return append(out, ends...)
-	case 100: // credentials: the type of the request, which is 0, the scheme, and what it wants
-		if scheme, rest := text(b[4:]); scheme == "digest" {
-			auth, _ := text(rest)
-			k.users = append(k.users, digest(auth))
+		return append(out, end...)
+	case 100: // auth: the type of the request, which is 0, the scheme and the credentials
+		if scheme, rest := readString(b[4:]); scheme == "digest" {
+			auth, _ := readString(rest)
+			k.digests = append(k.digests, digest(auth))
 		}
-		return header(xid, 0)
-	case 11, 101: // ping, watches set anew
-		return header(xid, 0)
+		return replyHeader(xid, 0)
+	case 11, 101: // ping, set watches
+		return replyHeader(xid, 0)
 	case -11: // close
-		delete(e.live, k.session)
-		for _, p := range slices.Collect(maps.Keys(e.nodes)) {
-			if e.nodes[p].owner == k.session {
-				delete(e.nodes, p)
-				e.tell(path.Dir(p)+children, childrenChanged)
+		delete(e.sessions, k.session)
+		for _, p := range slices.Collect(maps.Keys(e.znodes)) {
+			if e.znodes[p].owner == k.session {
+				delete(e.znodes, p)
+				e.notifyWatchers(path.Dir(p)+childrenSuffix, childrenChanged)
 			}
 		}
-		return header(xid, 0)
+		return replyHeader(xid, 0)
 	}
-	return header(xid, unknown)
+	return replyHeader(xid, unknown)
 }
 
-// sizeOf is how many bytes a request takes that is one of several, or -1 for one that can't be read.
-func sizeOf(kind int32, b []byte) int {
-	_, rest := text(b)
+// operationSize returns the number of bytes of the first operation in b, which is part of a multi request, or -1 if it
+// cannot be read.
+func operationSize(kind int32, b []byte) int {
+	_, rest := readString(b)
 	if kind == 1 {
-		_, rest = text(rest)
+		_, rest = readString(rest)
 		if len(rest) < 4 {
 			return -1
 		}
 		n := binary.BigEndian.Uint32(rest)
 		for rest = rest[4:]; n > 0 && len(rest) >= 4; n-- {
-			_, rest = text(rest[4:])
-			_, rest = text(rest)
+			_, rest = readString(rest[4:])
+			_, rest = readString(rest)
 		}
 	}
 	if len(rest) < 4 || kind != 1 && kind != 2 {
@@ -476,8 +489,8 @@
 	return len(b) - len(rest) + 4
 }
 
-// rights reads an ACL.
-func rights(b []byte) (out []right) {
+// readACL decodes an access control list.
+func readACL(b []byte) (out []aclEntry) {
 	if len(b) < 4 {
 		return nil
 	}
@@ -487,18 +500,18 @@
 		if len(b) < 4 {
 			return out
 		}
-		r := right{perms: binary.BigEndian.Uint32(b)}
-		r.scheme, b = text(b[4:])
-		r.id, b = text(b)
+		r := aclEntry{perms: binary.BigEndian.Uint32(b)}
+		r.scheme, b = readString(b[4:])
+		r.id, b = readString(b)
 		out = append(out, r)
 	}
 	return out
 }
 
-// children returns the names of the znodes right under one.
-func (e *ensemble) children(at string) (names []string) {
-	for p := range e.nodes {
-		if p != "/" && path.Dir(p) == at {
+// childNames returns the sorted names of the direct children of a znode.
+func (e *fakeEnsemble) childNames(znodePath string) (names []string) {
+	for p := range e.znodes {
+		if p != "/" && path.Dir(p) == znodePath {
 			names = append(names, path.Base(p))
 		}
 	}
@@ -506,18 +519,20 @@
 	return names
 }
 
-func header(xid int32, err int32) []byte {
+// replyHeader encodes the header of a reply. The transaction id is always 1.
+func replyHeader(xid int32, err int32) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(xid))
 	b = binary.BigEndian.AppendUint64(b, 1)
 	return binary.BigEndian.AppendUint32(b, uint32(err))
 }
 
-func str(b []byte, s string) []byte {
+// appendString appends a string with its length, as the protocol encodes it.
+func appendString(b []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
 
-// text reads a string or a buffer.
-func text(b []byte) (string, []byte) {
+// readString decodes a string or a buffer at the start of b and returns it with the remaining bytes.
+func readString(b []byte) (string, []byte) {
 	if len(b) < 4 {
 		return "", nil
 	}
@@ -528,7 +543,8 @@
 	return string(b[4 : 4+n]), b[4+n:]
 }
 
-func frame(c net.Conn) ([]byte, error) {
+// readFrame reads one frame with its length prefix.
+func readFrame(c net.Conn) ([]byte, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(c, size[:]); err != nil {
 		return nil, err
@@ -538,27 +554,29 @@
 	return b, err
 }
 
-func send(c net.Conn, b []byte) {
+// writeFrame writes b as one frame with its length prefix.
+func writeFrame(c net.Conn, b []byte) {
 	c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 }
 
-func (e *ensemble) close() {
-	e.l.Close()
+func (e *fakeEnsemble) close() {
+	e.listener.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.breakAll()
+	e.closeConns()
 }
 
-// StartEnsemble is the stand-in, for tests of other packages: its address, the steps of exchanges ("add /path data", "remove /path",
-// "down", "up"), and its end.
-func StartEnsemble() (addr string, step func(word, at string) error, stop func(), err error) {
-	e, err := newEnsemble()
+// StartEnsemble starts a fake ZooKeeper ensemble for tests of other packages. It returns its address, a function that
+// carries out zk steps of exchanges, such as "add" with "/path data", "remove" with "/path", "down" and "up", and a
+// function that stops it.
+func StartEnsemble() (addr string, step func(word, args string) error, stop func(), err error) {
+	e, err := newFakeEnsemble()
 	if err != nil {
 		return "", nil, nil, err
 	}
-	step = func(word, at string) error {
-		_, err := e.step(word+" "+at, word, at)
+	step = func(word, args string) error {
+		_, err := e.step(word+" "+args, word, args)
 		return err
 	}
-	return e.l.Addr().String(), step, e.close, nil
+	return e.listener.Addr().String(), step, e.close, nil
 }
--- a/internal/rehearse/h2.go
+++ b/internal/rehearse/h2.go
@@ -14,72 +14,73 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// h2Caller is a toy client of HTTP/2 without TLS on x/net's framer. It answers settings and pings by itself, unless it is
-// told to be mute, and gives windows back. Steps beside call, check and answer:
+// h2Caller is a simple client of HTTP/2 without TLS, on the framer of x/net. It acknowledges settings, answers pings and
+// sends window updates on its own, until the step mute. Its steps besides call, check and answer are:
 //
-//	frame NAME headers ID [end] [part] k=v ..  a list of fields, as it stands; part leaves END_HEADERS out
+//	frame NAME headers ID [end] [part] k=v ..  a list of fields, sent unchanged; part leaves END_HEADERS out
 //	frame NAME data ID [end] "BYTES"
-//	frame NAME rst ID CODE        by the number of the code
-//	frame NAME settings k=v ..    by the numbers of the settings
+//	frame NAME rst ID CODE        CODE is the number of the error code
+//	frame NAME settings k=v ..    the keys are the numbers of the settings
 //	frame NAME ping, goaway, window ID N, priority ID, continuation ID [end]
 //	frame NAME raw "BYTES"
 //	flood NAME KIND N             ping, settings, reset, empty (DATA), continuation, hpack, data
-//	mute NAME                     it gives no windows back and answers no ping from here on
-//	heard NAME WHAT ..            the next frame that is no answer to a call: rst ID CODE, goaway LAST CODE
+//	mute NAME                     from here on it sends no window updates, acknowledges no settings and answers no pings
+//	heard NAME WHAT ..            the next frame that is not part of an answer to a call: rst ID CODE, goaway LAST CODE
+//	                              or continue ID, the status 100
 type h2Caller struct {
-	c    net.Conn
-	w    sync.Mutex // of the writing side
-	part bool       // a block of fields is open: no other frame may come in between
-	owed []func()   // answers to the node that wait for its end
-	fr   *http2.Framer
-	enc  *hpack.Encoder
-	buf  bytes.Buffer
-	next uint32
+	conn            net.Conn
+	writeMu         sync.Mutex // guards the fields of the writing side, blockOpen to block
+	blockOpen       bool       // a field block is open: no other frame may be sent in between
+	deferredReplies []func()   // replies to the node that wait for the end of the field block
+	framer          *http2.Framer
+	encoder         *hpack.Encoder
+	block           bytes.Buffer
+	nextStream      uint32
 
-	mu      sync.Mutex // of what follows
-	mute    bool
-	flooded bool
-	answers chan h2Answer
-	others  chan string
+	mu          sync.Mutex // guards mute and flooded
+	mute        bool
+	flooded     bool
+	answers     chan h2Answer
+	otherFrames chan string
 }
 
-// h2Answer is one whole answer, or the end of the connection.
+// h2Answer is one complete answer, or the end of the connection if closeReason is set.
 type h2Answer struct {
-	fields map[string]string
-	body   []byte
-	end    string
+	fields      map[string]string
+	body        []byte
+	closeReason string
 }
 
 func newH2Caller(c net.Conn) *h2Caller {
-	h := &h2Caller{c: c, next: 1, answers: make(chan h2Answer, 1024), others: make(chan string, 1024)}
-	h.fr = http2.NewFramer(c, c)
-	h.fr.AllowIllegalWrites = true
-	h.enc = hpack.NewEncoder(&h.buf)
+	h := &h2Caller{conn: c, nextStream: 1, answers: make(chan h2Answer, 1024), otherFrames: make(chan string, 1024)}
+	h.framer = http2.NewFramer(c, c)
+	h.framer.AllowIllegalWrites = true
+	h.encoder = hpack.NewEncoder(&h.block)
 	return h
 }
 
-// open sends the preface and our settings before the first frame, and begins to read.
-func (h *h2Caller) open() {
-	if h.next > 1 || h.fr.ReadMetaHeaders != nil {
+// start sends the preface and a settings frame before the first frame and starts the reader. Later calls do nothing.
+func (h *h2Caller) start() {
+	if h.nextStream > 1 || h.framer.ReadMetaHeaders != nil {
 		return
 	}
-	h.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	io.WriteString(h.c, http2.ClientPreface)
-	h.fr.WriteSettings()
-	go h.read()
+	h.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	io.WriteString(h.conn, http2.ClientPreface)
+	h.framer.WriteSettings()
+	go h.readFrames()
 }
 
-// read takes the frames of the node until the connection ends.
-func (h *h2Caller) read() {
+// readFrames reads the frames of the node until the connection ends.
+func (h *h2Caller) readFrames() {
 	open := map[uint32]*h2Answer{}
 	done := func(id uint32) {
 		h.answers <- *open[id]
 		delete(open, id)
 	}
 	for {
-		f, err := h.fr.ReadFrame()
+		f, err := h.framer.ReadFrame()
 		if err != nil {
-			h.answers <- h2Answer{end: plain(err)}
+			h.answers <- h2Answer{closeReason: describeReadError(err)}
 			return
 		}
 		h.mu.Lock()
@@ -92,7 +93,7 @@
 				a.fields[k.Name] = k.Value
 			}
 			if a.fields[":status"] == "100" {
-				h.others <- fmt.Sprintf("continue %d", f.StreamID)
+				h.otherFrames <- fmt.Sprintf("continue %d", f.StreamID)
 				continue
 			}
 			open[f.StreamID] = a
@@ -107,74 +108,77 @@
 				}
 			}
 			if n := uint32(len(f.Data())); n > 0 && !mute {
-				h.reply(func() { h.fr.WriteWindowUpdate(0, n) })
+				h.reply(func() { h.framer.WriteWindowUpdate(0, n) })
 			}
 		case *http2.SettingsFrame:
 			if !f.IsAck() && !mute {
-				h.reply(func() { h.fr.WriteSettingsAck() })
+				h.reply(func() { h.framer.WriteSettingsAck() })
 			}
 		case *http2.PingFrame:
 			if !f.IsAck() && !mute {
-				h.reply(func() { h.fr.WritePing(true, f.Data) })
+				h.reply(func() { h.framer.WritePing(true, f.Data) })
 			}
 		case *http2.RSTStreamFrame:
-			h.others <- fmt.Sprintf("rst %d %d", f.StreamID, f.ErrCode)
+			h.otherFrames <- fmt.Sprintf("rst %d %d", f.StreamID, f.ErrCode)
 		case *http2.GoAwayFrame:
 			last := fmt.Sprint(f.LastStreamID)
-			if flooded { // how far a flood came hangs on the time that it took
+			if flooded { // how many streams of a flood the node handled depends on timing
 				last = "N"
 			}
-			h.others <- fmt.Sprintf("goaway %s %d", last, f.ErrCode)
+			h.otherFrames <- fmt.Sprintf("goaway %s %d", last, f.ErrCode)
 		}
 	}
 }
 
+// write calls do, which writes frames, with the lock of the writing side held and a write deadline set.
 func (h *h2Caller) write(do func()) {
-	h.w.Lock()
-	defer h.w.Unlock()
-	h.c.SetWriteDeadline(time.Now().Add(patience))
+	h.writeMu.Lock()
+	defer h.writeMu.Unlock()
+	h.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
 	do()
 }
 
-// reply answers the node, once no block of fields is open.
+// reply calls do, which writes a reply to the node, as soon as no field block is open.
 func (h *h2Caller) reply(do func()) {
 	h.write(func() {
-		if h.part {
-			h.owed = append(h.owed, do)
+		if h.blockOpen {
+			h.deferredReplies = append(h.deferredReplies, do)
 			return
 		}
 		do()
 	})
 }
 
-// block takes it that a block of fields has begun or has ended, on the writing side.
-func (h *h2Caller) block(open bool) {
-	if h.part = open; open {
+// setBlockOpen notes that a field block has begun or ended. At its end it sends the deferred replies. The caller holds
+// h.writeMu.
+func (h *h2Caller) setBlockOpen(open bool) {
+	if h.blockOpen = open; open {
 		return
 	}
-	for _, do := range h.owed {
+	for _, do := range h.deferredReplies {
 		do()
 	}
-	h.owed = nil
+	h.deferredReplies = nil
 }
 
-// headers sends a list of fields on a stream.
-func (h *h2Caller) headers(id uint32, end, whole bool, fields [][2]string) {
+// writeHeaders sends a list of fields on a stream.
+func (h *h2Caller) writeHeaders(id uint32, endStream, endHeaders bool, fields [][2]string) {
 	h.write(func() {
-		h.buf.Reset()
+		h.block.Reset()
 		for _, f := range fields {
-			h.enc.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
+			h.encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
 		}
-		h.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: h.buf.Bytes(), EndStream: end, EndHeaders: whole})
-		h.block(!whole)
+		h.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: h.block.Bytes(),
+			EndStream: endStream, EndHeaders: endHeaders})
+		h.setBlockOpen(!endHeaders)
 	})
 }
 
-// request sends a whole request on the next stream.
+// request sends a complete request on the next stream.
 func (h *h2Caller) request(method, path, query string, fields [][2]string, body string) {
-	h.open()
-	id := h.next
-	h.next += 2
+	h.start()
+	id := h.nextStream
+	h.nextStream += 2
 	if query != "" {
 		path += "?" + query
 	}
@@ -183,27 +187,27 @@
 		list = append(list, [2]string{strings.ToLower(f[0]), f[1]})
 	}
 	list = append(list, [2]string{"content-length", fmt.Sprint(len(body))})
-	h.headers(id, body == "", true, list)
+	h.writeHeaders(id, body == "", true, list)
 	if body != "" {
-		h.write(func() { h.fr.WriteData(id, true, []byte(body)) })
+		h.write(func() { h.framer.WriteData(id, true, []byte(body)) })
 	}
 }
 
-// frame carries out a step that sends one frame.
-func (h *h2Caller) frame(text string) error {
-	h.open()
+// sendFrame carries out the step frame. text is the line after the caller's name.
+func (h *h2Caller) sendFrame(text string) error {
+	h.start()
 	words := strings.Fields(text)
 	if len(words) == 0 {
-		return fmt.Errorf("which frame?")
+		return fmt.Errorf("the step frame names no kind of frame")
 	}
-	num := func(i int) uint32 {
+	number := func(i int) uint32 {
 		if i >= len(words) {
 			return 0
 		}
 		n, _ := strconv.ParseUint(words[i], 0, 32)
 		return uint32(n)
 	}
-	end, whole := strings.Contains(text, " end"), !strings.Contains(text, " part")
+	end, endHeaders := strings.Contains(text, " end"), !strings.Contains(text, " part")
 	quoted := ""
 	if i := strings.IndexByte(text, '"'); i >= 0 {
 		q, err := strconv.Unquote(text[i:])
@@ -221,47 +225,48 @@
 				fields = append(fields, [2]string{w[:i+1], v})
 			}
 		}
-		h.headers(num(1), end, whole, fields)
-		h.next = max(h.next, num(1)+2)
+		h.writeHeaders(number(1), end, endHeaders, fields)
+		h.nextStream = max(h.nextStream, number(1)+2)
 	case "data":
-		h.write(func() { h.fr.WriteData(num(1), end, []byte(quoted)) })
+		h.write(func() { h.framer.WriteData(number(1), end, []byte(quoted)) })
 	case "rst":
-		h.write(func() { h.fr.WriteRSTStream(num(1), http2.ErrCode(num(2))) })
+		h.write(func() { h.framer.WriteRSTStream(number(1), http2.ErrCode(number(2))) })
 	case "settings":
-		var all []http2.Setting
+		var settings []http2.Setting
 		for _, w := range words[1:] {
 			var id uint16
 			var v uint32
 			fmt.Sscanf(w, "%d=%d", &id, &v)
-			all = append(all, http2.Setting{ID: http2.SettingID(id), Val: v})
+			settings = append(settings, http2.Setting{ID: http2.SettingID(id), Val: v})
 		}
-		h.write(func() { h.fr.WriteSettings(all...) })
+		h.write(func() { h.framer.WriteSettings(settings...) })
 	case "ping":
-		h.write(func() { h.fr.WritePing(false, [8]byte{}) })
+		h.write(func() { h.framer.WritePing(false, [8]byte{}) })
 	case "goaway":
-		h.write(func() { h.fr.WriteGoAway(0, 0, nil) })
+		h.write(func() { h.framer.WriteGoAway(0, 0, nil) })
 	case "window":
-		h.write(func() { h.fr.WriteWindowUpdate(num(1), num(2)) })
+		h.write(func() { h.framer.WriteWindowUpdate(number(1), number(2)) })
 	case "priority":
-		h.write(func() { h.fr.WritePriority(num(1), http2.PriorityParam{}) })
+		h.write(func() { h.framer.WritePriority(number(1), http2.PriorityParam{}) })
 	case "continuation":
-		h.write(func() { h.fr.WriteContinuation(num(1), end, []byte(quoted)); h.block(!end) })
+		h.write(func() { h.framer.WriteContinuation(number(1), end, []byte(quoted)); h.setBlockOpen(!end) })
 	case "raw":
-		h.write(func() { io.WriteString(h.c, quoted) })
+		h.write(func() { io.WriteString(h.conn, quoted) })
 	default:
 		return fmt.Errorf("unknown frame %q", words[0])
 	}
 	return nil
 }
 
-// flood sends so many frames of a kind as fast as it can, and does not wait for what the node says of it.
-func (h *h2Caller) flood(text string) error {
+// sendFlood carries out the step flood: it sends many frames of one kind as fast as it can, without waiting for the
+// node's reaction. text is the kind and the number of frames.
+func (h *h2Caller) sendFlood(text string) error {
 	var kind string
 	var n int
 	if _, err := fmt.Sscan(text, &kind, &n); err != nil {
 		return err
 	}
-	h.open()
+	h.start()
 	h.mu.Lock()
 	h.flooded = true
 	h.mu.Unlock()
@@ -269,30 +274,33 @@
 	post := [][2]string{{":method", "POST"}, {":scheme", "http"}, {":path", "/rpc/status-lookup"}}
 	switch kind {
 	case "empty", "data":
-		h.headers(1, false, true, post)
+		h.writeHeaders(1, false, true, post)
 	case "continuation":
-		h.headers(1, true, false, get)
-	case "hpack": // one large field, then references to it: a byte each
-		h.headers(1, true, false, append(get, [2]string{"x-large", strings.Repeat("x", 3500)}))
-		h.write(func() { h.fr.WriteContinuation(1, true, bytes.Repeat([]byte{0x80 | 62}, 12000)); h.block(false) })
+		h.writeHeaders(1, true, false, get)
+	case "hpack": // one large field, then references to it of one byte each
+		h.writeHeaders(1, true, false, append(get, [2]string{"x-large", strings.Repeat("x", 3500)}))
+		h.write(func() {
+			h.framer.WriteContinuation(1, true, bytes.Repeat([]byte{0x80 | 62}, 12000))
+			h.setBlockOpen(false)
+		})
 		return nil
 	}
 	for i := range n {
 		id := uint32(2*i + 1)
 		switch kind {
 		case "ping":
-			h.write(func() { h.fr.WritePing(false, [8]byte{}) })
+			h.write(func() { h.framer.WritePing(false, [8]byte{}) })
 		case "settings":
-			h.write(func() { h.fr.WriteSettings() })
+			h.write(func() { h.framer.WriteSettings() })
 		case "reset":
-			h.headers(id, false, true, post)
-			h.write(func() { h.fr.WriteRSTStream(id, http2.ErrCodeCancel) })
+			h.writeHeaders(id, false, true, post)
+			h.write(func() { h.framer.WriteRSTStream(id, http2.ErrCodeCancel) })
 		case "empty":
-			h.write(func() { h.fr.WriteData(1, false, nil) })
+			h.write(func() { h.framer.WriteData(1, false, nil) })
 		case "continuation":
-			h.write(func() { h.fr.WriteContinuation(1, false, nil) })
-		case "data": // windows are passed over
-			h.write(func() { h.fr.WriteData(1, false, make([]byte, 16000)) })
+			h.write(func() { h.framer.WriteContinuation(1, false, nil) })
+		case "data": // ignores the flow-control windows
+			h.write(func() { h.framer.WriteData(1, false, make([]byte, 16000)) })
 		default:
 			return fmt.Errorf("unknown flood %q", kind)
 		}
@@ -300,21 +308,22 @@
 	return nil
 }
 
-// hear waits for the next answer, and heardOther for the next other frame.
-func (h *h2Caller) hear() h2Answer {
+// nextAnswer waits for the next answer.
+func (h *h2Caller) nextAnswer() h2Answer {
 	select {
 	case a := <-h.answers:
 		return a
-	case <-time.After(patience):
-		return h2Answer{end: "nothing came"}
+	case <-time.After(stepTimeout):
+		return h2Answer{closeReason: "nothing came"}
 	}
 }
 
-func (h *h2Caller) heardOther() string {
+// nextOtherFrame waits for the next frame that is not part of an answer.
+func (h *h2Caller) nextOtherFrame() string {
 	select {
-	case s := <-h.others:
+	case s := <-h.otherFrames:
 		return s
-	case <-time.After(patience):
+	case <-time.After(stepTimeout):
 		return "nothing"
 	}
 }
--- a/internal/rehearse/player.go
+++ b/internal/rehearse/player.go
@@ -1,56 +1,57 @@
-// Package rehearse plays recorded exchange files against a payout node and tells what went differently. The node
-// runs on loopback sockets, between callers that speak HTTP or uwsgi and toy stand-ins of the worker pool, the
-// announce service and a ZooKeeper ensemble. The tests and the rehearse command share it.
+// Package rehearse plays recorded exchange files against a payout node and reports where the node behaves
+// differently. The node runs on loopback sockets, between callers that speak HTTP, HTTP/2 or uwsgi and fakes of the
+// worker pool, the announce service and a ZooKeeper ensemble. The package's tests and the rehearse command share it.
 //
-// An exchange is a text file of steps, one a line. Steps that send are carried out as written. Steps that
-// receive wait for what comes next, and the player notes what really came; the transcript is compared with the
-// file line by line, so a file is its own expectation. Lines that open with # are remarks.
+// An exchange is a text file of steps, one per line. Steps that send are carried out as written. Steps that receive
+// wait for the next input, and the player writes into its transcript what was received. The transcript is compared
+// with the file line by line, so a file states its own expected result. Lines that start with # are comments.
 //
-//	node KEY=VALUE ...         the node's settings; the first step
-//	pool up                    the worker pool takes the link and says WARM
-//	pool > LINE                the worker pool says LINE
-//	pool < LINE                the next line that the node says to it, polls for gauges apart
-//	pool unordered N           the next N lines may come in any order; they are then told in order of the alphabet
-//	pool drop                  the worker pool ends the link
-//	pool mute                  the worker pool answers no more polls, so that no command is known to have been read
+//	node KEY=VALUE ...         starts the node with these settings; the first step
+//	pool up                    the worker pool accepts the link and reports WARM
+//	pool > LINE                the worker pool sends LINE to the node
+//	pool < LINE                the next line that the node sends to the worker pool, except polls for gauges
+//	pool unordered N           the next N lines may come in any order; the steps after it read them in sorted order
+//	pool drop                  the worker pool closes its side of the link
+//	pool mute                  the worker pool stops answering polls, so the node cannot know that a command was read
 //	pool polled                waits until the worker pool has answered a poll that came after this step
 //	call NAME CLASS ID k=v ..  caller NAME sends a request: wait, time, kb, rank, from, key, token, body
-//	                           (a NAME.http or NAME.uwsgi speaks that protocol in any play)
+//	                           (a caller NAME.http or NAME.uwsgi speaks that protocol whatever the play's protocol is)
 //	check NAME [real]          caller NAME sends a health check
-//	door NAME.admin METHOD PATH   an operator calls at the door, on a connection of its own
-//	answer NAME ...            the answer that the caller reads: status, advice, body; of several, NAME,NAME, the
-//	                           first that comes, as what they sent may be read in any order
-//	send NAME "BYTES"          raw bytes, quoted as in Go
-//	recv NAME "BYTES"          the raw answer, its Srv-Load as N
+//	door NAME.admin METHOD PATH   an operator sends a request to the admin port, on a connection of its own
+//	answer NAME ...            the answer that the caller reads: status, advice, body; for several callers, NAME,NAME,
+//	                           the first answer that comes, because the node may read their requests in any order
+//	send NAME "BYTES"          sends raw bytes, quoted as in Go
+//	recv NAME "BYTES"          the raw answer, with the value of Srv-Load replaced by N
 //	close NAME                 the caller closes its connection
-//	log NAME CODE              the line that the connection left in the log
-//	announce < TEXT            waits for a report of that text
-//	reload [KEY=VALUE ...]     the pool and the announce service get new addresses, and the node reads the new file;
-//	                           what the pool says goes over the old link until the node has made the new one
-//	reload faulty              the node reads a file that is none
-//	reload lacking KEY         the node reads a file that lacks a key
-//	reloaded CODE [kept=..]    what the node logged of it
-//	upgrade                    another process is started beside the node, with the same addresses and a worker pool of its
-//	                           own; the steps that follow are of that one
-//	former STEP                a step of the process that was there before
-//	fall                       the present process is killed, and the former one is the present one again
-//	custody CODE               waits for a line of the log on who has the journal of kept operations
-//	handover SIDE CODE         the next line of the log that tells of a handover
-//	restart                    the node is killed, and another is started on what it left
-//	resolve KEY HOW [RESULT] [=> WHY]   an operator's word on a kept operation: finished, failed or not-run; WHY it fails
-//	leave                      the notice to drain
-//	held N                     waits until the node has N requests in hand
-//	wait MS                    so many milliseconds pass
-//	end                        the node has ended
-//	frame, mute, heard         frames of HTTP/2, see h2.go
+//	log NAME CODE              the code in the log line of the caller's connection
+//	announce < TEXT            waits for a load report with that text
+//	reload [KEY=VALUE ...]     the pool and the announce service get new addresses, and the node reads the new
+//	                           configuration; the pool sends over the old link until the node has opened the new one
+//	reload faulty              the node reads a configuration that is not valid JSON
+//	reload lacking KEY         the node reads a configuration without that key
+//	reloaded CODE [kept=..]    the result of the reload, from the node's log
+//	upgrade                    starts another process beside the node, with the same addresses and a worker pool of its
+//	                           own; the steps that follow apply to the new process
+//	former STEP                carries out STEP on the process that ran before the upgrade
+//	fall                       kills the current process; the former process becomes the current one again
+//	custody CODE               waits for a log line on which process owns the journal of kept operations
+//	handover SIDE CODE         the next log line about a handover
+//	restart                    kills the node and starts another one on its stored state
+//	resolve KEY HOW [RESULT] [=> WHY]   an operator resolves a kept operation as finished, failed or not-run; WHY is
+//	                           the error if that fails
+//	leave                      sends the signal to drain
+//	held N                     waits until the node has N pending requests
+//	wait MS                    waits that many milliseconds
+//	end                        waits until the node has ended
+//	frame, flood, mute, heard  frames of HTTP/2, see h2.go
 //	zk ...                     see ensemble.go
-//	ensemble                   the ensemble is there before the node, so that zk steps may come first
-//	donor NAME ...             a donor of the peer protocol, see peers.go; before the node, which is then to be told of
-//	                           it by the option peers
-//	peer take NAME CODE        the line that the connection to a donor left in the log
-//	peer over N                the node has asked its donors, and so many gave
-//	prior CODE ...             the next line of the log that tells of a prior
-//	taker NAME RESULT          a taker asks the node for what it knows
+//	ensemble                   starts the ensemble before the node, so that zk steps may come first
+//	donor NAME ...             starts a donor of the peer protocol, see peers.go; it comes before the step node, whose
+//	                           option peers makes the node use the donors
+//	peer take NAME CODE        the code in the log line of the connection to a donor
+//	peer over N                the node has asked its donors, and N of them answered with a report
+//	prior CODE ...             the next log line about a prior
+//	taker NAME RESULT          a taker requests the node's learned state
 package rehearse
 
 import (
@@ -65,12 +66,14 @@
 	"whinrudder/internal/kept"
 )
 
-// patience bounds each wait of a player. It decides no outcome: what is waited for comes, or the play differs.
-const patience = 10 * time.Second
+// stepTimeout bounds each wait of a player. It does not decide an outcome: either the awaited input comes, or the
+// transcript differs from the file.
+const stepTimeout = 10 * time.Second
 
-// Play plays an exchange over a protocol, http or uwsgi, and returns the transcript to compare with its lines.
+// Play plays an exchange over a protocol: http, uwsgi or h2c. It returns the steps of the file as want and the
+// transcript to compare with them as got.
 func Play(text, protocol string) (want, got []string, err error) {
-	p := &player{protocol: protocol, opts: options(), callers: map[string]*caller{}, log: newLogBook()}
+	p := &player{protocol: protocol, options: defaultOptions(), callers: map[string]*caller{}, log: newLogRecorder()}
 	defer p.close()
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
@@ -87,55 +90,56 @@
 	return want, append(got, p.leftovers()...), nil
 }
 
+// player carries out the steps of one exchange. The embedded process is the current process of the node.
 type player struct {
-	protocol string
-	opts     map[string]string
+	protocol string            // the protocol of the play: http, uwsgi or h2c
+	options  map[string]string // see defaultOptions
 	process
-	former  *process // the process that the present one is to succeed
-	mu      sync.Mutex
-	file    string // the configuration, as the node would read it now
-	folder  string // of kept results
-	auth    string // file of credentials for the ensemble
-	shared  string // folder of processes that succeed each other
-	reports *reportStandIn
-	zk      *ensemble
-	callers map[string]*caller
-	peers   peers
-	log     *logBook
+	former     *process // the process that the current one succeeds, or nil
+	mu         sync.Mutex
+	config     string // the text of the node's configuration, guarded by mu
+	keptDir    string // the node's folder of kept operations
+	authFile   string // the file of credentials for the ensemble
+	upgradeDir string // the folder in which a process hands over to its successor
+	announce   *fakeAnnounce
+	zk         *fakeEnsemble
+	callers    map[string]*caller
+	donors     fakeDonors
+	log        *logRecorder
 }
 
-// step carries out a line and returns it as it really went.
+// step carries out a line and returns the line for the transcript, with what was received.
 func (p *player) step(line string) (string, error) {
 	word, rest, _ := strings.Cut(line, " ")
-	name, more, _ := strings.Cut(rest, " ")
+	name, args, _ := strings.Cut(rest, " ")
 	if word == "donor" {
-		return p.peers.add(line, name, more)
+		return p.donors.add(line, name, args)
 	}
 	if word == "ensemble" {
 		var err error
-		p.zk, err = newEnsemble()
+		p.zk, err = newFakeEnsemble()
 		return line, err
 	}
 	if p.node == nil && word != "node" && word != "zk" {
-		return "", fmt.Errorf("the first step must be node")
+		return "", fmt.Errorf("a step that needs a node comes before the step node")
 	}
 	switch word {
 	case "taker", "peer", "prior":
-		return p.peerStep(line, word, name, more)
+		return p.peerStep(line, word, name, args)
 	case "node":
 		return line, p.start(strings.Fields(rest))
 	case "pool":
-		return p.pool.step(line, name, more)
+		return p.pool.step(line, name, args)
 	case "zk":
 		if p.zk == nil {
-			return "", fmt.Errorf("the node has no ensemble")
+			return "", fmt.Errorf("no ensemble was started")
 		}
-		for n, d := range p.peers.donors { // a znode may name a donor of the exchange
-			more = strings.ReplaceAll(more, "%"+n+"%", d.l.Addr().String())
+		for donorName, donor := range p.donors.byName { // %NAME% stands for the address of donor NAME
+			args = strings.ReplaceAll(args, "%"+donorName+"%", donor.listener.Addr().String())
 		}
-		return p.zk.step(line, name, more)
+		return p.zk.step(line, name, args)
 	case "announce":
-		return "announce < " + p.reports.wait(more), nil
+		return "announce < " + p.announce.wait(args), nil
 	case "call", "check", "send", "door":
 		c := p.callers[name]
 		if c == nil || (c.protocol == "uwsgi" || c.protocol == "admin") && word != "send" {
@@ -145,29 +149,29 @@
 			}
 			p.callers[name] = c
 		}
-		return line, c.say(word, more)
+		return line, c.send(word, args)
 	case "answer", "recv", "close":
-		var some []*caller
-		for n := range strings.SplitSeq(name, ",") {
-			if p.callers[n] == nil {
-				return "", fmt.Errorf("no caller %q", n)
+		var callers []*caller
+		for callerName := range strings.SplitSeq(name, ",") {
+			if p.callers[callerName] == nil {
+				return "", fmt.Errorf("no caller %q", callerName)
 			}
-			some = append(some, p.callers[n])
+			callers = append(callers, p.callers[callerName])
 		}
 		if word == "close" {
-			return line, some[0].c.Close()
+			return line, callers[0].conn.Close()
 		}
-		return word + " " + name + " " + first(some, word, more), nil
+		return word + " " + name + " " + firstAnswer(callers, word, args), nil
 	case "log":
 		c := p.callers[name]
 		if c == nil {
-			return "", fmt.Errorf("no caller of that name")
+			return "", fmt.Errorf("the step log names an unknown caller")
 		}
 		front := c.protocol
 		if front == "peer" {
-			front = "" // the peer port is no front
+			front = "" // log lines of the peer port have no front
 		}
-		return "log " + name + " " + p.log.code(front+" "+c.c.LocalAddr().String()), nil
+		return "log " + name + " " + p.log.waitConn(front+" "+c.conn.LocalAddr().String()), nil
 	case "frame", "mute", "heard", "flood":
 		c := p.callers[name]
 		if c == nil {
@@ -179,18 +183,18 @@
 		}
 		switch {
 		case c.h2 == nil:
-			return "", fmt.Errorf("%s does not speak h2c", name)
+			return "", fmt.Errorf("caller %s does not speak h2c", name)
 		case word == "frame":
-			return line, c.h2.frame(more)
+			return line, c.h2.sendFrame(args)
 		case word == "flood":
-			return line, c.h2.flood(more)
+			return line, c.h2.sendFlood(args)
 		case word == "mute":
 			c.h2.mu.Lock()
 			defer c.h2.mu.Unlock()
 			c.h2.mute = true
 			return line, nil
 		}
-		return "heard " + name + " " + c.h2.heardOther(), nil
+		return "heard " + name + " " + c.h2.nextOtherFrame(), nil
 	case "former":
 		return p.asFormer(rest)
 	case "upgrade":
@@ -198,11 +202,11 @@
 	case "fall":
 		return line, p.fall()
 	case "handover":
-		return "handover " + name + " " + p.log.handover(name), nil
+		return "handover " + name + " " + p.log.waitHandover(name), nil
 	case "custody":
-		return "custody " + p.log.custodian(name), nil
+		return "custody " + p.log.waitCustody(name), nil
 	case "held":
-		for late := time.Now().Add(patience); fmt.Sprint(p.node.PendingRequests()) != rest && time.Now().Before(late); {
+		for deadline := time.Now().Add(stepTimeout); fmt.Sprint(p.node.PendingRequests()) != rest && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
 		return fmt.Sprint("held ", p.node.PendingRequests()), nil
@@ -213,7 +217,7 @@
 	case "reload":
 		return line, p.reload(strings.Fields(rest))
 	case "reloaded":
-		return "reloaded " + p.log.reload(), nil
+		return "reloaded " + p.log.waitReload(), nil
 	case "restart":
 		return line, p.restart()
 	case "resolve":
@@ -221,9 +225,10 @@
 		rest, _, _ = strings.Cut(rest, " => ")
 		key, how, _ := strings.Cut(rest, " ")
 		how, result, _ := strings.Cut(how, " ")
-		w := kept.Resolution{Key: key, Kind: map[string]journal.Kind{"finished": journal.Finished, "failed": journal.Failed, "not-run": journal.NotRun}[how],
+		resolution := kept.Resolution{Key: key, Kind: map[string]journal.Kind{
+			"finished": journal.Finished, "failed": journal.Failed, "not-run": journal.NotRun}[how],
 			Result: []byte(result), By: "player"}
-		if err := kept.Resolve(p.folder, "r1", w, float64(time.Now().UnixMilli())); err != nil {
+		if err := kept.Resolve(p.keptDir, "r1", resolution, float64(time.Now().UnixMilli())); err != nil {
 			return line + " => " + err.Error(), nil
 		}
 		return line, nil
@@ -234,14 +239,15 @@
 		select {
 		case <-p.ended:
 			return line, nil
-		case <-time.After(patience):
+		case <-time.After(stepTimeout):
 			return "end never", nil
 		}
 	}
 	return "", fmt.Errorf("unknown step %q", word)
 }
 
-// dial connects a caller. A name that ends in .http or .uwsgi speaks that, whatever the exchange is played over.
+// dial connects a caller. A suffix of the name, such as .http or .uwsgi, selects the caller's protocol in place of
+// the protocol of the play.
 func (p *player) dial(name string) (*caller, error) {
 	protocol := p.protocol
 	if _, suffix, ok := strings.Cut(name, "."); ok {
@@ -253,10 +259,10 @@
 	return dial(p.node.Addr(protocol), protocol)
 }
 
-// leftovers are lines that nothing in the file accounts for.
+// leftovers returns a transcript line for each input that no step of the file read.
 func (p *player) leftovers() (out []string) {
 	if p.pool != nil {
-		for _, l := range p.pool.first {
+		for _, l := range p.pool.readAhead {
 			out = append(out, "left over: pool < "+l)
 		}
 		for {
@@ -269,50 +275,51 @@
 			break
 		}
 	}
-	return append(out, p.log.twice()...)
+	return append(out, p.log.duplicates()...)
 }
 
+// close kills the processes that still run, closes all sockets and removes the temporary files.
 func (p *player) close() {
-	for _, o := range []*process{&p.process, p.former} {
-		if o == nil || o.stop == nil {
+	for _, proc := range []*process{&p.process, p.former} {
+		if proc == nil || proc.stop == nil {
 			continue
 		}
 		select {
-		case <-o.ended:
+		case <-proc.ended:
 		default:
-			o.node.Kill()
-			<-o.ended
+			proc.node.Kill()
+			<-proc.ended
 		}
 	}
 	if p.former != nil {
 		p.former.pool.close()
 	}
-	if p.shared != "" {
-		os.RemoveAll(p.shared)
+	if p.upgradeDir != "" {
+		os.RemoveAll(p.upgradeDir)
 	}
 	for _, c := range p.callers {
-		c.c.Close()
+		c.conn.Close()
 	}
 	if p.pool != nil {
 		p.pool.close()
 	}
-	if p.reports != nil {
-		p.reports.c.Close()
+	if p.announce != nil {
+		p.announce.conn.Close()
 	}
 	if p.zk != nil {
 		p.zk.close()
 	}
-	p.peers.close()
-	if p.auth != "" {
-		os.Remove(p.auth)
+	p.donors.close()
+	if p.authFile != "" {
+		os.Remove(p.authFile)
 	}
-	if p.folder != "" {
-		os.RemoveAll(p.folder)
+	if p.keptDir != "" {
+		os.RemoveAll(p.keptDir)
 	}
 }
 
-// pairs reads k=v words; a body may be quoted.
-func pairs(text string) map[string]string {
+// parsePairs parses key=value words. A value may be quoted as in Go.
+func parsePairs(text string) map[string]string {
 	out := map[string]string{}
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimSpace(text) {
 		k, rest, _ := strings.Cut(text, "=")
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each exchange is played over its protocol; those in both must end alike over either.
+// Plays each built-in exchange over its protocol. Those of the folder all must have the same result over each protocol.
 func TestExchanges(t *testing.T) {
 	for x, r := range playAll(Shipped()) {
 		t.Run(x.Protocol+"/"+x.Name, func(t *testing.T) {
@@ -22,8 +22,9 @@
 	}
 }
 
-// A player that can't find a difference proves nothing: a wrong answer, a step too many and a leftover are told.
-func TestDifferencesAreTold(t *testing.T) {
+// A player that finds no differences would let every exchange pass. It must report a wrong answer, a wrong line to the
+// worker pool and a line that no step reads.
+func TestDifferencesAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       []string
@@ -46,8 +47,9 @@
 	}
 }
 
-// A process that can't be started beside the node, here for want of its address, is an error, and the play ends.
-func TestStartThatFails(t *testing.T) {
+// Guards against a play that hangs when the step upgrade cannot start the second process, here because its address is
+// in use. The play must end with that error.
+func TestFailedUpgradeEndsPlay(t *testing.T) {
 	ended := make(chan error, 1)
 	go func() {
 		_, _, err := Play("node\npool up\nupgrade\n", "http")
@@ -56,9 +58,9 @@
 	select {
 	case err := <-ended:
 		if err == nil || !strings.Contains(err.Error(), "address already in use") {
-			t.Error(err)
+			t.Errorf("got error %v, want one with \"address already in use\"", err)
 		}
 	case <-time.After(time.Minute):
-		t.Error("the play hangs")
+		t.Error("the play did not end within a minute")
 	}
 }
