--- a/internal/rehearse/command.go
+++ b/internal/rehearse/command.go
@@ -17,8 +17,8 @@
 // An Exchange is the text of an exchange file and the protocol over which it is to be played.
 type Exchange struct{ Name, Protocol, Text string }
 
-// Shipped returns the exchanges that are built into the program. Those of the folder all are returned once for each
-// protocol.
+// Shipped returns the exchanges that are built into the program. Those of the folders all and kept are
+// returned once for each protocol.
 func Shipped() (out []Exchange) {
 	for _, d := range []struct{ dir, protocol string }{
 		{"all", "http"}, {"all", "uwsgi"}, {"all", "h2c"}, {"h2c", "h2c"}, {"http", "http"}, {"uwsgi", "uwsgi"}, {"peer", "http"},
--- a/internal/rehearse/ensemble.go
+++ b/internal/rehearse/ensemble.go
@@ -35,7 +35,7 @@
 //	zk holds PATH     records the data of the znode, whoever owns it
 //	zk guard PATH AUTH    creates a znode on which only AUTH, given as USER:PASSWORD, has rights
 //	zk rights PATH    waits until the znode exists; records its access control list
-//	zk down, zk up    closes all connections; after zk down, new ones are closed at once until zk up
+//	zk down, zk up    closes all connections; after zk down, new ones are closed without an answer until zk up
 type fakeEnsemble struct {
 	listener     net.Listener
 	mu           sync.Mutex
--- a/internal/rehearse/fakes.go
+++ b/internal/rehearse/fakes.go
@@ -21,7 +21,7 @@
 	mu        sync.Mutex
 	conn      net.Conn
 	mute      bool      // answers no polls
-	polled    chan bool // has a token if a poll was answered
+	polled    chan bool // holds a value if a poll was answered since the last receive
 }
 
 func newFakePool() (*fakePool, error) {
@@ -150,7 +150,7 @@
 		}
 		return line, s.write(`{"msg":"polled","cookie":"fence1","stats":[1,1,0.1,4]}`)
 	}
-	return "", fmt.Errorf("unknown step of the pool")
+	return "", fmt.Errorf("unknown pool step")
 }
 
 func (s *fakePool) close() {
--- a/internal/rehearse/h2.go
+++ b/internal/rehearse/h2.go
@@ -29,7 +29,7 @@
 //	                              or continue ID, the status 100
 type h2Caller struct {
 	conn            net.Conn
-	writeMu         sync.Mutex // guards the fields of the writing side, blockOpen to block
+	writeMu         sync.Mutex // guards the writing side of conn and the fields down to block
 	blockOpen       bool       // a field block is open: no other frame may be sent in between
 	deferredReplies []func()   // replies to the node that wait for the end of the field block
 	framer          *http2.Framer
--- a/internal/rehearse/log_recorder.go
+++ b/internal/rehearse/log_recorder.go
@@ -16,7 +16,7 @@
 	reloads   []string            // results of reloads, in the order of the log
 	handovers map[string][]string // codes of handovers, by side, because two processes write to the log
 	custody   map[string]int      // number of unread lines for each of custodyCodes
-	changed   chan struct{}       // has a token if a line was recorded since the last receive
+	changed   chan struct{}       // holds a value if a line was recorded since the last receive
 
 	// streamCodes has the codes of streams that could not be read and of connections that moved to another process,
 	// by front and peer address.
@@ -107,13 +107,13 @@
 var custodyCodes = []string{"yielding", "resumed", "released", "adopted", "unopened"}
 
 // waitCustody waits for a log line with the given code of custodyCodes.
-func (b *logRecorder) waitCustody(word string) string {
+func (b *logRecorder) waitCustody(code string) string {
 	return b.wait(func() string {
-		if b.custody[word] == 0 {
+		if b.custody[code] == 0 {
 			return ""
 		}
-		b.custody[word]--
-		return word
+		b.custody[code]--
+		return code
 	})
 }
 
@@ -145,13 +145,13 @@
 }
 
 // duplicates returns a transcript line for each connection that ended with more than one code.
-func (b *logRecorder) duplicates() (out []string) {
+func (b *logRecorder) duplicates() (lines []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for peer, codes := range b.connCodes {
 		if len(codes) > 1 {
-			out = append(out, fmt.Sprint("left over: log of ", peer, " ", codes))
+			lines = append(lines, fmt.Sprint("left over: log of ", peer, " ", codes))
 		}
 	}
-	return out
+	return lines
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -8,7 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Plays each built-in exchange over its protocol. Those of the folder all must have the same result over each protocol.
+// Plays each built-in exchange over its protocol. Those of the folders all and kept must have the same result over
+// each protocol.
 func TestExchanges(t *testing.T) {
 	for x, r := range playAll(Shipped()) {
 		t.Run(x.Protocol+"/"+x.Name, func(t *testing.T) {
