--- a/internal/lab/floods.go
+++ b/internal/lab/floods.go
@@ -15,139 +15,142 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// FloodRun is what a node's process did under one flood on its HTTP/2 port.
+// FloodRun is the result of one flood on the HTTP/2 port of a node.
 type FloodRun struct {
 	Flood       string
-	Connections int
-	Frames      int
-	PeakMB      float64 // resident memory at its highest, in MB
-	BeforeMB    float64 // and before the flood
-	Healthy     bool    // a caller over HTTP/1.1 was answered all the while
+	Connections int     // connections opened by all hostile clients
+	Frames      int     // rounds of the flood's frames that were sent
+	PeakMB      float64 // peak resident memory of the node's process, in MB
+	BeforeMB    float64 // resident memory before the flood, in MB
+	Healthy     bool    // every health check over HTTP/1.1 was answered during the flood
 }
 
-// floods are the kinds; each sends until the node closes the connection and returns how many frames went out.
+// floods maps each kind to a function that sends until the node closes the connection. It returns the number of rounds.
 var floods = map[string]func(p *flooder) int{
 	"rapid-reset": func(p *flooder) int {
-		return p.until(func(i int) {
+		return p.repeat(func(i int) {
 			p.headers(uint32(2*i+1), true)
-			p.fr.WriteRSTStream(uint32(2*i+1), http2.ErrCodeCancel)
+			p.framer.WriteRSTStream(uint32(2*i+1), http2.ErrCodeCancel)
 		})
 	},
-	"ping":     func(p *flooder) int { return p.until(func(int) { p.fr.WritePing(false, [8]byte{}) }) },
-	"settings": func(p *flooder) int { return p.until(func(int) { p.fr.WriteSettings() }) },
+	"ping":     func(p *flooder) int { return p.repeat(func(int) { p.framer.WritePing(false, [8]byte{}) }) },
+	"settings": func(p *flooder) int { return p.repeat(func(int) { p.framer.WriteSettings() }) },
 	"empty-data": func(p *flooder) int {
 		p.headers(1, false)
-		return p.until(func(int) { p.fr.WriteData(1, false, nil) })
+		return p.repeat(func(int) { p.framer.WriteData(1, false, nil) })
 	},
 	"data": func(p *flooder) int {
 		p.headers(1, false)
 		b := make([]byte, 16000)
-		return p.until(func(int) { p.fr.WriteData(1, false, b) })
+		return p.repeat(func(int) { p.framer.WriteData(1, false, b) })
 	},
-	"bodies": func(p *flooder) int { // as many streams as there can be, each with all of a body but its end
+	"bodies": func(p *flooder) int { // as many streams as possible, each with a body that does not end
 		b := make([]byte, 2048)
-		return p.until(func(i int) {
+		return p.repeat(func(i int) {
 			p.headers(uint32(2*i+1), false)
-			p.fr.WriteData(uint32(2*i+1), false, b)
+			p.framer.WriteData(uint32(2*i+1), false, b)
 		})
 	},
 	"continuation": func(p *flooder) int {
-		p.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: 1})
+		p.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1})
 		b := make([]byte, 1000)
-		return p.until(func(int) { p.fr.WriteContinuation(1, false, b) })
+		return p.repeat(func(int) { p.framer.WriteContinuation(1, false, b) })
 	},
 	"hpack": func(p *flooder) int {
-		return p.until(func(i int) {
-			p.hp.Reset()
-			p.enc.WriteField(hpack.HeaderField{Name: "x", Value: strings.Repeat("x", 3900)})
-			p.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(2*i + 1), EndStream: true, EndHeaders: true,
-				BlockFragment: append(bytes.Clone(p.hp.Bytes()), bytes.Repeat([]byte{0x80 | 62}, 12000)...)})
+		return p.repeat(func(i int) {
+			p.headerBlock.Reset()
+			p.encoder.WriteField(hpack.HeaderField{Name: "x", Value: strings.Repeat("x", 3900)})
+			p.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(2*i + 1), EndStream: true, EndHeaders: true,
+				BlockFragment: append(bytes.Clone(p.headerBlock.Bytes()), bytes.Repeat([]byte{0x80 | 62}, 12000)...)})
 		})
 	},
-	"zero-window": func(p *flooder) int { // answers wait for a window that never opens
-		p.fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
-		return p.until(func(i int) {
+	"zero-window": func(p *flooder) int { // answers wait for a flow-control window that never opens
+		p.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
+		return p.repeat(func(i int) {
 			p.headers(uint32(2*i+1), true)
 			time.Sleep(time.Millisecond)
 		})
 	},
-	"half-preface": func(p *flooder) int { p.wait(); return 0 },
+	"half-preface": func(p *flooder) int { p.awaitClose(); return 0 },
 }
 
-// FloodKinds are the floods in the order in which they are played.
+// FloodKinds lists the floods in the order in which they run.
 var FloodKinds = []string{"rapid-reset", "ping", "settings", "empty-data", "data", "bodies", "continuation", "hpack",
 	"zero-window", "half-preface"}
 
-// flooder is one hostile connection.
+// flooder is a hostile connection. It implements io.Writer so that a failed write ends the flood.
 type flooder struct {
-	c   net.Conn
-	fr  *http2.Framer
-	enc *hpack.Encoder
-	hp  bytes.Buffer
-	bad error
-	by  time.Time
+	conn        net.Conn
+	framer      *http2.Framer
+	encoder     *hpack.Encoder
+	headerBlock bytes.Buffer
+	writeErr    error     // the first failed write
+	deadline    time.Time // end of the flood
 }
 
 func (f *flooder) Write(b []byte) (int, error) {
-	n, err := f.c.Write(b)
-	if err != nil && f.bad == nil {
-		f.bad = err
+	n, err := f.conn.Write(b)
+	if err != nil && f.writeErr == nil {
+		f.writeErr = err
 	}
 	return n, err
 }
 
-// until repeats until the connection is closed or the time is over.
-func (f *flooder) until(do func(i int)) (n int) {
-	for ; f.bad == nil && time.Now().Before(f.by); n++ {
+// repeat repeats a round of frames until a write fails or the flood's time is up, and returns the number of rounds.
+func (f *flooder) repeat(do func(i int)) (n int) {
+	for ; f.writeErr == nil && time.Now().Before(f.deadline); n++ {
 		do(n)
 	}
 	return n
 }
 
-// wait waits until the node closes the connection.
-func (f *flooder) wait() { io.Copy(io.Discard, f.c) }
+// awaitClose reads and discards until the connection is closed.
+func (f *flooder) awaitClose() { io.Copy(io.Discard, f.conn) }
 
+// headers sends the header fields of a request; end closes the stream.
 func (f *flooder) headers(id uint32, end bool) {
-	f.hp.Reset()
+	f.headerBlock.Reset()
 	for _, k := range append([][2]string{{":method", "POST"}, {":scheme", "http"}, {":path", "/rpc/status-lookup"}},
-		fieldsOf(ids.Add(1))...) {
-		f.enc.WriteField(hpack.HeaderField{Name: k[0], Value: k[1]})
+		requestFields(requestIDs.Add(1))...) {
+		f.encoder.WriteField(hpack.HeaderField{Name: k[0], Value: k[1]})
 	}
-	f.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: f.hp.Bytes(), EndStream: end, EndHeaders: true})
+	f.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: f.headerBlock.Bytes(), EndStream: end,
+		EndHeaders: true})
 }
 
-// MeasureFloods plays each flood for some seconds against the HTTP/2 port of a node, on several connections that are made again
-// whenever the node closes them, and watches the memory of its process and whether it goes on to answer others.
+// MeasureFloods runs each flood for some seconds against the HTTP/2 port of a new node, on several connections that
+// are reopened whenever the node closes them. It records the memory of the node's process and whether the node still
+// answers health checks.
 func MeasureFloods(ctx context.Context, program string, seconds int) (out []FloodRun, err error) {
 	for _, kind := range FloodKinds {
 		n, err := startNode(ctx, program, []string{"h2c"}, "")
 		if err != nil {
 			return out, err
 		}
-		r := FloodRun{Flood: kind, BeforeMB: memoryOf(n.pid, "VmRSS"), Healthy: true}
-		by := time.Now().Add(time.Duration(seconds) * time.Second)
+		r := FloodRun{Flood: kind, BeforeMB: memoryMB(n.pid, "VmRSS"), Healthy: true}
+		end := time.Now().Add(time.Duration(seconds) * time.Second)
 		type sum struct{ conns, frames int }
-		const hostile = 8
-		done := make(chan sum, hostile)
-		for range hostile {
+		const connCount = 8
+		done := make(chan sum, connCount)
+		for range connCount {
 			go func() {
 				var s sum
-				for time.Now().Before(by) && ctx.Err() == nil {
+				for time.Now().Before(end) && ctx.Err() == nil {
 					c, err := net.Dial("tcp", n.addrs["h2c"])
 					if err != nil {
 						break
 					}
-					c.SetDeadline(by)
-					f := &flooder{c: c, by: by}
-					f.fr = http2.NewFramer(f, nil)
-					f.fr.AllowIllegalWrites = true
-					f.enc = hpack.NewEncoder(&f.hp)
+					c.SetDeadline(end)
+					f := &flooder{conn: c, deadline: end}
+					f.framer = http2.NewFramer(f, nil)
+					f.framer.AllowIllegalWrites = true
+					f.encoder = hpack.NewEncoder(&f.headerBlock)
 					if kind == "half-preface" {
 						io.WriteString(c, http2.ClientPreface[:10])
 					} else {
 						io.WriteString(c, http2.ClientPreface)
-						f.fr.WriteSettings()
-						go f.wait()
+						f.framer.WriteSettings()
+						go f.awaitClose()
 					}
 					s.frames += floods[kind](f)
 					s.conns++
@@ -156,24 +159,24 @@
 				done <- s
 			}()
 		}
-		for time.Now().Before(by) {
+		for time.Now().Before(end) {
 			r.Healthy = r.Healthy && WaitHealthy(ctx, n.addrs["http"]) == nil
 			time.Sleep(50 * time.Millisecond)
 		}
-		for range hostile {
+		for range connCount {
 			s := <-done
 			r.Connections += s.conns
 			r.Frames += s.frames
 		}
-		r.PeakMB = memoryOf(n.pid, "VmHWM")
+		r.PeakMB = memoryMB(n.pid, "VmHWM")
 		n.stop()
 		out = append(out, r)
 	}
 	return out, nil
 }
 
-// memoryOf returns a figure of a process's memory in MB.
-func memoryOf(pid int, name string) float64 {
+// memoryMB returns a memory field of a process's status file, such as VmRSS, in MB, or 0 if it cannot be read.
+func memoryMB(pid int, name string) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for l := range strings.Lines(string(text)) {
 		if f := strings.Fields(l); len(f) > 1 && f[0] == name+":" {
@@ -184,7 +187,7 @@
 	return 0
 }
 
-// WriteFloods writes the runs as people read them.
+// WriteFloods writes the runs as a table.
 func WriteFloods(w io.Writer, all []FloodRun) {
 	fmt.Fprintf(w, "%-14s %11s %9s %10s %8s %8s\n", "flood", "connections", "frames", "before MB", "peak MB", "healthy")
 	for _, r := range all {
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -22,31 +22,32 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// FrontRun is what one front did with so many requests in hand.
+// FrontRun is the result of one front with a number of requests in flight.
 type FrontRun struct {
 	Front    string
-	InFlight int
-	Rate     float64 // answers a second
-	CPU      float64 // of the server's process, in microseconds a request
+	InFlight int     // requests in flight at a time
+	Rate     float64 // answers per second
+	CPU      float64 // CPU time of the server's process, in microseconds per request
 	Failed   int
 }
 
-// MeasureFronts plays requests against the fronts of a node of a program, each with some numbers in hand, and against Go's
-// standard server as a yardstick: standard is the command line of one that prints its address first. The worker pool is
-// a stand-in that ends each run at once, so that what is measured is the way through the node.
+// MeasureFronts sends requests to each front of a node that program starts, with several numbers of requests in
+// flight. If standard is not empty, it is the command line of a Go standard server that prints its address first;
+// that server is measured for comparison. The worker pool is a fake that finishes each run at once, so that the path
+// through the node is measured.
 func MeasureFronts(ctx context.Context, program string, fronts []string, standard []string, requests int) (out []FrontRun, err error) {
 	n, err := startNode(ctx, program, fronts, "")
 	if err != nil {
 		return nil, err
 	}
 	defer n.stop()
-	run := func(what string, front, addr string, pid int) error {
-		for _, inHand := range []int{1, 16, 128} {
-			r, err := loadFront(ctx, front, addr, inHand, requests, pid)
+	run := func(label string, front, addr string, pid int) error {
+		for _, inFlight := range []int{1, 16, 128} {
+			r, err := loadFront(ctx, front, addr, inFlight, requests, pid)
 			if err != nil {
-				return fmt.Errorf("%s: %w", what, err)
+				return fmt.Errorf("%s: %w", label, err)
 			}
-			r.Front = what
+			r.Front = label
 			out = append(out, r)
 		}
 		return nil
@@ -59,35 +60,36 @@
 	if len(standard) == 0 {
 		return out, nil
 	}
-	s := exec.CommandContext(ctx, standard[0], standard[1:]...)
-	pipe, err := s.StdoutPipe()
+	server := exec.CommandContext(ctx, standard[0], standard[1:]...)
+	pipe, err := server.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := s.Start(); err != nil {
+	if err := server.Start(); err != nil {
 		return nil, err
 	}
-	defer func() { s.Process.Kill(); s.Wait() }()
+	defer func() { server.Process.Kill(); server.Wait() }()
 	addr, err := bufio.NewReader(pipe).ReadString('\n')
 	if err != nil {
 		return nil, err
 	}
 	for _, f := range []string{"http", "h2c"} {
-		if err := run("net/http "+f, f, strings.TrimSpace(addr), s.Process.Pid); err != nil {
+		if err := run("net/http "+f, f, strings.TrimSpace(addr), server.Process.Pid); err != nil {
 			return out, err
 		}
 	}
 	return out, nil
 }
 
-// testNode is a node of a program in a process of its own, with a worker pool that ends each run at once.
+// testNode is a node in its own process, with a worker pool that finishes each run at once.
 type testNode struct {
-	addrs map[string]string // of the fronts
+	addrs map[string]string // by front
 	pid   int
 	stop  func()
 }
 
-// labConfig is the configuration of a node that is measured, without the addresses of its front and its worker pool.
+// labConfig is the configuration of a measured node: a format whose arguments are the addresses of the HTTP front and
+// the worker pool.
 const labConfig = `{"name":"n1","listen":"%s","pool":"%s","announce":"127.0.0.1:9","seed":"1","stop_ms":500,
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":{"servers":3,"tick_ms":2,"profiles":[{"name":"status-lookup",
 "aim_ms":6000,"deadline_ms":9000,"repeat":"repeatable","worth":1},{"name":"payout-book","aim_ms":6000,"deadline_ms":9000,"repeat":"once","worth":3}],"specifics":{"below":"silent","callers":1,"cores":256,
@@ -95,7 +97,8 @@
 "passes_deadline":true,"tells_gone":true,"own_stats":["cpu_busy","runnable","mem_used","sockets"]},
 "rules":{"fall_multiple":8,"drain_grace_ms":2000}}}`
 
-// startNode starts a node with some fronts, and sections of the operator's file, and waits until it serves.
+// startNode starts a node with the given fronts and waits until it is healthy. Sections are further sections of the
+// operator's file; if not empty, they begin with a comma.
 func startNode(ctx context.Context, program string, fronts []string, sections string) (n *testNode, err error) {
 	n = &testNode{addrs: map[string]string{}}
 	dir, err := os.MkdirTemp("", "node")
@@ -130,14 +133,14 @@
 		}
 		args = append(args, "--operator", path)
 	}
-	c := exec.CommandContext(ctx, program, args...)
-	if err := c.Start(); err != nil {
+	command := exec.CommandContext(ctx, program, args...)
+	if err := command.Start(); err != nil {
 		return nil, err
 	}
-	n.pid = c.Process.Pid
+	n.pid = command.Process.Pid
 	n.stop = func() {
-		c.Process.Kill()
-		c.Wait()
+		command.Process.Kill()
+		command.Wait()
 		pool.Close()
 		os.RemoveAll(dir)
 	}
@@ -148,7 +151,8 @@
 	return n, nil
 }
 
-// ServeStandard serves the same answers by Go's own server, over HTTP/1.1 and HTTP/2 without TLS, until its process is ended.
+// ServeStandard serves the same answers with Go's standard server, over HTTP/1.1 and HTTP/2 without TLS, until its
+// process ends. It writes its address to out first.
 func ServeStandard(out io.Writer) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,7 +170,7 @@
 	return s.Serve(l)
 }
 
-// FreeAddr returns an address of this machine that nothing listened on a moment ago.
+// FreeAddr returns a loopback address with a free port. Another process may take the port before it is used.
 func FreeAddr() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -176,7 +180,7 @@
 	return l.Addr().String(), nil
 }
 
-// WaitHealthy waits until a node serves, for some seconds at most.
+// WaitHealthy waits until a node's health check succeeds, for 5 seconds at most.
 func WaitHealthy(ctx context.Context, addr string) error {
 	for by := time.Now().Add(5 * time.Second); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + addr + "/health"); err == nil {
@@ -186,10 +190,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("lab: the node at %s does not come up", addr)
+	return fmt.Errorf("lab: node at %s did not become healthy", addr)
 }
 
-// instantPool ends each run at once.
+// instantPool is a fake worker pool that finishes each run at once.
 func instantPool(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -218,30 +222,31 @@
 	}
 }
 
-// ids are new for each request of the process, as a node takes none twice.
-var ids atomic.Uint64
+// requestIDs is the counter of request IDs. Each request of the process gets a new ID, since a node refuses a repeated
+// one.
+var requestIDs atomic.Uint64
 
-// loadFront sends requests over one front with so many in hand, and measures.
-func loadFront(ctx context.Context, front, addr string, inHand, requests, pid int) (r FrontRun, err error) {
-	r.InFlight = inHand
+// loadFront sends requests to one front with inFlight of them in flight, and measures the rate and the CPU time.
+func loadFront(ctx context.Context, front, addr string, inFlight, requests, pid int) (r FrontRun, err error) {
+	r.InFlight = inFlight
 	var left atomic.Int64
 	left.Store(int64(requests))
 	var failed atomic.Int64
 	var wait sync.WaitGroup
-	cpu, start := cpuOf(pid), time.Now()
-	errs := make(chan error, inHand)
+	cpu, start := cpuSeconds(pid), time.Now()
+	errs := make(chan error, inFlight)
 	if front == "h2c" {
-		errs <- loadH2C(ctx, addr, inHand, requests, &failed)
+		errs <- loadH2C(ctx, addr, inFlight, requests, &failed)
 	} else {
-		for range inHand {
+		for range inFlight {
 			wait.Go(func() {
 				for left.Add(-1) >= 0 && ctx.Err() == nil {
 					n := 1
-					if front == "http" { // a connection for as long as there is work
-						n = int(left.Load()/int64(inHand)) + 1
+					if front == "http" { // HTTP/1.1 reuses its connection for this goroutine's share of the requests
+						n = int(left.Load()/int64(inFlight)) + 1
 						left.Add(int64(1 - n))
 					}
-					if err := loadOne(front, addr, n, &failed); err != nil {
+					if err := loadConn(front, addr, n, &failed); err != nil {
 						errs <- err
 						return
 					}
@@ -254,14 +259,14 @@
 	case err = <-errs:
 	default:
 	}
-	took := time.Since(start).Seconds()
-	r.Rate, r.CPU = float64(requests)/took, (cpuOf(pid)-cpu)*1e6/float64(requests)
+	seconds := time.Since(start).Seconds()
+	r.Rate, r.CPU = float64(requests)/seconds, (cpuSeconds(pid)-cpu)*1e6/float64(requests)
 	r.Failed = int(failed.Load())
 	return r, err
 }
 
-// cpuOf returns the processor time of a process in seconds, in steps of 10 ms.
-func cpuOf(pid int) float64 {
+// cpuSeconds returns the CPU time of a process in seconds, in steps of 10 ms, or 0 if it cannot be read.
+func cpuSeconds(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := bytes.Cut(text, []byte(") "))
 	f := strings.Fields(string(rest))
@@ -273,13 +278,14 @@
 	return (user + sys) / 100
 }
 
-func fieldsOf(id uint64) [][2]string {
+// requestFields returns the header fields of a request.
+func requestFields(id uint64) [][2]string {
 	return [][2]string{{"req-id", fmt.Sprintf("%016x", id)}, {"req-time", strconv.FormatInt(time.Now().UnixMilli(), 10)},
 		{"req-from", "1"}, {"req-wait-ms", "5000"}, {"req-kb", "20"}, {"req-rank", "0.5"}}
 }
 
-// loadOne sends requests one after the other on one connection.
-func loadOne(front, addr string, n int, failed *atomic.Int64) error {
+// loadConn sends n requests one after another on one connection.
+func loadConn(front, addr string, n int, failed *atomic.Int64) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -292,13 +298,13 @@
 		b = b[:0]
 		if front == "http" {
 			b = append(b, "POST /rpc/status-lookup HTTP/1.1\r\nHost: a\r\n"...)
-			for _, f := range fieldsOf(ids.Add(1)) {
+			for _, f := range requestFields(requestIDs.Add(1)) {
 				b = fmt.Appendf(b, "%s: %s\r\n", f[0], f[1])
 			}
 			b = append(b, "Content-Length: 2\r\n\r\nok"...)
 		} else {
 			vars := [][2]string{{"REQUEST_METHOD", "POST"}, {"PATH_INFO", "/rpc/status-lookup"}, {"CONTENT_LENGTH", "2"}}
-			for _, f := range fieldsOf(ids.Add(1)) {
+			for _, f := range requestFields(requestIDs.Add(1)) {
 				vars = append(vars, [2]string{"HTTP_" + strings.ToUpper(strings.ReplaceAll(f[0], "-", "_")), f[1]})
 			}
 			var body []byte
@@ -326,8 +332,8 @@
 	return nil
 }
 
-// loadH2C keeps so many streams open on one connection.
-func loadH2C(ctx context.Context, addr string, inHand, requests int, failed *atomic.Int64) error {
+// loadH2C sends requests on one HTTP/2 connection with up to inFlight streams open.
+func loadH2C(ctx context.Context, addr string, inFlight, requests int, failed *atomic.Int64) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -335,26 +341,27 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(time.Minute))
 	w := bufio.NewWriter(c)
-	fr := http2.NewFramer(w, bufio.NewReader(c))
-	fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	framer := http2.NewFramer(w, bufio.NewReader(c))
+	framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	io.WriteString(w, http2.ClientPreface)
-	fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
-	fr.WriteWindowUpdate(0, 1<<30)
-	var hp bytes.Buffer
-	enc := hpack.NewEncoder(&hp)
-	sent, got, open, limit := 0, 0, 0, 1 // of streams, until the node tells
+	framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
+	framer.WriteWindowUpdate(0, 1<<30)
+	var headerBlock bytes.Buffer
+	encoder := hpack.NewEncoder(&headerBlock)
+	sent, answered, open, limit := 0, 0, 0, 1 // limit: streams that the server allows; 1 until its settings arrive
 	send := func() error {
-		for sent < requests && open < min(inHand, limit) {
-			hp.Reset()
+		for sent < requests && open < min(inFlight, limit) {
+			headerBlock.Reset()
 			for _, f := range append([][2]string{{":method", "POST"}, {":scheme", "http"}, {":path", "/rpc/status-lookup"},
-				{":authority", "a"}, {"content-length", "2"}}, fieldsOf(ids.Add(1))...) {
-				enc.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
+				{":authority", "a"}, {"content-length", "2"}}, requestFields(requestIDs.Add(1))...) {
+				encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
 			}
 			id := uint32(2*sent + 1)
-			if err := fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: hp.Bytes(), EndHeaders: true}); err != nil {
+			if err := framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: headerBlock.Bytes(),
+				EndHeaders: true}); err != nil {
 				return err
 			}
-			if err := fr.WriteData(id, true, []byte("ok")); err != nil {
+			if err := framer.WriteData(id, true, []byte("ok")); err != nil {
 				return err
 			}
 			sent++
@@ -362,11 +369,11 @@
 		}
 		return w.Flush()
 	}
-	for got < requests && ctx.Err() == nil {
+	for answered < requests && ctx.Err() == nil {
 		if err := send(); err != nil {
 			return err
 		}
-		f, err := fr.ReadFrame()
+		f, err := framer.ReadFrame()
 		if err != nil {
 			return err
 		}
@@ -377,11 +384,11 @@
 				limit = int(v)
 			}
 			if !f.IsAck() {
-				fr.WriteSettingsAck()
+				framer.WriteSettingsAck()
 			}
 		case *http2.PingFrame:
 			if !f.IsAck() {
-				fr.WritePing(true, f.Data)
+				framer.WritePing(true, f.Data)
 			}
 		case *http2.MetaHeadersFrame:
 			if f.PseudoValue("status") != "200" {
@@ -394,17 +401,17 @@
 			failed.Add(1)
 			ended = true
 		case *http2.GoAwayFrame:
-			return fmt.Errorf("lab: %v, %q", f, f.DebugData())
+			return fmt.Errorf("lab: server sent %v with debug data %q", f, f.DebugData())
 		}
 		if ended {
-			got++
+			answered++
 			open--
 		}
 	}
 	return nil
 }
 
-// WriteFronts writes the runs as people read them.
+// WriteFronts writes the runs as a table.
 func WriteFronts(w io.Writer, all []FrontRun) {
 	fmt.Fprintf(w, "%-14s %8s %10s %14s %7s\n", "front", "in hand", "a second", "CPU us each", "failed")
 	for _, r := range all {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The same seed gives the same pairs, byte for byte, in whatever order the cores play the days.
+// Guards against results that depend on the order in which the worker goroutines play the days: the same seed must give
+// the same output byte for byte.
 func TestSameSeedSamePairs(t *testing.T) {
 	play := func() string {
 		var b strings.Builder
@@ -25,14 +26,14 @@
 		t.Error(diff)
 	}
 	if want := 2*len(Variants) + 1; strings.Count(first, "\n") != want {
-		t.Errorf("want %d lines, got %s", want, first)
+		t.Errorf("want %d lines, got:\n%s", want, first)
 	}
 }
 
 func TestBadRangesAreRefused(t *testing.T) {
 	for _, l := range []LoadRange{{0, 0.5}, {0.6, 0.5}, {0.5, 9}} {
 		if _, _, err := RunWarmUp(1, 1, l, nil); err == nil {
-			t.Errorf("load %v was taken", l)
+			t.Errorf("load range %v: got no error, want one", l)
 		}
 	}
 }
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -26,28 +26,29 @@
 	"whinrudder/internal/vtime"
 )
 
-// SocketRun is how one successor fared on loopback sockets.
+// SocketRun is the result of one successor on loopback sockets.
 type SocketRun struct {
 	Variant      string
-	TotalWorth   float64   // worth asked for
-	OnTimeWorth  float64   // and answered in time
-	OnTimeShares []float64 // share of the worth of each second that was answered in time
+	TotalWorth   float64   // worth of all requests
+	OnTimeWorth  float64   // worth of the requests that were answered on time
+	OnTimeShares []float64 // by second of arrival: share of the worth that was answered on time
 }
 
-// RunWarmUpOnSockets plays the start of a day of the lab in real time on loopback sockets, for a cold successor and one that is
-// fed by a donor there: the real node, HTTP, the link to the worker pool and the peer protocol, before the model of the
-// worker pool. It takes as long as it says, and both run side by side.
+// RunWarmUpOnSockets plays the first seconds of a day in real time on loopback sockets, for a cold successor and for
+// one that fetches a donor's report. It uses the real node with HTTP, the link to the worker pool and the peer
+// protocol; the worker pool is modelled and the donor is a fake. Both successors run at the same time.
 func RunWarmUpOnSockets(seed uint64, load LoadRange, seconds int) ([]SocketRun, error) {
 	if seconds < 1 || seconds > 60 || !(load.Low > 0 && load.Low <= load.High && load.High <= 1.5) {
-		return nil, fmt.Errorf("lab: want 1 to 60 seconds and 0 < low <= high <= 1.5, got %d, %v", seconds, load)
+		return nil, fmt.Errorf("lab: got %d seconds and load range %v, need 1 to 60 seconds and 0 < low <= high <= 1.5",
+			seconds, load)
 	}
 	d := &warmDay{seed: seed}
 	rng := stream(seed, "machine")
-	d.machine = machine(rng, rng.Float64() < 0.5)
+	d.machine = drawMachine(rng, rng.Float64() < 0.5)
 	d.traffic = drawTraffic(stream(seed, "traffic"))
-	d.load = between(stream(seed, "load"), load.Low, load.High)
-	day := d.traffic.arrivals(stream(seed, "arrivals0"), d.machine, d.load, 0, float64(seconds)*1000)
-	report, err := d.donor("fresh", d.machine.Speed < 0.9, d.traffic)
+	d.load = uniform(stream(seed, "load"), load.Low, load.High)
+	day := d.traffic.drawArrivals(stream(seed, "arrivals0"), d.machine, d.load, 0, float64(seconds)*1000)
+	report, err := d.playDonor("fresh", d.machine.Speed < 0.9, d.traffic)
 	if err != nil {
 		return nil, err
 	}
@@ -86,40 +87,41 @@
 	return out, nil
 }
 
-// socketRun is one successor between its stand-ins.
+// socketRun is one successor with its fake callers, worker pool and donor.
 type socketRun struct {
 	machine workers.Params
 	traffic traffic
 	day     []arrival
-	report  *knowledge.Report
+	report  *knowledge.Report // the donor's report; nil: no donor
 
-	start  time.Time
-	mu     sync.Mutex // of all below
-	k      vtime.Kernel
-	pool   *workers.Pool
-	link   net.Conn
-	serial int
-	read   chan int // requests that the pool has read
-	credit []callermodel.Credit
-	served []bool
+	start       time.Time
+	mu          sync.Mutex // guards the fields below
+	kernel      vtime.Kernel
+	pool        *workers.Pool
+	link        net.Conn             // the node's link to the worker pool; nil until it connects
+	serial      int                  // of the last message finished
+	readIndexes chan int             // indexes of the requests that the pool has read
+	credits     []callermodel.Credit // by caller
+	served      []bool               // by arrival: answered on time
 }
 
+// now returns the milliseconds since the start of the run.
 func (s *socketRun) now() float64 { return float64(time.Since(s.start)) / 1e6 }
 
-// play plays the day and returns which arrivals were answered in time.
+// play plays the day and returns which arrivals were answered on time.
 func (s *socketRun) play(length float64) ([]bool, error) {
-	poolL, err := net.Listen("tcp", "127.0.0.1:0")
+	poolListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	defer poolL.Close()
-	reports, err := net.ListenPacket("udp", "127.0.0.1:0")
+	defer poolListener.Close()
+	announceConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	defer reports.Close()
-	cfg := settings.Config{Name: "successor", Listen: "127.0.0.1:0", Pool: poolL.Addr().String(),
-		Announce: reports.LocalAddr().String(), Seed: 1, StopMs: 1000, Cores: 1, MemoryMB: 192, Sockets: 512,
+	defer announceConn.Close()
+	cfg := settings.Config{Name: "successor", Listen: "127.0.0.1:0", Pool: poolListener.Addr().String(),
+		Announce: announceConn.LocalAddr().String(), Seed: 1, StopMs: 1000, Cores: 1, MemoryMB: 192, Sockets: 512,
 		Settings: settings.Settings{Policy: nodeSettings(s.machine.ColdSpeedRatio < 1), ClassNames: Classes(),
 			GaugeNames: []string{"cpu_busy", "runnable", "mem_used", "sockets"}}}
 	var op settings.Operator
@@ -130,8 +132,8 @@
 		}
 		defer donor.Close()
 		go serveReport(donor, *s.report)
-		op.Peer = settings.PeerConfig{Donors: []string{donor.Addr().String()}, Plaintext: true, FetchTimeoutMs: 5000, HalfLifeMs: 180e3,
-			MaxAgeMs: 900e3}
+		op.Peer = settings.PeerConfig{Donors: []string{donor.Addr().String()}, Plaintext: true, FetchTimeoutMs: 5000,
+			HalfLifeMs: 180e3, MaxAgeMs: 900e3}
 	}
 	n, err := node.New(cfg, op, io.Discard)
 	if err != nil {
@@ -140,20 +142,21 @@
 	if err := n.Listen(); err != nil {
 		return nil, err
 	}
-	s.read, s.served, s.credit = make(chan int, len(s.day)), make([]bool, len(s.day)), make([]callermodel.Credit, callers)
-	for i := range s.credit {
-		s.credit[i].Value = -1
+	s.readIndexes, s.served, s.credits = make(chan int, len(s.day)), make([]bool, len(s.day)),
+		make([]callermodel.Credit, callerCount)
+	for i := range s.credits {
+		s.credits[i].Value = -1
 	}
 	s.start = time.Now()
-	s.pool = workers.New(&s.k, s.machine, s.happened)
-	go s.serveLink(poolL)
+	s.pool = workers.New(&s.kernel, s.machine, s.handlePoolEvent)
+	go s.servePoolLink(poolListener)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		n.Run(ctx, make(chan os.Signal), make(chan os.Signal), nil)
 		close(ended)
 	}()
-	s.callers("http://"+n.Addr("http"), length)
+	s.runCallers("http://"+n.Addr("http"), length)
 	cancel()
 	<-ended
 	s.mu.Lock()
@@ -161,8 +164,9 @@
 	return s.served, nil
 }
 
-// callers sends the arrivals as far as credit goes, moves the pool a millisecond at a time, and waits for the answers.
-func (s *socketRun) callers(url string, length float64) {
+// runCallers sends the arrivals that the credit allows, advances the pool's model every millisecond, and waits for the
+// answers.
+func (s *socketRun) runCallers(url string, length float64) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
 	tick := time.NewTicker(time.Millisecond)
@@ -173,18 +177,18 @@
 		s.mu.Lock()
 		for ; next < len(s.day) && s.day[next].at <= now; next++ {
 			a := s.day[next]
-			c := &s.credit[a.caller]
-			if s.traffic.heeds[a.caller] && !c.Allows(now, heardFor, a.coin) {
+			c := &s.credits[a.caller]
+			if s.traffic.honorsCredit[a.caller] && !c.Allows(now, creditTTLMs, a.coin) {
 				continue
 			}
 			c.Outstanding++
-			s.k.Run(a.at)
+			s.kernel.Run(a.at)
 			s.pool.Enqueue(next, a.work)
 		}
-		s.k.Run(now)
+		s.kernel.Run(now)
 		s.mu.Unlock()
-		for len(s.read) > 0 {
-			i := <-s.read
+		for len(s.readIndexes) > 0 {
+			i := <-s.readIndexes
 			wait.Go(func() { s.send(client, url, i) })
 		}
 		<-tick.C
@@ -192,34 +196,35 @@
 	wait.Wait()
 }
 
-// happened tells the node, or lets a caller's request reach it. It is called under the lock.
-func (s *socketRun) happened(e workers.Event) {
+// handlePoolEvent handles an event of the worker pool: it reports a finished run to the node, or queues a request that
+// was read for sending. The caller holds mu.
+func (s *socketRun) handlePoolEvent(e workers.Event) {
 	how := map[workers.Kind]string{workers.Done: "OK", workers.Stopped: "STOPPED"}[e.Kind]
 	if e.Kind == workers.Read {
-		s.read <- e.ID
+		s.readIndexes <- e.ID
 	} else if how != "" && s.link != nil {
 		s.serial++
 		fmt.Fprintf(s.link, `{"msg":"finished","serial":%d,"call":"%s","how":%q,"duration":%.3f,"blob":"b2s="}`+"\n", s.serial,
-			name(e.ID), how, e.Took)
+			requestID(e.ID), how, e.Took)
 	}
 }
 
-// send sends one request and notes whether its answer came in time.
+// send sends one request and records whether its answer came on time.
 func (s *socketRun) send(client *http.Client, url string, i int) {
 	a := s.day[i]
 	req, err := http.NewRequest("POST", url+"/rpc/"+classes[a.class].name, bytes.NewReader(nil))
 	if err != nil {
 		return
 	}
-	came := float64(s.start.UnixNano())/1e6 + a.at
-	for k, v := range map[string]string{"Req-Id": name(i), "Req-Time": fmt.Sprintf("%.0f", came), "Req-From": fmt.Sprint(a.caller),
+	arrivedAt := float64(s.start.UnixNano())/1e6 + a.at
+	for k, v := range map[string]string{"Req-Id": requestID(i), "Req-Time": fmt.Sprintf("%.0f", arrivedAt), "Req-From": fmt.Sprint(a.caller),
 		"Req-Wait-Ms": fmt.Sprintf("%.0f", a.wait), "Req-Kb": fmt.Sprintf("%.1f", a.kb), "Req-Rank": fmt.Sprintf("%.4f", a.rank)} {
 		req.Header.Set(k, v)
 	}
 	resp, err := client.Do(req)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &s.credit[a.caller]
+	c := &s.credits[a.caller]
 	c.Outstanding--
 	if err != nil {
 		return
@@ -229,11 +234,11 @@
 	if v, err := strconv.ParseFloat(resp.Header.Get("Srv-Load"), 64); err == nil {
 		c.Value, c.UpdatedAt = v, s.now()
 	}
-	s.served[i] = resp.StatusCode == 200 && s.now() <= a.at+classes[a.class].aim
+	s.served[i] = resp.StatusCode == 200 && s.now() <= a.at+classes[a.class].aimMs
 }
 
-// serveLink is the worker pool's side of the link: its work is the model's.
-func (s *socketRun) serveLink(l net.Listener) {
+// servePoolLink serves the worker pool's side of the link. The pool's model decides when runs finish.
+func (s *socketRun) servePoolLink(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -248,14 +253,15 @@
 				break
 			}
 			s.mu.Lock()
-			s.command(c, v)
+			s.handleCommand(c, v)
 			s.mu.Unlock()
 		}
 		c.Close()
 	}
 }
 
-func (s *socketRun) command(c net.Conn, v *fastjson.Value) {
+// handleCommand carries out a message of the node to the worker pool. The caller holds mu.
+func (s *socketRun) handleCommand(c net.Conn, v *fastjson.Value) {
 	call := string(v.GetStringBytes("call"))
 	switch string(v.GetStringBytes("msg")) {
 	case "bind":
@@ -266,17 +272,17 @@
 		fmt.Fprintf(c, `{"msg":"bound","how":%q,"duration":%.0f}`+"\n", how, s.now())
 	case "spawn":
 		if _, err := base64.StdEncoding.DecodeString(string(v.GetStringBytes("blob"))); err == nil {
-			s.pool.Start(number(call), s.day[number(call)].work)
+			s.pool.Start(arrivalIndex(call), s.day[arrivalIndex(call)].work)
 		}
 	case "suspend":
-		s.pool.Stop(number(call))
+		s.pool.Stop(arrivalIndex(call))
 	case "poll":
 		fmt.Fprintf(c, `{"msg":"polled","cookie":%q,"stats":[%.4f,%d,0.1,%d]}`+"\n", v.GetStringBytes("cookie"), s.pool.Utilization(),
-			s.pool.Runnable(), callers)
+			s.pool.Runnable(), callerCount)
 	}
 }
 
-// serveReport is a donor that gives one report to all.
+// serveReport is a fake donor that sends the same report to every peer.
 func serveReport(l net.Listener, r knowledge.Report) {
 	for {
 		c, err := l.Accept()
@@ -286,16 +292,16 @@
 		go func() {
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(5 * time.Second))
-			g := peer.NewSourceConn(0)
+			source := peer.NewSourceConn(0)
 			buf := make([]byte, 4096)
 			for {
 				n, err := c.Read(buf)
-				step, out, bad := g.Feed(buf[:n])
+				step, out, bad := source.Feed(buf[:n])
 				switch step {
 				case peer.StepSendWelcome:
-					_, out, bad = g.SendWelcome(peer.SummaryOf(r))
+					_, out, bad = source.SendWelcome(peer.SummaryOf(r))
 				case peer.StepSendReport:
-					_, out, bad = g.SendReport(r)
+					_, out, bad = source.SendReport(r)
 				}
 				c.Write(out)
 				if err != nil || bad != nil || step == peer.StepSendReport {
@@ -306,7 +312,7 @@
 	}
 }
 
-// WriteSockets writes the runs as people read them.
+// WriteSockets writes the runs as a table.
 func WriteSockets(w io.Writer, all []SocketRun) {
 	fmt.Fprintf(w, "%-6s %8s  share of the worth answered in time, second by second\n", "", "whole")
 	for _, r := range all {
--- a/internal/lab/stall.go
+++ b/internal/lab/stall.go
@@ -18,25 +18,26 @@
 	"whinrudder/internal/storage"
 )
 
-// StallRun is what became of a class's requests before, during and after a stall of the disk.
+// StallRun counts the results of one class's requests in one phase: before, during or after a stall of the disk.
 type StallRun struct {
 	Phase, Class            string
 	Served, Refused, Failed int
-	P50, P99, Max           float64 // milliseconds
+	P50, P99, Max           float64 // latency in milliseconds
 }
 
-// stalling is a folder whose syncs wait while it stalls.
-type stalling struct {
+// stallingDir is a directory whose file syncs block while it stalls.
+type stallingDir struct {
 	storage.Dir
-	mu sync.RWMutex // held while it stalls
+	mu sync.RWMutex // write-locked while the disk stalls
 }
 
+// stallingFile is a file of a stalling directory.
 type stallingFile struct {
 	storage.File
-	of *stalling
+	dir *stallingDir
 }
 
-func (s *stalling) Create(name string) (storage.File, error) {
+func (s *stallingDir) Create(name string) (storage.File, error) {
 	f, err := s.Dir.Create(name)
 	if err != nil {
 		return nil, err
@@ -45,12 +46,13 @@
 }
 
 func (f stallingFile) Sync() error {
-	f.of.mu.RLock()
-	defer f.of.mu.RUnlock()
+	f.dir.mu.RLock()
+	defer f.dir.mu.RUnlock()
 	return f.File.Sync()
 }
 
-// MeasureStall plays reads and bookings against a node in this process whose disk stalls for a while in the middle of it.
+// MeasureStall sends reads and bookings to a node in this process whose disk stalls in the second of three phases. Each
+// phase takes the given number of seconds.
 func MeasureStall(ctx context.Context, dir string, seconds float64) ([]StallRun, error) {
 	pool, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,28 +65,30 @@
 		return nil, err
 	}
 	path := filepath.Join(dir, "stall")
-	op := settings.Operator{Kept: settings.KeptConfig{Dir: path, Classes: []string{"payout-book"}, MaxOperations: 1e5, DiskMB: 512, SegmentMB: 8,
+	op := settings.Operator{Kept: settings.KeptConfig{Dir: path, Classes: []string{"payout-book"},
+		MaxOperations: 1e5, DiskMB: 512, SegmentMB: 8,
 		ResultTTLMs: 1e9, InDoubtTTLMs: 1e9}}
 	n, err := node.New(cfg, op, io.Discard)
 	if err != nil {
 		return nil, err
 	}
-	var disk *stalling
+	var disk *stallingDir
 	n.SetFolderOpener(func(path string) (storage.Dir, error) {
 		f, err := storage.OpenDir(path)
-		disk = &stalling{Dir: f}
+		disk = &stallingDir{Dir: f}
 		return disk, err
 	})
 	if err := n.Listen(); err != nil {
 		return nil, err
 	}
 	run, cancel := context.WithCancel(ctx)
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		n.Run(run, make(chan os.Signal), make(chan os.Signal), func() (settings.Config, settings.Operator, error) { return cfg, op, nil })
-		close(over)
+		n.Run(run, make(chan os.Signal), make(chan os.Signal),
+			func() (settings.Config, settings.Operator, error) { return cfg, op, nil })
+		close(stopped)
 	}()
-	defer func() { cancel(); <-over }()
+	defer func() { cancel(); <-stopped }()
 	if err := WaitHealthy(ctx, n.Addr("http")); err != nil {
 		return nil, err
 	}
@@ -100,7 +104,7 @@
 	for i := range 12 {
 		class := []string{"status-lookup", "status-lookup", "payout-book"}[i%3]
 		wait.Go(func() {
-			c, err := dialLab(n.Addr("http"))
+			c, err := dialHTTP(n.Addr("http"))
 			if err != nil {
 				return
 			}
@@ -110,12 +114,13 @@
 				status, err := c.call(class, true)
 				if err != nil {
 					status = 0
-					if c, err = dialLab(n.Addr("http")); err != nil {
+					if c, err = dialHTTP(n.Addr("http")); err != nil {
 						return
 					}
 				}
 				mu.Lock()
-				calls[class] = append(calls[class], call{from.Sub(begin).Seconds(), float64(time.Since(from).Microseconds()) / 1e3, status})
+				calls[class] = append(calls[class],
+					call{from.Sub(begin).Seconds(), float64(time.Since(from).Microseconds()) / 1e3, status})
 				mu.Unlock()
 				time.Sleep(time.Until(from.Add(20 * time.Millisecond)))
 			}
@@ -127,9 +132,9 @@
 	disk.mu.Unlock()
 	wait.Wait()
 	var out []StallRun
-	for i, when := range []string{"well", "stalled", "well again"} {
+	for i, phase := range []string{"well", "stalled", "well again"} {
 		for _, class := range []string{"status-lookup", "payout-book"} {
-			r := StallRun{Phase: when, Class: class}
+			r := StallRun{Phase: phase, Class: class}
 			var took []float64
 			for _, c := range calls[class] {
 				if int(c.at/seconds) != i {
@@ -146,7 +151,8 @@
 				}
 			}
 			if slices.Sort(took); len(took) > 0 {
-				r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, took, nil), stat.Quantile(0.99, stat.Empirical, took, nil)
+				r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, took, nil),
+					stat.Quantile(0.99, stat.Empirical, took, nil)
 				r.Max = took[len(took)-1]
 			}
 			out = append(out, r)
--- a/internal/lab/warmup.go
+++ b/internal/lab/warmup.go
@@ -11,87 +11,90 @@
 	"whinrudder/internal/knowledge"
 )
 
-// Times of the warm-up experiment.
+// Times and limits of the warm-up experiment.
 const (
-	donorFor   = 90000  // how long a donor has served before it gives
-	dayFrom    = 120000 // the successors start
-	dayTo      = dayFrom + 60000
-	dayAfter   = 10000 // the day is played on for so long, until all is answered
-	twinFor    = 30000 // how long a twin has served when the successors start
-	takenFor   = 150   // the transfer takes so long
-	staleFor   = 600e3 // age of a stale donor's knowledge
-	window     = 3000  // worth is counted over so long
-	windowBy   = 500   // and looked at so often
-	staysFor   = 20000 // what stays for so long is steady
-	firstFor   = 20000 // the worth of the start is counted over so long
-	steadyLow  = 0.95  // of the worth of the twin
-	successors = 10    // that start at once, as after a rolling deploy, each with traffic of its own
+	donorUptimeMs  = 90000              // how long a donor has served before it provides its knowledge
+	dayStartMs     = 120000             // when the successors start
+	dayEndMs       = dayStartMs + 60000 // end of the arrivals
+	drainPeriodMs  = 10000              // extra time after dayEndMs for the last answers
+	twinUptimeMs   = 30000              // how long a twin has served before the successors start
+	transferMs     = 150                // duration of the transfer of knowledge
+	staleAgeMs     = 600e3              // age of the knowledge of a stale donor
+	worthWindowMs  = 3000               // length of the sliding window in which worth is summed
+	windowStepMs   = 500                // step of that window
+	steadyPeriodMs = 20000              // how long the worth must stay near the twin's to count as steady
+	firstPeriodMs  = 20000              // period over which FirstShare is computed
+	steadyRatio    = 0.95               // least share of the twin's worth that counts as steady
+	successorCount = 10                 // nodes that start at once, as after a rolling deploy, each with its own arrivals
 )
 
-// LoadRange is the range of the share of a warm machine's cores that callers ask for.
+// LoadRange is the range from which the load is drawn: the offered work as a share of a warm machine's capacity.
+// The bounds are inclusive.
 type LoadRange struct{ Low, High float64 }
 
-// warmDay is what one seed gives to all variants.
+// warmDay is the day of one seed, which all variants share.
 type warmDay struct {
-	seed    uint64
-	machine workers.Params
-	traffic traffic
-	load    float64
-	streams [][]arrival // of the successors
-	twin    [][]float64 // when the warm twin of each had answered each arrival
+	seed       uint64
+	machine    workers.Params
+	traffic    traffic
+	load       float64     // offered work as a share of the warm machine's capacity
+	arrivals   [][]arrival // by successor
+	twinServed [][]float64 // by successor and arrival: when the warm twin answered it on time, 0 if it did not
 }
 
-// newWarmDay draws a day and plays the twins: nodes on the same machine that have served the same traffic for a while
-// when the successors start. They are the steady state, arrival by arrival.
+// newWarmDay draws a day and plays the twins. A twin is a warm node on the same machine that has already served the
+// same traffic for a while when its successor starts; it defines the steady state for each arrival.
 func newWarmDay(seed uint64, load LoadRange) (*warmDay, error) {
 	d := &warmDay{seed: seed}
 	rng := stream(seed, "machine")
-	d.machine = machine(rng, rng.Float64() < 0.5)
+	d.machine = drawMachine(rng, rng.Float64() < 0.5)
 	d.traffic = drawTraffic(stream(seed, "traffic"))
-	d.load = between(stream(seed, "load"), load.Low, load.High)
-	return d, d.draw("arrivals")
+	d.load = uniform(stream(seed, "load"), load.Low, load.High)
+	return d, d.drawArrivals("arrivals")
 }
 
-// draw draws the arrivals and plays the twins on them.
-func (d *warmDay) draw(purpose string) error {
+// drawArrivals draws the arrivals of all successors and plays the twins on them.
+func (d *warmDay) drawArrivals(purpose string) error {
 	warm := d.machine
 	warm.ColdSpeedRatio = 1
-	d.streams, d.twin = nil, nil
-	for i := range successors {
+	d.arrivals, d.twinServed = nil, nil
+	for i := range successorCount {
 		rng := stream(d.seed, fmt.Sprint(purpose, i))
-		past := d.traffic.arrivals(rng, d.machine, d.load, dayFrom-twinFor, dayFrom)
-		day := d.traffic.arrivals(rng, d.machine, d.load, dayFrom, dayTo)
-		h, err := newHost(warm, d.traffic, append(past, day...), dayFrom-twinFor)
+		past := d.traffic.drawArrivals(rng, d.machine, d.load, dayStartMs-twinUptimeMs, dayStartMs)
+		day := d.traffic.drawArrivals(rng, d.machine, d.load, dayStartMs, dayEndMs)
+		node, err := newSimNode(warm, d.traffic, append(past, day...), dayStartMs-twinUptimeMs)
 		if err != nil {
 			return err
 		}
-		h.run(dayTo + dayAfter)
-		d.streams, d.twin = append(d.streams, day), append(d.twin, h.served[len(past):])
+		node.run(dayEndMs + drainPeriodMs)
+		d.arrivals, d.twinServed = append(d.arrivals, day), append(d.twinServed, node.served[len(past):])
 	}
 	return nil
 }
 
-// donor plays a donor's life and returns what it would give.
-func (d *warmDay) donor(name string, old bool, t traffic) (knowledge.Report, error) {
+// playDonor plays a donor for donorUptimeMs and returns the report that it provides.
+func (d *warmDay) playDonor(name string, oldModel bool, t traffic) (knowledge.Report, error) {
 	rng := stream(d.seed, name)
-	m := machine(rng, old)
-	m.ColdSpeedRatio = 1
-	h, err := newHost(m, t, t.arrivals(rng, m, d.load, 0, donorFor), 0)
+	donorMachine := drawMachine(rng, oldModel)
+	donorMachine.ColdSpeedRatio = 1
+	node, err := newSimNode(donorMachine, t, t.drawArrivals(rng, donorMachine, d.load, 0, donorUptimeMs), 0)
 	if err != nil {
 		return knowledge.Report{}, err
 	}
-	h.run(donorFor)
+	node.run(donorUptimeMs)
 	var r knowledge.Report
-	h.tell(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, _ bool) { r = knowledge.NewReport(Classes(), k) }})
-	r.Node, r.Uptime, r.Cores, r.Warm = name, donorFor, cores, true
+	node.submit(core.QueryKnowledge{Reply: func(k whinrudder.Knowledge, _ bool) {
+		r = knowledge.NewReport(Classes(), k)
+	}})
+	r.Node, r.Uptime, r.Cores, r.Warm = name, donorUptimeMs, coresPerNode, true
 	return r, r.Check()
 }
 
-// wrong makes each field of a report wrong by a factor of 10, up or down.
-func wrong(rng *rand.Rand, r knowledge.Report) knowledge.Report {
+// corrupted multiplies or divides each learned value of a report by 10. All waits of a class change by the same factor.
+func corrupted(rng *rand.Rand, r knowledge.Report) knowledge.Report {
 	r.Node = "wrong"
 	r.Classes = slices.Clone(r.Classes)
-	by := func() float64 {
+	factor := func() float64 {
 		if rng.Float64() < 0.5 {
 			return 10
 		}
@@ -99,37 +102,38 @@
 	}
 	for i := range r.Classes {
 		c := &r.Classes[i]
-		c.Cost.Time *= by()
-		c.Share *= by()
+		c.Cost.Time *= factor()
+		c.Share *= factor()
 		c.Waits = slices.Clone(c.Waits)
-		f := by()
+		waitFactor := factor()
 		for j := range c.Waits {
-			c.Waits[j] *= f
+			c.Waits[j] *= waitFactor
 		}
 	}
-	r.Limit.Value *= by()
+	r.Limit.Value *= factor()
 	return r
 }
 
-// drifted is the traffic of a fleet some minutes ago: its classes took other work then.
-func drifted(rng *rand.Rand, t traffic) traffic {
-	was := t
-	was.mean, was.sleep = nil, nil
-	for i := range t.mean {
-		was.mean = append(was.mean, t.mean[i]*between(rng, 0.6, 1.6))
-		was.sleep = append(was.sleep, t.sleep[i]*between(rng, 0.6, 1.6))
+// driftedTraffic returns the traffic of some minutes earlier, when the classes took different work.
+func driftedTraffic(rng *rand.Rand, t traffic) traffic {
+	earlier := t
+	earlier.workMeans, earlier.sleepMeans = nil, nil
+	for i := range t.workMeans {
+		earlier.workMeans = append(earlier.workMeans, t.workMeans[i]*uniform(rng, 0.6, 1.6))
+		earlier.sleepMeans = append(earlier.sleepMeans, t.sleepMeans[i]*uniform(rng, 0.6, 1.6))
 	}
-	return was
+	return earlier
 }
 
-// Variants are the ways in which successors start: again is a cold one with other traffic, which shows the noise.
+// Variants are the ways in which successors start. The variant again is a cold start with other arrivals, which shows
+// the noise of the comparison.
 var Variants = []string{"cold", "again", "fresh", "other-model", "stale", "wrong", "two-good-one-wrong"}
 
-// reports returns what the successors of a variant are fed.
+// reports returns the donors' reports that the successors of a variant adopt.
 func (d *warmDay) reports(variant string) (out []knowledge.Report, err error) {
-	old := d.machine.Speed < 0.9
-	give := func(name string, old bool, t traffic) knowledge.Report {
-		r, e := d.donor(name, old, t)
+	oldModel := d.machine.Speed < 0.9
+	donorReport := func(name string, ofOldModel bool, t traffic) knowledge.Report {
+		r, e := d.playDonor(name, ofOldModel, t)
 		if e != nil && err == nil {
 			err = fmt.Errorf("donor %s: %w", name, e)
 		}
@@ -137,53 +141,53 @@
 	}
 	switch variant {
 	case "fresh":
-		out = append(out, give("fresh", old, d.traffic))
+		out = append(out, donorReport("fresh", oldModel, d.traffic))
 	case "other-model":
-		out = append(out, give("other", !old, d.traffic))
+		out = append(out, donorReport("other", !oldModel, d.traffic))
 	case "stale":
-		was := drifted(stream(d.seed, "drift"), d.traffic)
-		out = append(out, give("stale", old, was).AgedBy(staleFor))
+		earlier := driftedTraffic(stream(d.seed, "drift"), d.traffic)
+		out = append(out, donorReport("stale", oldModel, earlier).AgedBy(staleAgeMs))
 	case "wrong":
-		out = append(out, wrong(stream(d.seed, "wrong"), give("fresh", old, d.traffic)))
+		out = append(out, corrupted(stream(d.seed, "wrong"), donorReport("fresh", oldModel, d.traffic)))
 	case "two-good-one-wrong":
-		out = append(out, give("fresh", old, d.traffic), give("other", !old, d.traffic),
-			wrong(stream(d.seed, "wrong"), give("third", old, d.traffic)))
+		out = append(out, donorReport("fresh", oldModel, d.traffic), donorReport("other", !oldModel, d.traffic),
+			corrupted(stream(d.seed, "wrong"), donorReport("third", oldModel, d.traffic)))
 	}
 	return out, err
 }
 
-// outcome is how the successors of one variant fared.
+// outcome is the result of the successors of one variant.
 type outcome struct {
-	served [][]float64
-	fell   int
-	lines  []string
+	served   [][]float64 // by successor and arrival: when it was answered on time, 0 if it was not
+	crashes  int         // worker pools that crashed
+	logLines []string    // log of all successors' cores
 }
 
-// play plays the successors, fed by some reports or by none.
+// play plays the successors. With reports, they adopt the merged reports after the transfer time.
 func (d *warmDay) play(reports []knowledge.Report) (o outcome, err error) {
-	need := knowledge.Recipient{ClassNames: Classes(), Settings: nodeSettings(true)}
-	prior, _ := knowledge.Merge(knowledge.DefaultTrustParams, need, reports)
-	for _, day := range d.streams {
-		h, err := newHost(d.machine, d.traffic, day, dayFrom)
+	recipient := knowledge.Recipient{ClassNames: Classes(), Settings: nodeSettings(true)}
+	prior, _ := knowledge.Merge(knowledge.DefaultTrustParams, recipient, reports)
+	for _, day := range d.arrivals {
+		node, err := newSimNode(d.machine, d.traffic, day, dayStartMs)
 		if err != nil {
 			return o, err
 		}
-		h.run(dayFrom + takenFor)
+		node.run(dayStartMs + transferMs)
 		if len(reports) > 0 {
-			h.tell(core.AdoptPrior{Prior: prior})
+			node.submit(core.AdoptPrior{Prior: prior})
 		}
-		h.run(dayTo + dayAfter)
-		o.served, o.lines = append(o.served, h.served), append(o.lines, h.lines...)
-		if h.fell {
-			o.fell++
+		node.run(dayEndMs + drainPeriodMs)
+		o.served, o.logLines = append(o.served, node.served), append(o.logLines, node.logLines...)
+		if node.poolCrashed {
+			o.crashes++
 		}
 	}
 	return o, nil
 }
 
-// worth sums what was answered in time of what came within a window.
-func (d *warmDay) worth(served [][]float64, from, to float64) (sum float64) {
-	for s, day := range d.streams {
+// onTimeWorth returns the worth of the requests that arrived within a window and were answered on time.
+func (d *warmDay) onTimeWorth(served [][]float64, from, to float64) (sum float64) {
+	for s, day := range d.arrivals {
 		for i, a := range day {
 			if a.at >= from && a.at < to && served[s][i] > 0 {
 				sum += classes[a.class].worth
@@ -193,24 +197,25 @@
 	return sum
 }
 
-// steady returns how long after their start the successors stay within a twentieth of their twins' worth for staysFor;
-// the whole day if they never do.
-func (d *warmDay) steady(served [][]float64) float64 {
-	since := 0.0
-	for at := 0.0; at+window <= dayTo-dayFrom; at += windowBy {
-		got, want := d.worth(served, dayFrom+at, dayFrom+at+window), d.worth(d.twin, dayFrom+at, dayFrom+at+window)
+// timeToSteady returns the time after the start from which the successors keep at least steadyRatio of their twins'
+// worth for steadyPeriodMs, or the length of the day if that never happens.
+func (d *warmDay) timeToSteady(served [][]float64) float64 {
+	steadySince := 0.0
+	for at := 0.0; at+worthWindowMs <= dayEndMs-dayStartMs; at += windowStepMs {
+		worth, twinWorth := d.onTimeWorth(served, dayStartMs+at, dayStartMs+at+worthWindowMs),
+			d.onTimeWorth(d.twinServed, dayStartMs+at, dayStartMs+at+worthWindowMs)
 		switch {
-		case got < steadyLow*want:
-			since = at + windowBy
-		case at-since >= staysFor:
-			return since
+		case worth < steadyRatio*twinWorth:
+			steadySince = at + windowStepMs
+		case at-steadySince >= steadyPeriodMs:
+			return steadySince
 		}
 	}
-	return dayTo - dayFrom
+	return dayEndMs - dayStartMs
 }
 
-// again returns the same day with other arrivals: what differs between it and the day is noise.
-func (d *warmDay) again() (*warmDay, error) {
+// withOtherArrivals returns the same day with other arrivals. Differences between the two days are noise.
+func (d *warmDay) withOtherArrivals() (*warmDay, error) {
 	o := *d
-	return &o, o.draw("arrivals of another day")
+	return &o, o.drawArrivals("arrivals of another day")
 }
