--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -76,8 +76,8 @@
 	class  int
 	caller int
 	coin   float64 // 0 to 1: decides whether the fractional part of a credit allows this attempt
-	rank   float64
-	kb     float64
+	rank   float64 // value of the Req-Rank field
+	kb     float64 // value of the Req-Kb field
 	wait   float64 // how long the caller waits for this attempt
 	work   workers.Work
 }
--- a/internal/lab/floods.go
+++ b/internal/lab/floods.go
@@ -129,12 +129,12 @@
 		}
 		r := FloodRun{Flood: kind, BeforeMB: memoryMB(n.pid, "VmRSS"), Healthy: true}
 		end := time.Now().Add(time.Duration(seconds) * time.Second)
-		type sum struct{ conns, frames int }
+		type counts struct{ conns, frames int }
 		const connCount = 8
-		done := make(chan sum, connCount)
+		done := make(chan counts, connCount)
 		for range connCount {
 			go func() {
-				var s sum
+				var s counts
 				for time.Now().Before(end) && ctx.Err() == nil {
 					c, err := net.Dial("tcp", n.addrs["h2c"])
 					if err != nil {
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -85,7 +85,7 @@
 type testNode struct {
 	addrs map[string]string // by front
 	pid   int
-	stop  func()
+	stop  func() // kills the process, closes the worker pool's listener and removes the node's directory
 }
 
 // labConfig is the configuration of a measured node: a format whose arguments are the addresses of the HTTP front and
@@ -182,7 +182,7 @@
 
 // WaitHealthy waits until a node's health check succeeds, for 5 seconds at most.
 func WaitHealthy(ctx context.Context, addr string) error {
-	for by := time.Now().Add(5 * time.Second); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + addr + "/health"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
@@ -229,8 +229,8 @@
 // loadFront sends requests to one front with inFlight of them in flight, and measures the rate and the CPU time.
 func loadFront(ctx context.Context, front, addr string, inFlight, requests, pid int) (r FrontRun, err error) {
 	r.InFlight = inFlight
-	var left atomic.Int64
-	left.Store(int64(requests))
+	var remaining atomic.Int64
+	remaining.Store(int64(requests))
 	var failed atomic.Int64
 	var wait sync.WaitGroup
 	cpu, start := cpuSeconds(pid), time.Now()
@@ -240,11 +240,11 @@
 	} else {
 		for range inFlight {
 			wait.Go(func() {
-				for left.Add(-1) >= 0 && ctx.Err() == nil {
+				for remaining.Add(-1) >= 0 && ctx.Err() == nil {
 					n := 1
 					if front == "http" { // HTTP/1.1 reuses its connection for this goroutine's share of the requests
-						n = int(left.Load()/int64(inFlight)) + 1
-						left.Add(int64(1 - n))
+						n = int(remaining.Load()/int64(inFlight)) + 1
+						remaining.Add(int64(1 - n))
 					}
 					if err := loadConn(front, addr, n, &failed); err != nil {
 						errs <- err
--- a/internal/lab/kept.go
+++ b/internal/lab/kept.go
@@ -119,17 +119,17 @@
 	}
 	for _, inFlight := range []int{1, 16, 128} {
 		for _, e := range engines {
-			k, err := e.open(filepath.Join(dir, fmt.Sprint(e.name, inFlight)))
+			store, err := e.open(filepath.Join(dir, fmt.Sprint(e.name, inFlight)))
 			if err != nil {
 				return out, err
 			}
-			r, err := measureEngine(k, inFlight, max(bookings/(1+128/inFlight/8), 200))
+			r, err := measureEngine(store, inFlight, max(bookings/(1+128/inFlight/8), 200))
 			if err != nil {
 				return out, err
 			}
 			r.Store, r.InFlight = e.name, inFlight
 			out = append(out, r)
-			if err := k.close(); err != nil {
+			if err := store.close(); err != nil {
 				return out, err
 			}
 		}
@@ -151,7 +151,7 @@
 	table := ops.New(ops.Limits{Keys: bookings + inFlight, DiskBytes: 1 << 40, SegmentBytes: 8 << 20, AgeMs: 1e12,
 		DoubtMs: 1e12})
 	result := make([]byte, 200)
-	var took []float64
+	var latenciesMs []float64
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 	writeRecords := func() error {
 		var all []journal.Record
@@ -181,13 +181,14 @@
 		if err := writeRecords(); err != nil {
 			return r, err
 		}
-		took = append(took, float64(time.Since(from).Microseconds())/1e3)
+		latenciesMs = append(latenciesMs, float64(time.Since(from).Microseconds())/1e3)
 		table.Effects()
 	}
 	done := float64((bookings + inFlight - 1) / inFlight * inFlight)
 	r.Rate, r.CPU = done/time.Since(begin).Seconds(), (ownCPUSeconds()-cpu)*1e6/done
-	slices.Sort(took)
-	r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, took, nil), stat.Quantile(0.99, stat.Empirical, took, nil)
+	slices.Sort(latenciesMs)
+	r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, latenciesMs, nil),
+		stat.Quantile(0.99, stat.Empirical, latenciesMs, nil)
 	return r, nil
 }
 
@@ -220,9 +221,9 @@
 // loadBookings sends bookings to a node on inFlight connections.
 func loadBookings(ctx context.Context, addr string, inFlight, bookings, pid int) (r KeptRun, err error) {
 	var mu sync.Mutex
-	var took []float64
-	var left, failed atomic.Int64
-	left.Store(int64(bookings))
+	var latenciesMs []float64
+	var remaining, failed atomic.Int64
+	remaining.Store(int64(bookings))
 	var wait sync.WaitGroup
 	errs := make(chan error, inFlight)
 	cpu, begin := cpuSeconds(pid), time.Now()
@@ -234,7 +235,7 @@
 				return
 			}
 			defer c.Close()
-			for left.Add(-1) >= 0 && ctx.Err() == nil {
+			for remaining.Add(-1) >= 0 && ctx.Err() == nil {
 				from := time.Now()
 				status, err := c.call("payout-book", true)
 				if err != nil {
@@ -245,7 +246,7 @@
 					failed.Add(1)
 				}
 				mu.Lock()
-				took = append(took, float64(time.Since(from).Microseconds())/1e3)
+				latenciesMs = append(latenciesMs, float64(time.Since(from).Microseconds())/1e3)
 				mu.Unlock()
 			}
 		})
@@ -255,10 +256,12 @@
 	case err = <-errs:
 	default:
 	}
-	r.Rate, r.CPU = float64(len(took))/time.Since(begin).Seconds(), (cpuSeconds(pid)-cpu)*1e6/float64(max(1, len(took)))
-	slices.Sort(took)
-	if len(took) > 0 {
-		r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, took, nil), stat.Quantile(0.99, stat.Empirical, took, nil)
+	r.Rate, r.CPU = float64(len(latenciesMs))/time.Since(begin).Seconds(),
+		(cpuSeconds(pid)-cpu)*1e6/float64(max(1, len(latenciesMs)))
+	slices.Sort(latenciesMs)
+	if len(latenciesMs) > 0 {
+		r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, latenciesMs, nil),
+			stat.Quantile(0.99, stat.Empirical, latenciesMs, nil)
 	}
 	r.Failed = int(failed.Load())
 	return r, err
@@ -311,7 +314,7 @@
 	ElapsedMs              float64
 }
 
-// MeasureRecoveries fills one journal of each size and measures how long it takes to open.
+// MeasureRecoveries fills one journal of each size and measures the time and the memory that opening it takes.
 func MeasureRecoveries(dir string, sizes []int) (out []Recovery, err error) {
 	for _, n := range sizes {
 		path := filepath.Join(dir, fmt.Sprint("recover", n))
--- a/internal/lab/simnode.go
+++ b/internal/lab/simnode.go
@@ -32,7 +32,7 @@
 	arrivals     []arrival
 	nextArrival  int         // index of the next arrival
 	arrivalTimer vtime.Timer // fires at the next arrival
-	stepTimer    vtime.Timer // fires when the core wants its next step
+	stepTimer    vtime.Timer // fires when the core's next step is due
 	stepping     bool        // a step is in progress; inputs that come meanwhile are queued
 	honorsCredit []bool      // by caller: whether it honors the credit
 	inputs       []core.Input
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -296,15 +296,15 @@
 			buf := make([]byte, 4096)
 			for {
 				n, err := c.Read(buf)
-				step, out, bad := source.Feed(buf[:n])
+				step, out, protocolErr := source.Feed(buf[:n])
 				switch step {
 				case peer.StepSendWelcome:
-					_, out, bad = source.SendWelcome(peer.SummaryOf(r))
+					_, out, protocolErr = source.SendWelcome(peer.SummaryOf(r))
 				case peer.StepSendReport:
-					_, out, bad = source.SendReport(r)
+					_, out, protocolErr = source.SendReport(r)
 				}
 				c.Write(out)
-				if err != nil || bad != nil || step == peer.StepSendReport {
+				if err != nil || protocolErr != nil || step == peer.StepSendReport {
 					return
 				}
 			}
--- a/internal/lab/stall.go
+++ b/internal/lab/stall.go
@@ -93,8 +93,8 @@
 		return nil, err
 	}
 	type call struct {
-		at, took float64
-		status   int
+		at, took float64 // seconds since the start; latency in milliseconds
+		status   int     // 0: the connection failed
 	}
 	var mu sync.Mutex
 	calls := map[string][]call{}
@@ -135,12 +135,12 @@
 	for i, phase := range []string{"well", "stalled", "well again"} {
 		for _, class := range []string{"status-lookup", "payout-book"} {
 			r := StallRun{Phase: phase, Class: class}
-			var took []float64
+			var latenciesMs []float64
 			for _, c := range calls[class] {
 				if int(c.at/seconds) != i {
 					continue
 				}
-				took = append(took, c.took)
+				latenciesMs = append(latenciesMs, c.took)
 				switch c.status {
 				case 200:
 					r.Served++
@@ -150,10 +150,10 @@
 					r.Failed++
 				}
 			}
-			if slices.Sort(took); len(took) > 0 {
-				r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, took, nil),
-					stat.Quantile(0.99, stat.Empirical, took, nil)
-				r.Max = took[len(took)-1]
+			if slices.Sort(latenciesMs); len(latenciesMs) > 0 {
+				r.P50, r.P99 = stat.Quantile(0.5, stat.Empirical, latenciesMs, nil),
+					stat.Quantile(0.99, stat.Empirical, latenciesMs, nil)
+				r.Max = latenciesMs[len(latenciesMs)-1]
 			}
 			out = append(out, r)
 		}
