--- a/internal/kept/contents.go
+++ b/internal/kept/contents.go
@@ -123,7 +123,7 @@
 			inDoubt++
 		}
 	}
-	fmt.Fprintf(w, "node %s, version %d, %d segments, %d bytes, %d records, %d operations, %d in doubt\n", summary.Node,
+	fmt.Fprintf(w, "node %s, version %d, %d segments, %d bytes, %d records, %d operations, %d without an end\n", summary.Node,
 		summary.Version, summary.Segments, summary.Bytes, summary.Records, len(c.Operations), inDoubt)
 	for _, d := range c.Damage {
 		fmt.Fprintln(w, d.Error())
